--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -127,7 +127,7 @@
                 loop.execute(() -> front.group().get().start(front.controller()));
             }
             listens = true;
-            bound = network.listen(listen, front.callers(), front.limits());
+            bound = network.listen(listen, front.callers(), front.limits().connections(), front.limits().unwritten());
         } catch (ExecutionException e) {
             loop.close();
             throw new IllegalArgumentException(e.getCause().getMessage(), e);
--- a/daemon/src/main/java/pathlane/config/file/CollectdConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/CollectdConfig.java
@@ -4,6 +4,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import pathlane.config.SettingsReader;
+import pathlane.link.Addresses;
 
 /** Where and how often counters are told to collectd. */
 public record CollectdConfig(InetSocketAddress address, Duration interval) {
@@ -16,7 +17,7 @@
             return null;
         }
         JsonObject collectd = SettingsReader.object(root, "collectd");
-        return new CollectdConfig(NodeConfig.address(NodeConfig.text(collectd, "address")),
+        return new CollectdConfig(Addresses.parse(NodeConfig.text(collectd, "address")),
                 NodeConfig.interval(collectd, "collectd", INTERVAL_MS));
     }
 }
--- a/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
@@ -12,6 +12,7 @@
 import java.util.List;
 import pathlane.config.Settings;
 import pathlane.config.SettingsReader;
+import pathlane.link.Addresses;
 
 /**
  * What the Diameter front is told: who it is, where it listens, its server peers and its classes.
@@ -62,7 +63,7 @@
         for (JsonElement element : SettingsReader.array(root, "peers")) {
             JsonObject peer = element.getAsJsonObject();
             peers.add(new Peer(peers.size() + 1, NodeConfig.text(peer, "host"),
-                    NodeConfig.address(NodeConfig.text(peer, "address")), peers.size()));
+                    Addresses.parse(NodeConfig.text(peer, "address")), peers.size()));
         }
         List<ServiceClass> classes = new ArrayList<>();
         for (JsonElement element : SettingsReader.array(root, "classes")) {
@@ -81,7 +82,7 @@
             throw new IllegalArgumentException("watchdog-ms is under the 6000 that RFC 3539 asks for");
         }
         DiameterConfig config = new DiameterConfig(NodeConfig.text(root, "host"), NodeConfig.text(root, "realm"),
-                NodeConfig.address(NodeConfig.text(root, "listen")), watchdog, List.copyOf(peers),
+                Addresses.parse(NodeConfig.text(root, "listen")), watchdog, List.copyOf(peers),
                 List.copyOf(classes), settings, CallerLimits.of(descriptors.callers()), GraphiteConfig.read(root),
                 CollectdConfig.read(root));
         config.classOf(-1);
--- a/daemon/src/main/java/pathlane/config/file/GraphiteConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/GraphiteConfig.java
@@ -4,6 +4,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import pathlane.config.SettingsReader;
+import pathlane.link.Addresses;
 
 /** Where and how often counters are told to Graphite. */
 public record GraphiteConfig(InetSocketAddress address, String prefix, Duration interval) {
@@ -16,7 +17,7 @@
             return null;
         }
         JsonObject graphite = SettingsReader.object(root, "graphite");
-        return new GraphiteConfig(NodeConfig.address(NodeConfig.text(graphite, "address")),
+        return new GraphiteConfig(Addresses.parse(NodeConfig.text(graphite, "address")),
                 NodeConfig.text(graphite, "prefix"), NodeConfig.interval(graphite, "graphite", INTERVAL_MS));
     }
 }
--- a/daemon/src/main/java/pathlane/config/file/NodeConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/NodeConfig.java
@@ -8,6 +8,7 @@
 import java.time.Duration;
 import pathlane.config.Settings;
 import pathlane.config.SettingsReader;
+import pathlane.link.Addresses;
 
 /**
  * What a real call controller finds in RELAY_CONFIG.
@@ -22,7 +23,6 @@
                          Descriptors descriptors, CallerLimits callers, long knownOffset, JsonArray knownEvents, Settings settings) {
 
     private static final int HEX = 16;
-    private static final int MOST_PORT = 65_535;
     /** A process that has just begun to serve takes up some 40. */
     private static final int LEAST_MEMORY_MB = 64;
 
@@ -36,9 +36,9 @@
         JsonObject root = JsonParser.parseString(text).getAsJsonObject();
         JsonObject known = SettingsReader.object(root, "known");
         Descriptors descriptors = descriptors(root);
-        return new NodeConfig(text(root, "name"), address(text(root, "listen")),
+        return new NodeConfig(text(root, "name"), Addresses.parse(text(root, "listen")),
                 Long.parseUnsignedLong(text(root, "seed"), HEX),
-                root.has("bus") ? address(text(root, "bus")) : null, descriptors,
+                root.has("bus") ? Addresses.parse(text(root, "bus")) : null, descriptors,
                 CallerLimits.of(descriptors.callers()),
                 known.has("offset") ? known.get("offset").getAsLong() : 0, SettingsReader.array(known, "batch"),
                 SettingsReader.read(SettingsReader.object(root, "settings")));
@@ -69,18 +69,4 @@
         }
         return interval;
     }
-
-    /** Reads {@code host:port}. */
-    public static InetSocketAddress address(String text) {
-        int colon = text.lastIndexOf(':');
-        try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && port >= 0 && port <= MOST_PORT) {
-                return new InetSocketAddress(text.substring(0, colon), port);
-            }
-        } catch (NumberFormatException e) {
-            // said below
-        }
-        throw new IllegalArgumentException("'" + text + "' is not an address with a port");
-    }
 }
--- a/daemon/src/main/java/pathlane/platform/KnownEvents.java
+++ b/daemon/src/main/java/pathlane/platform/KnownEvents.java
@@ -9,6 +9,7 @@
 import pathlane.config.file.NodeConfig;
 import pathlane.core.ServerLine;
 import pathlane.decision.Gateway.Mode;
+import pathlane.link.Addresses;
 
 /** The events of the bus that the configuration holds, as JSON. */
 final class KnownEvents {
@@ -42,7 +43,7 @@
             default -> throw new IllegalArgumentException("health " + host.get("health"));
         };
         return new ServerLine(Long.parseLong(host.get("host").getAsString().substring(2), 16),
-                NodeConfig.address(host.get("dial").getAsString()), mode, host.get("block").getAsInt(),
+                Addresses.parse(host.get("dial").getAsString()), mode, host.get("block").getAsInt(),
                 host.has("share") ? host.get("share").getAsDouble() : 1,
                 Instant.ofEpochMilli(host.has("born_ms") ? host.get("born_ms").getAsLong() : 0));
     }
--- a/daemon/src/main/java/pathlane/takeover/GroupFile.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupFile.java
@@ -16,9 +16,9 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
-import pathlane.config.file.NodeConfig;
 import pathlane.group.Keys;
 import pathlane.group.LeaseTerms;
+import pathlane.link.Addresses;
 
 /**
  * The operator's file that makes a controller a member of a group, in TOML.
@@ -176,7 +176,7 @@
 
         private InetSocketAddress address(String key, String text) {
             try {
-                return NodeConfig.address(text);
+                return Addresses.parse(text);
             } catch (IllegalArgumentException e) {
                 throw wrong(key, "'" + text + "'", "an address with a port");
             }
--- a/daemon/src/test/java/pathlane/crossings/Controller.java
+++ b/daemon/src/test/java/pathlane/crossings/Controller.java
@@ -47,7 +47,8 @@
         });
         await(done);
         front = made[0];
-        address = network.listen(parsed.listen(), front::accept, parsed.callers());
+        address = network.listen(parsed.listen(), front::accept, parsed.callers().connections(),
+                parsed.callers().unwritten());
     }
 
     /** A configuration with servers at these ports, and further members of {@code limits} and {@code ceilings}. */
--- a/daemon/src/test/java/pathlane/crossings/Program.java
+++ b/daemon/src/test/java/pathlane/crossings/Program.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import pathlane.config.file.NodeConfig;
+import pathlane.link.Addresses;
 
 /** The program in a process of its own, from the classes under test; its log is read line by line. */
 final class Program implements AutoCloseable {
@@ -35,7 +35,7 @@
     /** Waits until it serves. */
     void awaitServes() throws IOException {
         String line = awaitLine(SERVES);
-        address = NodeConfig.address(line.substring(line.indexOf(SERVES) + SERVES.length()));
+        address = Addresses.parse(line.substring(line.indexOf(SERVES) + SERVES.length()));
     }
 
     private Program(Path folder, String config, String before) throws IOException {
--- a/daemon/src/test/java/pathlane/exchange/StartTest.java
+++ b/daemon/src/test/java/pathlane/exchange/StartTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import pathlane.bus.BusFeed;
-import pathlane.config.file.NodeConfig;
 import pathlane.core.ConnectionEnd;
 import pathlane.decision.Gateway.Mode;
+import pathlane.link.Addresses;
 import pathlane.link.Connection;
 import pathlane.link.Protocol;
 import pathlane.standin.VirtualTime;
@@ -44,7 +44,7 @@
     void follow() {
         feed = new BusFeed(1, (address, timeout, protocol) -> dialled.add(protocol), time, new SplittableRandom(1),
                 event -> event.lines().forEach(line -> told.add(line.mode())), () -> { });
-        feed.follow(NodeConfig.address("127.0.0.1:9092"));
+        feed.follow(Addresses.parse("127.0.0.1:9092"));
     }
 
     @Test
--- a/daemon/src/main/java/pathlane/net/Network.java
+++ b/net/src/main/java/pathlane/net/Network.java
@@ -26,7 +26,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import pathlane.config.file.CallerLimits;
 import pathlane.core.ConnectionEnd;
 import pathlane.link.Admission;
 import pathlane.link.Datagrams;
@@ -64,20 +63,13 @@
     }
 
     /**
-     * Listens on this address only; each connection gets a state machine of its own, up to as many as the limits
-     * allow. Returns the address, with the port that was given out where none was asked for.
-     *
-     * @throws IllegalArgumentException where the address can't be had
-     */
-    public InetSocketAddress listen(InetSocketAddress address, Supplier<Protocol> protocols, CallerLimits limits) {
-        return listen(address, protocols, limits.connections(), limits.unwritten());
-    }
-
-    /**
-     * The same for others than callers.
+     * Listens on this address only; each connection gets a state machine of its own, up to as many as the limit allows.
+     * Off the loop's thread.
      *
      * @param most connections at once
      * @param mostUnwritten bytes that may wait to be written on one of them; more closes it
+     * @return the address, with the port that was given out where none was asked for
+     * @throws IllegalArgumentException where the address can't be had
      */
     public InetSocketAddress listen(InetSocketAddress address, Supplier<Protocol> protocols, int most,
                                     long mostUnwritten) {
--- a/voter/src/main/java/pathlane/voter/VoterFile.java
+++ b/voter/src/main/java/pathlane/voter/VoterFile.java
@@ -11,9 +11,9 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
-import pathlane.config.file.NodeConfig;
 import pathlane.group.Keys;
 import pathlane.group.LeaseTerms;
+import pathlane.link.Addresses;
 
 /**
  * The file of a voter, in TOML.
@@ -65,7 +65,7 @@
         TomlArray array = toml.getArray("voters");
         for (int i = 0; array != null && i < array.size(); i++) {
             String[] parts = array.getString(i).split("=", 2);
-            if (parts.length != 2 || voters.put(parts[0], NodeConfig.address(parts[1])) != null) {
+            if (parts.length != 2 || voters.put(parts[0], Addresses.parse(parts[1])) != null) {
                 throw new IllegalArgumentException("'voters' has '" + array.getString(i)
                         + "'; right would be a name of its own, '=' and an address with a port");
             }
@@ -74,7 +74,7 @@
             throw new IllegalArgumentException("'voters' are " + voters.keySet()
                     + "; right would be an odd number, '" + name + "' among them");
         }
-        return new VoterFile(name, NodeConfig.address(text(toml, "members")), voters,
+        return new VoterFile(name, Addresses.parse(text(toml, "members")), voters,
                 file.toAbsolutePath().resolveSibling(text(toml, "keys")),
                 file.toAbsolutePath().resolveSibling(text(toml, "store")), lease(toml));
     }
