--- a/core/src/main/java/pathlane/core/ConnectionEnd.java
+++ b/core/src/main/java/pathlane/core/ConnectionEnd.java
@@ -52,6 +52,11 @@
         return outcome;
     }
 
+    /** Whether nothing was wrong with the connection: it was closed here since it was not needed any more. */
+    public boolean isUnneeded() {
+        return this == IDLE || this == GAVE_WAY;
+    }
+
     /** Whether the other side's process has shown that it isn't there, unless it is known to drain. */
     public boolean provesProcessGone() {
         return this == REFUSED;
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -56,11 +56,11 @@
         SplittableRandom random = new SplittableRandom(config.seed());
         Instant startedAt = scheduler.now();
         Admission servers = new Admission(config.descriptors().servers());
-        ServerLink.Common common = new ServerLink.Common(config.settings(), ServerLimits.USUAL, this::controller,
+        ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.USUAL, this::controller,
                 this::isListCurrent, dialer, scheduler, servers,
                 new LinesPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
         controller = new CallController(config.settings(), config.seed(), scheduler,
-                line -> new ServerLink(line, common), cover);
+                line -> new ServerLink(line, context), cover);
         KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
         feed = new BusFeed(config.knownOffset(), dialer, scheduler, random.split(),
                 event -> controller.listed(event.whole(), event.lines()), this::busUnreachable);
