--- a/bench/src/main/java/pathlane/grpc/CallCost.java
+++ b/bench/src/main/java/pathlane/grpc/CallCost.java
@@ -22,7 +22,8 @@
 
 /**
  * What a call costs its client: time and CPU of unary calls over {@code pick_first}, {@code round_robin} and the
- * plug-in, in turns within one run. Every call has a deadline. The two servers are a process of their own, so that CPU is the client's.
+ * plug-in, in turns within one run. Every call has a deadline. The two servers are a process of their own, so that CPU is
+ * the client's.
  */
 public final class CallCost {
 
--- a/bench/src/main/java/pathlane/retry/VainBenchmark.java
+++ b/bench/src/main/java/pathlane/retry/VainBenchmark.java
@@ -62,7 +62,8 @@
     private long next() {
         now += step;
         long key = random.nextLong();
-        last[at = (at + 1) % last.length] = key;
+        at = (at + 1) % last.length;
+        last[at] = key;
         return key;
     }
 
--- a/core/src/main/java/pathlane/config/Settings.java
+++ b/core/src/main/java/pathlane/config/Settings.java
@@ -115,7 +115,7 @@
                 idleClose, mostRetryAfter, coldSenders);
     }
 
-    /** The same for a wire that can't take back what was sent: an attempt ends by its answer, its time-out or its connection. */
+    /** The same for a wire that can't cancel: an attempt ends by its answer, its time-out or its connection. */
     public Settings withoutCancelling() {
         return new Settings(classes, rules, balancers, maxAttempts, tick, repeat, false, mustAsk, ownNumber, dialTimeout,
                 idleClose, mostRetryAfter, coldSenders);
--- a/core/src/test/java/pathlane/decision/MechanismTest.java
+++ b/core/src/test/java/pathlane/decision/MechanismTest.java
@@ -169,7 +169,8 @@
         assertTrue(refusal(() -> Bench.settings(List.of(), 1, 1, 0))
                 .contains("classes"));
         assertTrue(refusal(() -> Bench.cls(0, 1)).contains("aim"));
-        assertTrue(refusal(() -> new Settings.Rules(0.3, Bench.ms(1000), 2, Duration.ZERO, Bench.ms(200))).contains("fall-ms"));
+        assertTrue(
+                refusal(() -> new Settings.Rules(0.3, Bench.ms(1000), 2, Duration.ZERO, Bench.ms(200))).contains("fall-ms"));
     }
 
     private static String refusal(org.junit.jupiter.api.function.Executable settings) {
--- a/core/src/test/java/pathlane/decision/TroubleTest.java
+++ b/core/src/test/java/pathlane/decision/TroubleTest.java
@@ -134,7 +134,8 @@
                 bench.end(bench.sent.get(s), Gateway.Ending.REJECTED);
             }
         }
-        assertTrue(bench.sent.size() <= 8 && bench.sent.size() >= 4, "set-ups in ten seconds of refusals: " + bench.sent.size());
+        assertTrue(bench.sent.size() <= 8 && bench.sent.size() >= 4,
+                "set-ups in ten seconds of refusals: " + bench.sent.size());
     }
 
     /** Before, "no free line" was taken for a jam, and then hundreds a second rushed for single lines. */
--- a/daemon/src/main/java/pathlane/Main.java
+++ b/daemon/src/main/java/pathlane/Main.java
@@ -39,7 +39,8 @@
                 }
                 case "simhost" -> simulate();
                 default -> {
-                    System.err.println("usage: java -jar pathlane.jar serve [--group FILE] | diameter FILE [--group FILE] | simhost");
+                    System.err.println(
+                            "usage: java -jar pathlane.jar serve [--group FILE] | diameter FILE [--group FILE] | simhost");
                     System.exit(2);
                 }
             }
--- a/daemon/src/main/java/pathlane/config/file/NodeConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/NodeConfig.java
@@ -19,7 +19,7 @@
  * @param knownOffset the number of the last event in {@code knownEvents}
  */
 public record NodeConfig(String name, InetSocketAddress listen, long seed, InetSocketAddress bus,
-                         Descriptors descriptors, CallerLimits callers, long knownOffset, JsonArray knownEvents, Settings settings) {
+        Descriptors descriptors, CallerLimits callers, long knownOffset, JsonArray knownEvents, Settings settings) {
 
     private static final int HEX = 16;
     private static final int MOST_PORT = 65_535;
--- a/daemon/src/main/java/pathlane/diameter/ClientPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ClientPeer.java
@@ -231,7 +231,8 @@
                 Avp.of(Avp.AUTH_APPLICATION_ID, DiameterMessage.CREDIT_CONTROL_APPLICATION));
         int flags = DiameterMessage.REQUEST | DiameterMessage.PROXIABLE;
         session.sendRequest(new DiameterMessage(flags, DiameterMessage.ABORT_SESSION,
-                DiameterMessage.CREDIT_CONTROL_APPLICATION, 0, PeerSession.newEndToEnd(scheduler, random), avps), flags, avps);
+                DiameterMessage.CREDIT_CONTROL_APPLICATION, 0, PeerSession.newEndToEnd(scheduler, random), avps), flags,
+                avps);
     }
 
     @Override
--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -1,8 +1,8 @@
 package pathlane.diameter;
 
+import java.io.ByteArrayOutputStream;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/daemon/src/main/java/pathlane/platform/ReportIntervals.java
+++ b/daemon/src/main/java/pathlane/platform/ReportIntervals.java
@@ -8,7 +8,7 @@
 
     private final LinesPeriod period;
     private boolean started;
-    /** When the last report came, or null until the second: the first comes with the connection, at any point of the period. */
+    /** When the last report came, or null until the second: the first comes with the connection, at any time. */
     private Instant lastAt;
     private Duration lastInterval;
 
--- a/daemon/src/main/java/pathlane/platform/ServerLink.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLink.java
@@ -145,7 +145,8 @@
         pool.opened();
         reachability.reached();
         if (context.listCurrent().getAsBoolean() && !pool.isAnyUpBeside(session)) {
-            drainDetector.accepted(context.now());   // nothing could have been reported meanwhile, and a drain would be known
+            // Nothing could have been reported meanwhile, and a drain would be known.
+            drainDetector.accepted(context.now());
         }
     }
 
--- a/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
@@ -39,4 +39,11 @@
     Duration idleTimeout() {
         return settings.idleClose().multipliedBy(IDLE_PERCENT).dividedBy(100);
     }
+
+    /** How long nothing may be received on a connection: two reports are awaited where their period is known. */
+    Duration longestSilence() {
+        Duration twoReports = lines.length().multipliedBy(2).plus(limits.linesVary());
+        boolean isLonger = lines.isSeen() && twoReports.compareTo(limits.silence()) > 0;
+        return isLonger ? twoReports : limits.silence();
+    }
 }
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -131,7 +131,7 @@
         lastReceived = lastUsed;
         link.opened(this);
         idleTimer = scheduler.after(idleTimeout, this::closeIfIdle);
-        silenceTimer = scheduler.after(longestSilence(), this::closeIfSilent);
+        silenceTimer = scheduler.after(context.longestSilence(), this::closeIfSilent);
         LOG.log(Level.INFO, "server {0} at {1} is up", link.name(), up.remote());
         link.sendPending(this);
     }
@@ -142,7 +142,7 @@
         write(bytes);
     }
 
-    /** Withdraws a set-up, or tells the server that it is given up, or breaks the connection off where neither is possible. */
+    /** Withdraws a set-up, or tells the server that it is given up, or breaks the connection off. */
     void giveUp(String call) {
         SentMessage setUp = sent.remove(call);
         Connection.Withdrawal withdrawal = connection.withdraw(setUp.bytes());
@@ -226,22 +226,16 @@
      * its connection stays open. A new connection shows whether it is there.
      */
     private void closeIfSilent() {
-        Duration left = Duration.between(scheduler.now(), lastReceived.plus(longestSilence()));
+        Duration left = Duration.between(scheduler.now(), lastReceived.plus(context.longestSilence()));
         if (left.compareTo(Duration.ZERO) > 0) {
             silenceTimer = scheduler.after(left, this::closeIfSilent);
         } else if (reports.hasStarted() && !link.isDraining()) {
             end(ConnectionEnd.SILENT);
         } else {
-            silenceTimer = scheduler.after(longestSilence(), this::closeIfSilent);
+            silenceTimer = scheduler.after(context.longestSilence(), this::closeIfSilent);
         }
     }
 
-    private Duration longestSilence() {
-        Duration twoReports = context.lines().length().multipliedBy(2).plus(limits.linesVary());
-        boolean isLonger = context.lines().isSeen() && twoReports.compareTo(limits.silence()) > 0;
-        return isLonger ? twoReports : limits.silence();
-    }
-
     /**
      * Guards against a connection on which nothing comes any more though the server works: it takes set-ups in turn, so
      * one that it answered on another connection, sent well after this one, was overtaken by it.
--- a/daemon/src/main/java/pathlane/takeover/GroupFile.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupFile.java
@@ -120,7 +120,8 @@
                 throw wrong("lease.drift", String.valueOf(drift), "a number from 0 to 0.2");
             }
             try {
-                return new LeaseTerms(length, drift == null ? LeaseTerms.USUAL.drift() : ((Number) drift).doubleValue(), lag);
+                return new LeaseTerms(length, drift == null ? LeaseTerms.USUAL.drift() : ((Number) drift).doubleValue(),
+                        lag);
             } catch (IllegalArgumentException e) {
                 throw new IllegalArgumentException(file + ", part lease: " + e.getMessage(), e);
             }
--- a/daemon/src/rehearsal/Rehearsal.java
+++ b/daemon/src/rehearsal/Rehearsal.java
@@ -204,8 +204,9 @@
                     + "\"site\":\"a\",\"class\":\"std\",\"block\":%d,\"health\":\"SERVING\",\"share\":1,\"born_ms\":0}",
                     i + 1, servers.get(i).getLocalPort(), i));
         }
-        return "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:0\",\"limits\":{\"sockets\":512},\"seed\":\"1\",\"bus\":\"127.0.0.1:"
-                + busPort + "\",\"known\":{\"offset\":1,\"batch\":[{\"offset\":1,\"topology\":{\"seq\":1,\"whole\":true,"
+        return "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:0\",\"limits\":{\"sockets\":512},\"seed\":\"1\","
+                + "\"bus\":\"127.0.0.1:" + busPort + "\","
+                + "\"known\":{\"offset\":1,\"batch\":[{\"offset\":1,\"topology\":{\"seq\":1,\"whole\":true,"
                 + "\"hosts\":[" + hosts + "]}}]},\"settings\":{\"balancers\":4,\"tick-ms\":5,\"lanes\":["
                 + "{\"name\":\"status-check\",\"aim-ms\":1500,\"deadline-ms\":9000,\"importance\":1,\"late-value\":0.25},"
                 + "{\"name\":\"deadline-sign\",\"aim-ms\":800,\"deadline-ms\":6000,\"importance\":6,\"late-value\":0.1}],"
--- a/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
+++ b/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
@@ -65,7 +65,7 @@
         play(512, 278);
     }
 
-    /** The bus is not heard: what servers tell of their lines is all that is known of drains, and calls stand all the same. */
+    /** Without the bus, servers' capacity reports are all that is known of drains, and calls stand all the same. */
     @Test
     void withoutTheBus() {
         busBeats = false;
@@ -168,7 +168,8 @@
         return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"2a\",\"bus\":\"127.0.0.1:" + BUS_PORT
                 + "\",\"limits\":{\"sockets\":" + descriptors + ",\"memory_mb\":128},\"peers\":[" + peers
                 + "],\"known\":{\"offset\":1,\"batch\":[{\"topology\":{\"whole\":true,\"hosts\":[" + hosts
-                + "]}}]},\"settings\":{\"balancers\":1024,\"tick-ms\":5,\"lanes\":[{\"name\":\"status-check\",\"aim-ms\":1500,"
+                + "]}}]},\"settings\":{\"balancers\":1024,\"tick-ms\":5,"
+                + "\"lanes\":[{\"name\":\"status-check\",\"aim-ms\":1500,"
                 + "\"deadline-ms\":9000}],\"ceilings\":{\"cancelling\":true,\"max-attempts\":6,\"retry-after\":true,"
                 + "\"max-retry-after-ms\":2000},\"rules\":{\"cold-from\":0.28,\"cold-ms\":13000,\"fall-multiple\":3,"
                 + "\"fall-ms\":1500},\"specifics\":{\"clear-wait-ms\":200,\"t1-ms\":500}}}";
--- a/daemon/src/test/java/pathlane/exchange/Stage.java
+++ b/daemon/src/test/java/pathlane/exchange/Stage.java
@@ -37,19 +37,32 @@
 import pathlane.platform.PlatformFront;
 
 /**
- * Plays one exchange file against a front, in virtual time and without a socket. Lines:
- * {@code open NAME} a caller's connection; {@code accept|refuse|silent PORT} what becomes of a dial, whose connection is
- * then named by the port, or by {@code accept PORT NAME};
- * {@code NAME > bytes} the other side writes; {@code NAME < bytes} the program has written just that next;
- * {@code NAME ends END} the other side ends it; {@code NAME closed END} the program has closed it;
- * {@code udp-PORT < bytes} it has sent just that datagram next;
- * {@code NAME reads nothing} what was not named yet has not left and can be taken back, {@code NAME reads again} it leaves
- * now; {@code NAME holds nothing} all that had not left was taken back; {@code NAME answers watchdogs} as a Diameter peer that is well; {@code no dial PORT}; {@code wait MS};
- * {@code bus PORT} the configuration is read again and names this port; {@code file PORT} its file names this port from
- * now on, or can't be used any more where it is {@code spoilt}, and nobody says so; {@code looked N} so often was the file looked at;
- * {@code adopt CALL SERVER CLIENT bytes} it goes on with a call that another controller set up, {@code owed} it owes its server
- * the end of one; the bytes are what the record tells beside the ids;
- * {@code lag MS} what comes next has waited so long for an own stall. Before each input and wait, all that the program wrote must have been named.
+ * Plays one exchange file against a front, in virtual time and without a socket. Before each input and each wait, all that
+ * the program has written must have been named. The lines of a file:
+ * <ul>
+ * <li>{@code open NAME}: a caller's connection opens
+ * <li>{@code accept|refuse|silent PORT}: what becomes of a dial, whose connection is then named by the port, or by
+ * {@code accept PORT NAME}
+ * <li>{@code NAME > bytes}: the other side writes
+ * <li>{@code NAME < bytes}: the program has written just that next
+ * <li>{@code NAME ends END}: the other side ends the connection
+ * <li>{@code NAME closed END}: the program has closed it
+ * <li>{@code udp-PORT < bytes}: the program has sent just that datagram next
+ * <li>{@code NAME reads nothing}: what was not named yet has not left and can be withdrawn
+ * <li>{@code NAME reads again}: it leaves now
+ * <li>{@code NAME holds nothing}: all that had not left was withdrawn
+ * <li>{@code NAME answers watchdogs}: as a Diameter peer that is well
+ * <li>{@code no dial PORT}: the program has not dialled it
+ * <li>{@code wait MS}: time goes on
+ * <li>{@code bus PORT}: the configuration is read again and names this port
+ * <li>{@code file PORT}: the configuration's file names this port from now on, or can't be used any more where it is
+ * {@code spoilt}, and no signal says so
+ * <li>{@code looked N}: the file was read so often
+ * <li>{@code adopt CALL SERVER CLIENT bytes}: the program goes on with a call that another controller set up; the bytes are
+ * what the record holds beside the ids
+ * <li>{@code owed}: it owes its server the end of one, as above
+ * <li>{@code lag MS}: what comes next has waited so long for a stall of the program
+ * </ul>
  */
 final class Stage implements Scheduler, Dialer, Datagrams {
 
--- a/group/src/test/java/pathlane/group/LeaseExplorationTest.java
+++ b/group/src/test/java/pathlane/group/LeaseExplorationTest.java
@@ -142,7 +142,8 @@
         Register register = RegisterCodec.register(state.register);
         Reply.Granted granted = (Reply.Granted) register.apply(join(i, 2, 0));
         return new State(state.now, RegisterCodec.bytes(register), replace(state.selves, i,
-                new Self(granted.token(), state.now + sureFor(), 2, false, false, Set.of())), state.onTheWay, true, state.noted);
+                new Self(granted.token(), state.now + sureFor(), 2, false, false, Set.of())), state.onTheWay, true,
+                state.noted);
     }
 
     private void claims(State state, Register register, int i, Without without, List<State> next) {
@@ -211,7 +212,8 @@
         Reply.Granted granted = (Reply.Granted) after.apply(join(0, 1, self.token));
         Set<Integer> holds = new TreeSet<>();
         for (int call : self.holds) {
-            Reply.Held held = (Reply.Held) after.apply(new Command.Reclaim(granted.token(), self.token, List.of(SLOTS[call])));
+            Reply.Held held =
+                    (Reply.Held) after.apply(new Command.Reclaim(granted.token(), self.token, List.of(SLOTS[call])));
             if (held.slots().contains(SLOTS[call]) || without == Without.AGREEMENT_ON_TAKING_BACK) {
                 holds.add(call);
             }
@@ -248,7 +250,8 @@
     }
 
     private static State with(State state, int i, Self self) {
-        return new State(state.now, state.register, replace(state.selves, i, self), state.onTheWay, state.started, state.noted);
+        return new State(state.now, state.register, replace(state.selves, i, self), state.onTheWay, state.started,
+                state.noted);
     }
 
     private static List<Self> replace(List<Self> selves, int i, Self self) {
--- a/grpc/src/main/java/pathlane/grpc/PluginCall.java
+++ b/grpc/src/main/java/pathlane/grpc/PluginCall.java
@@ -1,7 +1,7 @@
 package pathlane.grpc;
 
-import com.google.common.hash.Hasher;
 import com.google.common.hash.HashFunction;
+import com.google.common.hash.Hasher;
 import com.google.common.hash.Hashing;
 import com.google.common.io.ByteStreams;
 import io.grpc.Attributes;
--- a/handover/src/main/java/pathlane/handover/Handover.java
+++ b/handover/src/main/java/pathlane/handover/Handover.java
@@ -26,8 +26,8 @@
 import pathlane.group.Register;
 import pathlane.group.RegisterClient;
 import pathlane.group.Registrar;
-import pathlane.group.Seat;
 import pathlane.group.SealedLink;
+import pathlane.group.Seat;
 import pathlane.link.Dialer;
 import pathlane.link.Protocol;
 import pathlane.link.RateLimit;
@@ -163,7 +163,8 @@
 
     /** What there is to see, as a line for the log. */
     public String line() {
-        return "lease=" + seat.token() + " sure=" + seat.isSure() + " covered=" + isCovered() + " members=" + registrar.seen().members().size()
+        return "lease=" + seat.token() + " sure=" + seat.isSure() + " covered=" + isCovered() + " members="
+                + registrar.seen().members().size()
                 + " records=" + ledger.size() + " keeps=" + keeping.size() + " taken_over=" + succession.adopted()
                 + " parked=" + parked.size();
     }
--- a/handover/src/main/java/pathlane/handover/PeerCodec.java
+++ b/handover/src/main/java/pathlane/handover/PeerCodec.java
@@ -96,7 +96,8 @@
     private static PeerMessage read(MessageUnpacker unpacker) throws IOException {
         int kind = unpacker.unpackInt();
         return switch (kind) {
-            case SLOT -> new PeerMessage.Slot(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackInt(), unpacker.unpackLong(),
+            case SLOT -> new PeerMessage.Slot(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackInt(),
+                    unpacker.unpackLong(),
                     records(unpacker));
             case CHANGES -> new PeerMessage.Changes(unpacker.unpackLong(), unpacker.unpackLong(), changes(unpacker));
             case PLACED -> new PeerMessage.Placed(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
--- a/lab/src/main/java/pathlane/lab/FleetConfig.java
+++ b/lab/src/main/java/pathlane/lab/FleetConfig.java
@@ -15,8 +15,8 @@
      * @param serverPort where this controller reaches a server, by its place
      * @param busPort 0 for none
      */
-    public static String text(String name, int listenPort, int servers, IntUnaryOperator serverPort, int busPort, int controllers,
-                       long seed) {
+    public static String text(String name, int listenPort, int servers, IntUnaryOperator serverPort, int busPort,
+            int controllers, long seed) {
         String hosts = IntStream.range(0, servers).mapToObj(place -> String.format("{\"host\":\"s-%08x\","
                 + "\"dial\":\"127.0.0.1:%d\",\"site\":\"here\",\"class\":\"std\",\"block\":%d,\"health\":\"SERVING\","
                 + "\"share\":1,\"born_ms\":0}", place + 1, serverPort.applyAsInt(place), place))
--- a/lab/src/main/java/pathlane/lab/LabMain.java
+++ b/lab/src/main/java/pathlane/lab/LabMain.java
@@ -88,9 +88,9 @@
                 throws IOException, InterruptedException {
             Histogram times = virtual ? VirtualTakeover.owned(controllers, calls, runs)
                     : new ProcessTakeover(home).owned(controllers, calls, runs);
-            System.out.printf("%d controllers, %d calls, %d runs%s: median %d ms, p99 %d ms, most %d ms%n", controllers, calls,
-                    runs, virtual ? " in virtual time" : "", times.getValueAtPercentile(50), times.getValueAtPercentile(99),
-                    times.getMaxValue());
+            System.out.printf("%d controllers, %d calls, %d runs%s: median %d ms, p99 %d ms, most %d ms%n",
+                    controllers, calls, runs, virtual ? " in virtual time" : "",
+                    times.getValueAtPercentile(50), times.getValueAtPercentile(99), times.getMaxValue());
         }
 
         @Command(description = "Seven of ten controllers die: how many calls come to their right end, with takeover and "
--- a/lab/src/main/java/pathlane/lab/ScriptedCaller.java
+++ b/lab/src/main/java/pathlane/lab/ScriptedCaller.java
@@ -67,7 +67,10 @@
         return lines.containsKey(controller) && lines.get(controller).connection != null;
     }
 
-    /** Asks for a call at a controller, at the server in this place of the list. Returns its id, or null where it is not connected. */
+    /**
+     * Asks for a call at a controller, at the server in this place of the list. Returns its id, or null where it is not
+     * connected.
+     */
     public String ask(String controller, int place, String callClass, Duration patience) {
         Line line = lines.get(controller);
         if (line == null || line.connection == null) {
--- a/lab/src/main/java/pathlane/lab/SessionServer.java
+++ b/lab/src/main/java/pathlane/lab/SessionServer.java
@@ -104,7 +104,8 @@
     /** The process dies: its connections are reset, and its calls are cut. */
     public void die() {
         down = true;
-        calls.forEach((id, call) -> history.note(call.stands ? What.ENDED : What.GIVEN_UP, name, "", id, "the process died"));
+        calls.forEach(
+                (id, call) -> history.note(call.stands ? What.ENDED : What.GIVEN_UP, name, "", id, "the process died"));
         calls.clear();
         waiting.clear();
         List.copyOf(lines).forEach(line -> line.connection.close(ConnectionEnd.RESET));
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -16,7 +16,6 @@
 import pathlane.group.Keys;
 import pathlane.group.LeaseTerms;
 import pathlane.group.SealedLink;
-import pathlane.group.Voter;
 import pathlane.handover.Handover;
 import pathlane.handover.Terms;
 import pathlane.link.Dialer;
--- a/lab/src/main/java/pathlane/lab/VirtualTakeover.java
+++ b/lab/src/main/java/pathlane/lab/VirtualTakeover.java
@@ -7,7 +7,7 @@
 import pathlane.group.LeaseTerms;
 import pathlane.lab.VirtualFleet.Controller;
 
-/** Figures of takeover in virtual time, with the real parts: how long a succession takes, and what a group says when idle. */
+/** Figures of takeover in virtual time, with the real parts: how long a succession takes, and what an idle group sends. */
 final class VirtualTakeover {
 
     private static final Duration PATIENCE = Duration.ofSeconds(6);
--- a/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
+++ b/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
@@ -146,7 +146,8 @@
         int from = rig.history().size();
         rig.onLoop(() -> {
             cut.addAll(rig.servers().get("s2").standing());
-            rig.servers().get("s1").standing().forEach(call -> (ended.size() <= released.size() ? ended : released).add(call));
+            rig.servers().get("s1").standing()
+                    .forEach(call -> (ended.size() <= released.size() ? ended : released).add(call));
             ended.forEach(rig.servers().get("s1")::end);
             released.forEach(call -> rig.caller().release(call, "n8"));
             rig.gone("s2");
--- a/lab/src/main/java/pathlane/lab/rig/Rig.java
+++ b/lab/src/main/java/pathlane/lab/rig/Rig.java
@@ -50,9 +50,10 @@
     private static final int GREETING = 4 + 4;
     private static final int GONE = 2;
     private static final Duration REDIAL = Duration.ofMillis(100);
-    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xmx192m",
-            "-Xss512k", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true",
-            "-Dpathlane.log=" + System.getProperty("pathlane.log", "INFO"));
+    private static final List<String> JVM =
+            List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xmx192m",
+                    "-Xss512k", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true",
+                    "-Dpathlane.log=" + System.getProperty("pathlane.log", "INFO"));
 
     private final Shape shape;
     private final Path folder;
--- a/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
+++ b/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
@@ -18,7 +18,6 @@
 import java.util.regex.Pattern;
 import pathlane.lab.Checker;
 import pathlane.lab.History;
-import pathlane.lab.ScriptedCaller;
 import pathlane.lab.SessionServer;
 import pathlane.lab.Witness.What;
 
@@ -76,7 +75,8 @@
                 run.finish();
             } catch (IllegalStateException | IllegalArgumentException e) {
                 run.keepHistory(folder);
-                return Optional.of("step '" + at + "': " + e.getMessage() + run.judged().map(what -> "\n" + what).orElse(""));
+                return Optional
+                        .of("step '" + at + "': " + e.getMessage() + run.judged().map(what -> "\n" + what).orElse(""));
             }
             return run.judged();
         }
--- a/lab/src/test/java/pathlane/lab/Schedule.java
+++ b/lab/src/test/java/pathlane/lab/Schedule.java
@@ -33,13 +33,15 @@
         this.troubles = Integer.getInteger("troubles", 1);
         this.random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + 1);
         this.fleet = new VirtualFleet(new VirtualFleet.Shape(controllers, SERVERS, 3, 2,
-                new LeaseTerms(Duration.ofMillis(1500), 0.02, Duration.ofMillis(50)), Duration.ofMillis(10), Duration.ZERO, 20_000),
+                new LeaseTerms(Duration.ofMillis(1500), 0.02, Duration.ofMillis(50)), Duration.ofMillis(10), Duration.ZERO,
+                20_000),
                 seed);
     }
 
     /** Plays it; empty where all rules were kept. */
     Optional<String> play() {
-        boolean ready = fleet.until(Duration.ofSeconds(10), () -> fleet.up().stream().allMatch(one -> one.handover.isSure()));
+        boolean ready =
+                fleet.until(Duration.ofSeconds(10), () -> fleet.up().stream().allMatch(one -> one.handover.isSure()));
         if (!ready) {
             return Optional.of("the group did not come about");
         }
@@ -236,7 +238,8 @@
 
     private Optional<String> verdict() {
         if (broken == null) {
-            broken = new Checker(fleet.history().events(), true).without(lost).first().map(Checker.Broken::toString).orElse(null);
+            broken = new Checker(fleet.history().events(), true).without(lost).first().map(Checker.Broken::toString)
+                    .orElse(null);
         }
         return Optional.ofNullable(broken).map(what -> what + "\nafter " + did);
     }
--- a/lab/src/test/java/pathlane/lab/TakeoverTest.java
+++ b/lab/src/test/java/pathlane/lab/TakeoverTest.java
@@ -68,7 +68,8 @@
         }
         int standing = fleet.caller().standing().size();
         assertTrue(fleet.until(Duration.ofSeconds(5), () -> fleet.up().stream().allMatch(one -> one.handover.isCovered())));
-        long theirs = fleet.controllers().subList(0, 7).stream().mapToLong(one -> one.front.controller().standingCalls()).sum();
+        long theirs =
+                fleet.controllers().subList(0, 7).stream().mapToLong(one -> one.front.controller().standingCalls()).sum();
         fleet.controllers().subList(0, 7).forEach(VirtualFleet.Controller::kill);
         long before = 0;
         for (int millis = 0; millis < 20_000; millis += 100) {
