--- a/bench/src/main/java/pathlane/grpc/CallCost.java
+++ b/bench/src/main/java/pathlane/grpc/CallCost.java
@@ -84,7 +84,7 @@
         }
         io.grpc.NameResolverRegistry.getDefaultRegistry().register(new FixedResolver("fixed", groups));
         String target = "fixed:///servers";
-        Pathlane pathlane = Pathlane.builder().configuration(Field.SETTINGS).build();
+        Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build();
         List<String> names = List.of("pick_first", "round_robin", "pathlane");
         List<ManagedChannel> channels = List.of(
                 NettyChannelBuilder.forTarget(target).usePlaintext().defaultLoadBalancingPolicy("pick_first").build(),
--- a/bench/src/main/java/pathlane/grpc/WorthKept.java
+++ b/bench/src/main/java/pathlane/grpc/WorthKept.java
@@ -55,33 +55,33 @@
     }
 
     private static Result run(boolean plugin, double load, long seed) {
-        String settings = Field.SETTINGS.replace("\"deadline-ms\": 9000", "\"deadline-ms\": " + CHECK_PATIENCE)
+        String settings = PluginHarness.SETTINGS.replace("\"deadline-ms\": 9000", "\"deadline-ms\": " + CHECK_PATIENCE)
                 .replace("\"deadline-ms\": 6000", "\"deadline-ms\": " + SIGN_PATIENCE);
-        try (Field field = new Field(Pathlane.builder().configuration(settings), "s0", "s1", "s2", "s3")) {
-            ManagedChannel channel = plugin ? field.channel()
-                    : field.keep(field.builder("pool").defaultLoadBalancingPolicy("round_robin").build());
+        try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(settings), "s0", "s1", "s2", "s3")) {
+            ManagedChannel channel = plugin ? harness.channel()
+                    : harness.keep(harness.builder("pool").defaultLoadBalancingPolicy("round_robin").build());
             SplittableRandom random = new SplittableRandom(seed);
             Tally tally = new Tally();
-            field.time.after(Duration.ofSeconds(10), () -> field.processors.get("s0").slow(3));
-            field.time.after(Duration.ofSeconds(25), () -> field.processors.get("s0").slow(1));
-            field.time.after(Duration.ofSeconds(12), () -> {
-                field.processors.get("s3").drain(Duration.ofSeconds(4));
-                field.add("s4").startCold();
-                field.list("s0", "s1", "s2", "s4");
+            harness.time.after(Duration.ofSeconds(10), () -> harness.processors.get("s0").slow(3));
+            harness.time.after(Duration.ofSeconds(25), () -> harness.processors.get("s0").slow(1));
+            harness.time.after(Duration.ofSeconds(12), () -> {
+                harness.processors.get("s3").drain(Duration.ofSeconds(4));
+                harness.add("s4").startCold();
+                harness.list("s0", "s1", "s2", "s4");
             });
             double at = 0;
             int count = 0;
             while (at < SECONDS * 1000) {
                 at += -Math.log(1 - random.nextDouble()) * 1000 / (SERVERS * EACH * load);
-                Caller caller = new Caller(field, channel, tally, "n" + count++, random.nextDouble() < SIGN_SHARE,
+                Caller caller = new Caller(harness, channel, tally, "n" + count++, random.nextDouble() < SIGN_SHARE,
                         random.split());
-                field.time.after(Duration.ofNanos((long) (at * 1e6)), caller::dial);
+                harness.time.after(Duration.ofNanos((long) (at * 1e6)), caller::dial);
             }
-            field.time.pass(Duration.ofSeconds(SECONDS + 30));
-            Processor cold = field.processors.get("s4");
-            long setUps = field.processors.values().stream().mapToLong(Processor::setUps).sum();
+            harness.time.pass(Duration.ofSeconds(SECONDS + 30));
+            Processor cold = harness.processors.get("s4");
+            long setUps = harness.processors.values().stream().mapToLong(Processor::setUps).sum();
             return new Result(tally.earned / tally.offered,
-                    field.processors.values().stream().anyMatch(Processor::fell), cold.mostOfBudget(),
+                    harness.processors.values().stream().anyMatch(Processor::fell), cold.mostOfBudget(),
                     setUps * 100 / count);
         }
     }
@@ -93,7 +93,7 @@
 
     /** One call of a caller who dials again by himself, up to twice. */
     private static final class Caller {
-        private final Field field;
+        private final PluginHarness harness;
         private final ManagedChannel channel;
         private final Tally tally;
         private final String key;
@@ -103,8 +103,9 @@
         private int dials;
         private double earned;
 
-        Caller(Field field, ManagedChannel channel, Tally tally, String key, boolean sign, SplittableRandom random) {
-            this.field = field;
+        Caller(PluginHarness harness, ManagedChannel channel, Tally tally, String key, boolean sign,
+                SplittableRandom random) {
+            this.harness = harness;
             this.channel = channel;
             this.tally = tally;
             this.key = key;
@@ -114,28 +115,29 @@
 
         void dial() {
             if (Double.isNaN(firstAt)) {
-                firstAt = field.time.nowMs();
+                firstAt = harness.time.nowMs();
                 tally.offered += sign ? 6 : 1;
             }
             dials++;
             MethodDescriptor<byte[], byte[]> method = sign ? GrpcFront.SIGN : GrpcFront.CHECK;
-            Field.Heard heard = field.call(channel, method, CallOptions.DEFAULT.withOption(PathlaneOptions.CLASS,
-                    sign ? "deadline-sign" : "status-check"), key);
-            heard.onClose = () -> closed(heard);
-            field.time.after(Duration.ofMillis(sign ? SIGN_PATIENCE : CHECK_PATIENCE), () -> {
-                if (heard.closes == 0 && heard.messages.isEmpty()) {
-                    heard.call.cancel("given up", null);
+            PluginHarness.Response response =
+                    harness.call(channel, method, CallOptions.DEFAULT.withOption(PathlaneOptions.CLASS,
+                            sign ? "deadline-sign" : "status-check"), key);
+            response.onClose = () -> closed(response);
+            harness.time.after(Duration.ofMillis(sign ? SIGN_PATIENCE : CHECK_PATIENCE), () -> {
+                if (response.closes == 0 && response.messages.isEmpty()) {
+                    response.call.cancel("given up", null);
                 }
             });
         }
 
-        private void closed(Field.Heard heard) {
-            if (!heard.messages.isEmpty() && heard.status.isOk()) {
-                double waited = heard.firstAt - firstAt;
+        private void closed(PluginHarness.Response response) {
+            if (!response.messages.isEmpty() && response.status.isOk()) {
+                double waited = response.firstAt - firstAt;
                 earned = waited <= (sign ? 800 : 1500) ? 1 : sign ? 0.1 : 0.25;
                 tally.earned += earned * (sign ? 6 : 1);
-            } else if (heard.messages.isEmpty() && dials <= REDIALS) {
-                field.time.after(Duration.ofMillis(500 + random.nextInt(1000)), this::dial);
+            } else if (response.messages.isEmpty() && dials <= REDIALS) {
+                harness.time.after(Duration.ofMillis(500 + random.nextInt(1000)), this::dial);
             }
         }
     }
--- a/bench/src/main/java/pathlane/retry/VainBenchmark.java
+++ b/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
@@ -24,7 +24,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class VainBenchmark {
+public class FailedTryBenchmark {
 
     private static final double KEEP = 9000;
 
@@ -34,7 +34,7 @@
     @Param({"1024", "16384"})
     public int held;
 
-    private VainIndex index;
+    private FailedTryIndex index;
     private Map<Long, Plain> linked;
     private Map<Long, Plain> scanned;
     private double now;
@@ -46,7 +46,7 @@
     /** Fills each with as many as are held at the steady state. */
     @Setup
     public void fill() {
-        index = new VainIndex(held * 2, KEEP);
+        index = new FailedTryIndex(held * 2, KEEP);
         linked = new LinkedHashMap<>();
         scanned = new HashMap<>();
         random = new SplittableRandom(5);
--- a/core/src/main/java/pathlane/core/CallController.java
+++ b/core/src/main/java/pathlane/core/CallController.java
@@ -41,7 +41,7 @@
     private final Map<String, Call> calls = new HashMap<>();
     private final Map<Long, Server> servers = new TreeMap<>();
     private final Callers callers;
-    private final Cover cover;
+    private final CallReplication replication;
     private final Turns turns;
     private final Departed gone = new Departed();
     private static final byte[] NOTHING = {};
@@ -83,12 +83,13 @@
 
     /** One that is in no group. */
     public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports) {
-        this(settings, seed, scheduler, ports, Cover.NONE);
+        this(settings, seed, scheduler, ports, CallReplication.NONE);
     }
 
-    /** {@code cover} keeps what another controller would need. */
-    public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports, Cover cover) {
-        this.cover = cover;
+    /** {@code replication} keeps what another controller would need. */
+    public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports,
+            CallReplication replication) {
+        this.replication = replication;
         this.callers = new Callers(scheduler);
         this.turns = new Turns(scheduler);
         this.settings = settings.withClearWait(settings.rules().clearWait().plus(CLEAR_MARGIN));
@@ -119,7 +120,7 @@
 
     /** A caller can be reached; what found none to go to goes there. */
     public void callerOpened(CallerPort caller) {
-        callers.opened(caller, cover::over);
+        callers.opened(caller, replication::over);
     }
 
     /** A caller's connection has ended: its open set-ups are given up; calls that stand are tied to none. */
@@ -169,7 +170,7 @@
         callers.held(caller).open++;
         // Guards rule one whatever the module does: at the deadline an open call is answered.
         call.guard = scheduler.after(left, () -> answerOverdue(call));
-        Duration heldBack = cover.heldBack(setUp.id());
+        Duration heldBack = replication.heldBack(setUp.id());
         if (heldBack.isZero()) {
             arrived(call);
         } else {
@@ -221,7 +222,7 @@
     public boolean callerReleased(String id, byte[] content, CallerPort from) {
         Call call = calls.get(id);
         if (call == null) {
-            return !callers.isOver(id) && cover.seesTo(new CallEvent.Released(id, content));
+            return !callers.isOver(id) && replication.seesTo(new CallEvent.Released(id, content));
         }
         if (call.standing ? !from.reaches(call.caller) : call.caller != from) {
             return false;
@@ -236,8 +237,8 @@
 
     private void releaseStanding(Call call, byte[] content) {
         String id = call.asked.id();
-        if (!cover.mayAct(id)) {
-            cover.park(new CallEvent.Released(id, content));
+        if (!replication.mayAct(id)) {
+            replication.park(new CallEvent.Released(id, content));
             return;
         }
         counters.count(Name.RELEASED_BY_CALLER);
@@ -248,12 +249,12 @@
 
     private void releaseAt(Server server, String id, byte[] content) {
         server.port.release(id, Ending.COMPLETED, content);
-        server.port.waiting(id).ifPresent(ending -> cover.owesServer(id, server.line.id(), ending));
+        server.port.waiting(id).ifPresent(ending -> replication.owesServer(id, server.line.id(), ending));
     }
 
     /** A release that waited for a connection to its server has left. */
     public void releaseLeft(String id) {
-        cover.over(id);
+        replication.over(id);
     }
 
     /** Whether a call stands. */
@@ -264,12 +265,12 @@
 
     /** A caller has something for the server of a call that stands; false where it can't be passed on now. */
     public boolean pass(String id, byte[] content) {
-        return stands(id) && cover.mayAct(id) && calls.get(id).server.port.pass(id, content);
+        return stands(id) && replication.mayAct(id) && calls.get(id).server.port.pass(id, content);
     }
 
     /** A server answered what was passed on. */
     public void passedBack(long serverId, String id, byte[] content) {
-        if (stands(id) && calls.get(id).server == servers.get(serverId) && cover.mayAct(id)) {
+        if (stands(id) && calls.get(id).server == servers.get(serverId) && replication.mayAct(id)) {
             calls.get(id).caller.passBack(id, content);
         }
     }
@@ -320,8 +321,8 @@
         held.open--;
         held.standing++;
         held.served = true;
-        cover.stands(id, serverId, call.caller);
-        cover.answer(id, call.asked.callClass(), () -> call.caller.answer(id, description));
+        replication.stands(id, serverId, call.caller);
+        replication.answer(id, call.asked.callClass(), () -> call.caller.answer(id, description));
         double waited = Millis.of(Duration.between(call.sentAt, scheduler.now()));
         turns.tell(at -> module.stands(at, id, call.attempts - 1, serverId, waited));
     }
@@ -332,7 +333,7 @@
         Server server = servers.get(serverId);
         if (call == null) {
             CallEvent.Ended event = new CallEvent.Ended(id, how);
-            if (!callers.isOver(id) && !cover.seesTo(event)) {
+            if (!callers.isOver(id) && !replication.seesTo(event)) {
                 unowned(event);
             }
         } else if (server != null && call.server == server && call.standing) {
@@ -381,7 +382,7 @@
         calls.put(id, call);
         counters.count(Name.ADOPTED);
         CallTrace.step(id, "adopted at {0}", serverId);
-        cover.stands(id, serverId, caller);
+        replication.stands(id, serverId, caller);
         server.port.adopted(id, ending);
         return true;
     }
@@ -426,15 +427,15 @@
     }
 
     /**
-     * All calls that stood at a server are cut: its process is gone or, where that is not {@code sure}, it can't be reached.
+     * All calls that stood at a server are cut: its process is gone or, where that is not certain, can't be reached.
      * Guards calls against standing there for good: they are released should it be reached after all.
      */
-    public void serverDied(long serverId, boolean sure) {
+    public void serverDied(long serverId, boolean isCertain) {
         Server server = servers.get(serverId);
         for (Call call : server == null ? List.<Call>of() : standingAt(server)) {
-            if (sure || cover.mayAct(call.asked.id())) {
+            if (isCertain || replication.mayAct(call.asked.id())) {
                 finishStanding(call, Ending.RESET);
-                if (!sure) {
+                if (!isCertain) {
                     releaseAt(server, call.asked.id(), NOTHING);
                 }
             }
@@ -458,8 +459,8 @@
 
     private void finishStanding(Call call, Ending how) {
         String id = call.asked.id();
-        if (!cover.mayAct(id)) {
-            cover.park(new CallEvent.Ended(id, how));
+        if (!replication.mayAct(id)) {
+            replication.park(new CallEvent.Ended(id, how));
             return;
         }
         counters.count(how == Ending.COMPLETED ? Name.RELEASED_BY_SERVER : Name.CUT);
@@ -470,7 +471,7 @@
 
     private void relay(CallerPort own, String id, Ending how) {
         if (!callers.relay(own, id, how)) {
-            cover.owesCaller(id, own, how);
+            replication.owesCaller(id, own, how);
         }
     }
 
@@ -559,7 +560,8 @@
         }
         if (!closed && !call.standing) {
             Duration wait = Duration.between(scheduler.now(), call.notBefore);
-            cover.attemptOver(call.asked.id(), server.line.id(), wait.isNegative() ? Duration.ZERO : wait, call.caller);
+            replication.attemptOver(call.asked.id(), server.line.id(), wait.isNegative() ? Duration.ZERO : wait,
+                    call.caller);
         }
         double waited = Millis.of(Duration.between(call.sentAt, scheduler.now()));
         int attempt = call.attempts - 1;
@@ -576,7 +578,7 @@
     private void remove(Call call) {
         takeOff(call);
         callers.over(call.asked.id());
-        cover.over(call.asked.id());
+        replication.over(call.asked.id());
     }
 
     private void takeOff(Call call) {
@@ -623,7 +625,7 @@
             patience = patience.compareTo(left) < 0 ? patience : left;
             call.server = server;
             call.sentAt = now;
-            cover.sent(id, serverId, patience, call.caller, () -> server.port.ending(call.asked));
+            replication.sent(id, serverId, patience, call.caller, () -> server.port.ending(call.asked));
             call.patience = scheduler.after(patience, () -> timedOut(call, attempt));
             server.port.setUp(call.asked, patience, call.mayHaveRun);
         }
--- a/core/src/main/java/pathlane/core/Cover.java
+++ b/core/src/main/java/pathlane/core/CallReplication.java
@@ -5,16 +5,16 @@
 import pathlane.decision.Gateway.Ending;
 
 /**
- * What is kept of each call elsewhere, so that another call controller can go on with it, and whether this one may still
- * act on it. Told by {@link CallController} before the bytes that follow from it are written; nothing here waits, and
- * whoever stands behind it does its work after the turn. On the loop's thread.
+ * Replicates the state of each call to other call controllers, so that one of them can go on with it, and says whether this
+ * controller may still act on it. {@link CallController} notifies it before it writes the bytes that follow. No method
+ * blocks: an implementation does its work after the turn. On the loop's thread.
  */
-public interface Cover {
+public interface CallReplication {
 
-    /** No group: nothing is kept, and nobody else acts. */
-    Cover NONE = new Cover() { };
+    /** No group: nothing is replicated, and nobody else acts. */
+    CallReplication NONE = new CallReplication() { };
 
-    /** A set-up is about to leave, and will be waited for so long; {@code ending} tells what ends it beside its id. */
+    /** A set-up is about to be sent and awaited for {@code patience}; {@code ending} has what ends it beside its id. */
     default void sent(String call, long server, Duration patience, CallerPort caller, Supplier<byte[]> ending) { }
 
     /** The attempt is over, and the call stands nowhere; nothing is sent for it before so long. */
@@ -23,12 +23,12 @@
     /** The call stands at a server. */
     default void stands(String call, long server, CallerPort caller) { }
 
-    /** Writes the answer to a call that stands, at once or, for a class that waits for it, once the call is kept. */
+    /** Writes the answer to a call that stands, at once or, for a class that waits for it, once the call is replicated. */
     default void answer(String call, int callClass, Runnable write) {
         write.run();
     }
 
-    /** The end of a call could not be told: no connection reaches its caller now. */
+    /** The end of a call is owed to its caller, whom no connection reaches now. */
     default void owesCaller(String call, CallerPort caller, Ending how) { }
 
     /** The release of a call waits for a connection to its server. */
--- a/core/src/main/java/pathlane/core/Callers.java
+++ b/core/src/main/java/pathlane/core/Callers.java
@@ -40,13 +40,13 @@
     }
 
     /** A caller can be reached; what found none to go to goes there, and {@code told} hears of each. */
-    void opened(CallerPort caller, Consumer<String> told) {
+    void opened(CallerPort caller, Consumer<String> notified) {
         connections.put(caller, new Held());
         unrelayed.entrySet().removeIf(waiting -> {
             boolean reached = caller.reaches(waiting.getValue().own());
             if (reached) {
                 caller.release(waiting.getKey(), waiting.getValue().how());
-                told.accept(waiting.getKey());
+                notified.accept(waiting.getKey());
             }
             return reached;
         });
--- a/core/src/main/java/pathlane/core/Turns.java
+++ b/core/src/main/java/pathlane/core/Turns.java
@@ -19,7 +19,7 @@
     private boolean inModule;
     /** What waits for the module has its turn once the connections have been looked at. */
     private boolean putOff;
-    /** The time of the module's last event: a bell may be rung a grain before its time, and counts as on time. */
+    /** The time of the module's last event: a timer may fire a grain before its time, and counts as on time. */
     private double moduleTime;
 
     Turns(Scheduler scheduler) {
@@ -38,9 +38,9 @@
         handOver();
     }
 
-    /** Rings the module's bell after so long. */
+    /** Fires the module's timer after this delay. */
     void wake(double delayMs, DoubleConsumer bell) {
-        // Guards against a timer that is early by the clock's grain: the module would take it for another bell,
+        // Guards against a timer that is early by the clock's grain: the module would take it for another timer,
         // and wait for one that never comes.
         double due = moduleTime + delayMs;
         scheduler.after(Millis.span(delayMs), () -> tell(at -> {
--- a/core/src/main/java/pathlane/retry/VainIndex.java
+++ b/core/src/main/java/pathlane/retry/FailedTryIndex.java
@@ -14,7 +14,7 @@
  * <p>Where the index is full, the oldest entry is forgotten before its time. {@link #barrier()} then tells until when
  * a key that is <em>not</em> found may still have been one of those: the gap after a lost attempt holds in that case too.
  */
-final class VainIndex {
+final class FailedTryIndex {
 
     /** Not found. */
     static final int NONE = -1;
@@ -44,7 +44,7 @@
      * @param keepMs how long an entry is kept after it was last put, in milliseconds
      * @throws IllegalArgumentException where one of them can't be used
      */
-    VainIndex(int capacity, double keepMs) {
+    FailedTryIndex(int capacity, double keepMs) {
         if (capacity < 1 || capacity > 1 << 24) {
             throw new IllegalArgumentException("an index of " + capacity + " entries: from 1 to 16777216 are possible");
         }
--- a/core/src/main/java/pathlane/retry/RetryGuard.java
+++ b/core/src/main/java/pathlane/retry/RetryGuard.java
@@ -31,7 +31,7 @@
         }
     }
 
-    private final VainIndex vain;
+    private final FailedTryIndex failed;
     private final double gapMs;
     private double lastAt = Double.NEGATIVE_INFINITY;
     private volatile long firstTries;
@@ -50,25 +50,26 @@
         if (gapMs < 0 || gapMs > keepMs) {
             throw new IllegalArgumentException("a gap of " + gapMs + " ms can't be kept by a memory of " + keepMs + " ms");
         }
-        this.vain = new VainIndex(capacity, keepMs);
+        this.failed = new FailedTryIndex(capacity, keepMs);
         this.gapMs = gapMs;
     }
 
     /** Whether anything is remembered; where nothing is, no key needs to be worked out for a call that comes in. */
     public boolean remembersNothing(double now) {
-        return vain.find(0, now) == VainIndex.NONE && vain.size() == 0 && now >= vain.barrier();
+        return failed.find(0, now) == FailedTryIndex.NONE && failed.size() == 0 && now >= failed.barrier();
     }
 
     /** A call comes in, under an id of its own, that is known by its key. */
     public Admission arrived(long key, long id, double now) {
         double at = onward(now);
-        int entry = vain.find(key, at);
-        if (entry == VainIndex.NONE) {
+        int entry = failed.find(key, at);
+        if (entry == FailedTryIndex.NONE) {
             firstTries++;
-            return new Admission(id, at, 0, held(at, vain.barrier()));
+            return new Admission(id, at, 0, held(at, failed.barrier()));
         }
         retries++;
-        return new Admission(vain.first(entry), vain.firstAt(entry), vain.tries(entry), held(at, vain.notBefore(entry)));
+        return new Admission(failed.first(entry), failed.firstAt(entry), failed.tries(entry),
+                held(at, failed.notBefore(entry)));
     }
 
     /** A call comes in while nothing is remembered: a first try, whatever its key. */
@@ -92,12 +93,12 @@
         double at = onward(now);
         double notBefore = Math.max(admission.notBefore(), lostAt.isPresent() ? lostAt.getAsDouble() + gapMs
                 : Double.NEGATIVE_INFINITY);
-        vain.put(key, at, admission.first(), admission.firstAt(), notBefore, admission.tries() + 1);
+        failed.put(key, at, admission.first(), admission.firstAt(), notBefore, admission.tries() + 1);
     }
 
     /** A try's call stood: whoever asks the same from now on asks anew. */
     public void stood(long key) {
-        vain.forget(key);
+        failed.forget(key);
     }
 
     /** Whether an attempt that ended this way has the gap behind it. */
@@ -128,6 +129,6 @@
 
     /** Calls that ended in vain and are remembered now. */
     public int remembered() {
-        return vain.size();
+        return failed.size();
     }
 }
--- a/core/src/test/java/pathlane/decision/ColdFleetTest.java
+++ b/core/src/test/java/pathlane/decision/ColdFleetTest.java
@@ -35,14 +35,14 @@
         private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at)
                 .thenComparingLong(Due::order));
         private final double every;
-        private Bench bench;
+        private LogicHarness harness;
         private long order;
         private int seen;
 
         Sender(int number, long seed) {
             random = new SplittableRandom(seed * 1000 + number);
             every = 1000 * (GATEWAYS - 1 + BUSY) / RATE / (number == 0 ? BUSY : 1);
-            start(0, List.of(Bench.running(1)));
+            start(0, List.of(LogicHarness.running(1)));
             at(random.nextDouble() * every, this::call);
         }
 
@@ -52,45 +52,46 @@
 
         /** A gateway that knows nothing but the list. */
         void start(double now, List<Gateway.Listed> list) {
-            bench = new Bench(Bench.settings(List.of(Bench.cls(1000, 1)), GATEWAYS, 4, 0), random.nextLong());
+            harness = new LogicHarness(LogicHarness.settings(List.of(LogicHarness.cls(1000, 1)), GATEWAYS, 4, 0),
+                    random.nextLong());
             seen = 0;
-            bench.until(now);
-            bench.list(list.toArray(Gateway.Listed[]::new));
+            harness.until(now);
+            harness.list(list.toArray(Gateway.Listed[]::new));
         }
 
         private void call() {
-            bench.call("c" + order, 0, 1 + random.nextInt(2));
-            at(bench.now - every * Math.log(1 - random.nextDouble()), this::call);
+            harness.call("c" + order, 0, 1 + random.nextInt(2));
+            at(harness.now - every * Math.log(1 - random.nextDouble()), this::call);
         }
 
         /** Plays on to a time; what was sent is answered after its work, and kept in {@code sends} if it was to server 2. */
         void play(double until, List<Double> sends) {
             while (true) {
                 double next = due.isEmpty() ? until : Math.min(until, due.peek().at());
-                double bell = bench.bells.stream().mapToDouble(b -> b).min().orElse(Double.MAX_VALUE);
-                double now = Math.min(next, Math.max(bell, bench.now));
-                bench.until(now);
-                for (; seen < bench.sent.size(); seen++) {
-                    Bench.Sent sent = bench.sent.get(seen);
-                    Bench of = bench;
+                double timer = harness.timers.stream().mapToDouble(b -> b).min().orElse(Double.MAX_VALUE);
+                double now = Math.min(next, Math.max(timer, harness.now));
+                harness.until(now);
+                for (; seen < harness.sent.size(); seen++) {
+                    LogicHarness.Sent sent = harness.sent.get(seen);
+                    LogicHarness of = harness;
                     if (sent.server() == 2) {
                         sends.add(sent.at());
                     }
                     boolean breaks = random.nextInt(10) == 0;
                     at(sent.at() + WORK_MS, () -> {
-                        if (of != bench) {
+                        if (of != harness) {
                             return;   // it has restarted
                         }
                         if (breaks) {
-                            bench.end(sent, Gateway.Ending.RESET);
+                            harness.end(sent, Gateway.Ending.RESET);
                         } else {
-                            bench.answer(sent);
+                            harness.answer(sent);
                         }
                     });
                 }
-                if (!due.isEmpty() && due.peek().at() <= bench.now) {
+                if (!due.isEmpty() && due.peek().at() <= harness.now) {
                     due.poll().what().run();
-                } else if (bench.now >= until) {
+                } else if (harness.now >= until) {
                     return;
                 }
             }
@@ -101,15 +102,15 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
     void theFleetKeepsTheRampOfAColdServer(long seed) {
         List<Double> sends = new ArrayList<>();
-        Settings.Rules rules = Bench.rules();
+        Settings.Rules rules = LogicHarness.rules();
         for (int g = 0; g < GATEWAYS; g++) {
             Sender sender = new Sender(g, seed);
             SplittableRandom random = sender.random.split();
             Gateway.Listed cold = new Gateway.Listed(2, 2, Gateway.Mode.RUNNING, WARM_MS, 1);
-            sender.at(WARM_MS + random.nextDouble() * 2000, () -> sender.bench.change(cold));
+            sender.at(WARM_MS + random.nextDouble() * 2000, () -> sender.harness.change(cold));
             if (g % 3 == 1) {
                 double restart = WARM_MS + 2000 + random.nextDouble() * 5000;
-                sender.at(restart, () -> sender.start(restart, List.of(Bench.running(1), cold)));
+                sender.at(restart, () -> sender.start(restart, List.of(LogicHarness.running(1), cold)));
             }
             sender.play(WARM_MS + COLD_MS, sends);
         }
--- a/core/src/test/java/pathlane/decision/Bench.java
+++ b/core/src/test/java/pathlane/decision/LogicHarness.java
@@ -8,7 +8,7 @@
 import pathlane.config.Settings;
 
 /** A hand-driven gateway for the tests: the clock moves when the test says so, and every action is kept. */
-final class Bench implements Gateway.Actions {
+final class LogicHarness implements Gateway.Actions {
 
     record Sent(double at, String call, long server, int attempt) { }
 
@@ -19,17 +19,17 @@
     final List<Sent> sent = new ArrayList<>();
     final List<Final> finals = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    final List<Double> bells = new ArrayList<>();
+    final List<Double> timers = new ArrayList<>();
     final Map<String, Integer> attempts = new LinkedHashMap<>();
     int asked;
     double now;
     final Logic logic;
 
-    Bench(Settings settings) {
+    LogicHarness(Settings settings) {
         this(settings, 7);
     }
 
-    Bench(Settings settings, long seed) {
+    LogicHarness(Settings settings, long seed) {
         logic = new Logic(settings, seed, this);
     }
 
@@ -88,25 +88,25 @@
                 now - s.at, statedWait, null));
     }
 
-    /** Moves the clock on, ringing each bell at its time. */
+    /** Moves the clock on, firing each timer at its time. */
     void until(double time) {
         while (true) {
-            double next = bells.stream().mapToDouble(b -> b).min().orElse(Double.MAX_VALUE);
+            double next = timers.stream().mapToDouble(b -> b).min().orElse(Double.MAX_VALUE);
             if (next > time) {
                 break;
             }
-            bells.remove(next);
+            timers.remove(next);
             now = Math.max(now, next);
             logic.woken(now);
         }
         now = time;
     }
 
-    /** Moves the clock without a bell, as a stalled gateway would; the bells come late, all at once. */
+    /** Moves the clock without a timer, as a stalled gateway would; the timers fire late, all at once. */
     void stallUntil(double time) {
         now = time;
-        int due = (int) bells.stream().filter(b -> b <= time).count();
-        bells.removeIf(b -> b <= time);
+        int due = (int) timers.stream().filter(b -> b <= time).count();
+        timers.removeIf(b -> b <= time);
         for (int i = 0; i < due; i++) {
             logic.woken(now);
         }
@@ -143,7 +143,7 @@
 
     @Override
     public void wakeAfter(double delayMs) {
-        bells.add(now + delayMs);
+        timers.add(now + delayMs);
     }
 
     @Override
--- a/core/src/test/java/pathlane/decision/MechanismTest.java
+++ b/core/src/test/java/pathlane/decision/MechanismTest.java
@@ -53,7 +53,7 @@
 
     @Test
     void fiveDetectionsInARowChangeTheLevel() {
-        Logic.Server server = server(new Bench(Bench.settings(0)));
+        Logic.Server server = server(new LogicHarness(LogicHarness.settings(0)));
         for (int i = 0; i < 4; i++) {
             server.see(0, 2);
         }
@@ -69,8 +69,8 @@
 
     @Test
     void levelOneGapsTheLowestRankedFirstAndOneMoreEachStep() {
-        Bench bench = new Bench(Bench.settings(0));
-        Logic.Server server = server(bench);
+        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
+        Logic.Server server = server(harness);
         server.level = 1;
         server.advance(1000);
         assertArrayEquals(new boolean[] {true, false}, server.gapped);
@@ -82,8 +82,8 @@
 
     @Test
     void levelTwoGapsAllAndLevelZeroLiftsTheDearestFirst() {
-        Bench bench = new Bench(Bench.settings(0));
-        Logic.Server server = server(bench);
+        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
+        Logic.Server server = server(harness);
         server.level = 2;
         server.advance(1000);
         assertArrayEquals(new boolean[] {true, true}, server.gapped);
@@ -96,7 +96,7 @@
 
     @Test
     void floorsKeepTenToFive() {
-        Logic.Server server = server(new Bench(Bench.settings(0)));
+        Logic.Server server = server(new LogicHarness(LogicHarness.settings(0)));
         server.rate = steady(0.03, 0);
         // Half of 0.03 a ms, shared 10 : 5 for the dearer (class 1) and the cheaper.
         assertEquals(0.010, server.floor(1), 1e-9);
@@ -105,44 +105,44 @@
 
     @Test
     void aGapPassesTheFirstCallOnly() {
-        Bench bench = new Bench(Bench.settings(0));
-        Logic.Server server = server(bench);
-        bench.now = 1000;
+        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
+        Logic.Server server = server(harness);
+        harness.now = 1000;
         server.level = 2;
         server.rate = steady(0.03, 1000);
         server.advance(1000);
-        bench.call("a", 0, 1);
-        bench.call("b", 0, 1);
-        assertEquals(1, bench.sent.size(), "the second is held: one each 200 ms");
+        harness.call("a", 0, 1);
+        harness.call("b", 0, 1);
+        assertEquals(1, harness.sent.size(), "the second is held: one each 200 ms");
     }
 
     /** Before, levels hardly ever rose: the test before each send keeps the conditions, so arrivals are
      * tested too. */
     @Test
     void arrivalsThatCouldNotBeAdmittedRaiseTheLevel() {
-        Bench bench = new Bench(Bench.settings(0));
-        Logic.Server server = server(bench);
-        bench.call("slow", 0, 1);
-        bench.until(950);
-        bench.answer(bench.last());
+        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
+        Logic.Server server = server(harness);
+        harness.call("slow", 0, 1);
+        harness.until(950);
+        harness.answer(harness.last());
         for (int i = 0; i < 4; i++) {
-            bench.call("c" + i, 0, 1);
+            harness.call("c" + i, 0, 1);
         }
         assertEquals(0, server.level, "four detections");
-        bench.call("c4", 0, 1);
+        harness.call("c4", 0, 1);
         assertEquals(1, server.level, "1 x 950 is under 1000 but not under 900");
         assertTrue(server.gapped[0] && !server.gapped[1], "the lowest-ranked class first");
     }
 
     @Test
     void firstChoiceWhileGood() {
-        Bench bench = new Bench(Bench.settings(0));
-        bench.list(Bench.running(1), Bench.running(2));
+        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
+        harness.list(LogicHarness.running(1), LogicHarness.running(2));
         for (int i = 0; i < 10; i++) {
-            bench.call("c" + i, 0, 2);
-            assertEquals(2, bench.last().server());
-            bench.until(bench.now + 20);
-            bench.answer(bench.last());
+            harness.call("c" + i, 0, 2);
+            assertEquals(2, harness.last().server());
+            harness.until(harness.now + 20);
+            harness.answer(harness.last());
         }
     }
 
@@ -150,27 +150,28 @@
     void slowFirstChoiceGivesWayToTheDraw() {
         int second = 0;
         for (int seed = 0; seed < 40; seed++) {
-            Bench bench = new Bench(Bench.settings(0), seed);
-            bench.list(Bench.running(1), Bench.running(2));
-            bench.call("a", 0, 1);
-            bench.call("b", 0, 2);
-            bench.until(20);
-            bench.answer(bench.sent.get(1));
-            bench.until(800);
-            bench.answer(bench.sent.get(0));
-            bench.call("c", 0, 1);
-            second += bench.last().server() == 2 ? 1 : 0;
+            LogicHarness harness = new LogicHarness(LogicHarness.settings(0), seed);
+            harness.list(LogicHarness.running(1), LogicHarness.running(2));
+            harness.call("a", 0, 1);
+            harness.call("b", 0, 2);
+            harness.until(20);
+            harness.answer(harness.sent.get(1));
+            harness.until(800);
+            harness.answer(harness.sent.get(0));
+            harness.call("c", 0, 1);
+            second += harness.last().server() == 2 ? 1 : 0;
         }
         assertTrue(second >= 30, "the slow first choice is passed over: " + second + " of 40");
     }
 
     @Test
     void unusableSettingsAreRefusedByName() {
-        assertTrue(refusal(() -> Bench.settings(List.of(), 1, 1, 0))
+        assertTrue(refusal(() -> LogicHarness.settings(List.of(), 1, 1, 0))
                 .contains("classes"));
-        assertTrue(refusal(() -> Bench.cls(0, 1)).contains("aim"));
+        assertTrue(refusal(() -> LogicHarness.cls(0, 1)).contains("aim"));
         assertTrue(
-                refusal(() -> new Settings.Rules(0.3, Bench.ms(1000), 2, Duration.ZERO, Bench.ms(200))).contains("fall-ms"));
+                refusal(() -> new Settings.Rules(0.3, LogicHarness.ms(1000), 2, Duration.ZERO, LogicHarness.ms(200)))
+                        .contains("fall-ms"));
     }
 
     private static String refusal(org.junit.jupiter.api.function.Executable settings) {
@@ -184,8 +185,8 @@
         return rate;
     }
 
-    private static Logic.Server server(Bench bench) {
-        bench.list(Bench.running(1));
-        return bench.logic.servers.get(1L);
+    private static Logic.Server server(LogicHarness harness) {
+        harness.list(LogicHarness.running(1));
+        return harness.logic.servers.get(1L);
     }
 }
--- a/core/src/test/java/pathlane/decision/RulesTest.java
+++ b/core/src/test/java/pathlane/decision/RulesTest.java
@@ -26,10 +26,10 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void everyStreamKeepsTheRules(long seed) {
         Random random = new Random(seed);
-        Bench bench = new Bench(Bench.settings(seed % 2 == 0 ? 500 : 0), seed);
-        bench.list(Bench.running(1), Bench.running(2), Bench.running(3));
+        LogicHarness harness = new LogicHarness(LogicHarness.settings(seed % 2 == 0 ? 500 : 0), seed);
+        harness.list(LogicHarness.running(1), LogicHarness.running(2), LogicHarness.running(3));
         Map<String, Double> deadline = new HashMap<>();
-        Map<String, Bench.Sent> out = new HashMap<>();
+        Map<String, LogicHarness.Sent> out = new HashMap<>();
         Map<String, Double> notBefore = new HashMap<>();
         Map<Long, Double> shutSince = new HashMap<>();
         Set<String> over = new HashSet<>();
@@ -38,12 +38,12 @@
         int seenCancels = 0;
         int number = 0;
         for (double time = 5; time < 20_000; time += 5) {
-            bench.until(time);
+            harness.until(time);
             if (time < 15_000 && random.nextInt(6) == 0) {
                 String id = "c" + number++;
                 double grace = 100 + random.nextInt(3000);
                 deadline.put(id, time + grace);
-                bench.call(id, random.nextInt(2), 1 + random.nextInt(3), grace);
+                harness.call(id, random.nextInt(2), 1 + random.nextInt(3), grace);
             }
             if (random.nextInt(300) == 0) {
                 long server = 1 + random.nextInt(3);
@@ -51,28 +51,28 @@
                 if (!opens) {
                     shutSince.put(server, time);
                 }
-                bench.change(new Gateway.Listed(server, (int) server,
+                harness.change(new Gateway.Listed(server, (int) server,
                         opens ? Gateway.Mode.RUNNING : random.nextBoolean() ? Gateway.Mode.DRAINING
                                 : Gateway.Mode.GONE, opens ? time : 0, 1));
             }
-            for (Bench.Sent s : new ArrayList<>(out.values())) {
+            for (LogicHarness.Sent s : new ArrayList<>(out.values())) {
                 boolean late = time >= deadline.get(s.call());
                 if (late || random.nextInt(40) == 0) {
                     out.remove(s.call());
                     if (!late && random.nextInt(6) > 0) {
                         over.add(s.call());
-                        bench.answer(s);
+                        harness.answer(s);
                     } else {
                         Gateway.Ending how = late ? Gateway.Ending.TIMED_OUT : BAD[random.nextInt(BAD.length)];
                         if (how == Gateway.Ending.RESET || how == Gateway.Ending.TIMED_OUT) {
                             notBefore.put(s.call(), time + 200);
                         }
-                        bench.end(s, how, how == Gateway.Ending.REJECTED ? random.nextInt(400) : 0);
+                        harness.end(s, how, how == Gateway.Ending.REJECTED ? random.nextInt(400) : 0);
                     }
                 }
             }
-            for (; seenSends < bench.sent.size(); seenSends++) {
-                Bench.Sent s = bench.sent.get(seenSends);
+            for (; seenSends < harness.sent.size(); seenSends++) {
+                LogicHarness.Sent s = harness.sent.get(seenSends);
                 assertFalse(over.contains(s.call()), "sent after its end: " + s);
                 assertTrue(out.put(s.call(), s) == null, "two attempts out: " + s);
                 assertTrue(s.at() >= notBefore.getOrDefault(s.call(), 0.0), "release not awaited: " + s);
@@ -80,21 +80,21 @@
                 assertFalse(shutSince.containsKey(s.server()) && s.at() > shutSince.get(s.server()),
                         "sent to a draining or gone server: " + s);
             }
-            for (; seenFinals < bench.finals.size(); seenFinals++) {
-                Bench.Final f = bench.finals.get(seenFinals);
+            for (; seenFinals < harness.finals.size(); seenFinals++) {
+                LogicHarness.Final f = harness.finals.get(seenFinals);
                 assertTrue(over.add(f.call()), "two final answers: " + f);
                 assertFalse(out.containsKey(f.call()), "answered with an attempt out: " + f);
                 assertTrue(f.at() <= deadline.get(f.call()) + 20, "answered late: " + f);
             }
-            for (; seenCancels < bench.cancelled.size(); seenCancels++) {
-                Bench.Sent s = out.remove(bench.cancelled.get(seenCancels));
+            for (; seenCancels < harness.cancelled.size(); seenCancels++) {
+                LogicHarness.Sent s = out.remove(harness.cancelled.get(seenCancels));
                 if (s != null) {
                     notBefore.put(s.call(), time + 200);
-                    bench.end(s, Gateway.Ending.CANCELLED);
+                    harness.end(s, Gateway.Ending.CANCELLED);
                 }
             }
         }
-        assertTrue(bench.sent.size() > 40, "the stream was played: " + bench.sent.size());
+        assertTrue(harness.sent.size() > 40, "the stream was played: " + harness.sent.size());
         List<String> unanswered = deadline.keySet().stream().filter(id -> !over.contains(id)).sorted().toList();
         assertEquals(List.of(), unanswered);
     }
@@ -107,24 +107,24 @@
         // together.
         List<Double> sends = new ArrayList<>();
         for (int g = 0; g < balancers; g++) {
-            Settings settings = Bench.settings(List.of(Bench.cls(1000, 1)), balancers, 4, 0);
-            Bench bench = new Bench(settings, 100 + g);
-            bench.list(Bench.running(1));
+            Settings settings = LogicHarness.settings(List.of(LogicHarness.cls(1000, 1)), balancers, 4, 0);
+            LogicHarness harness = new LogicHarness(settings, 100 + g);
+            harness.list(LogicHarness.running(1));
             for (int i = 0; i < 400; i++) {
-                bench.until(g + i * 25.0 * balancers);
-                bench.call("w" + i, 0, 1);
-                bench.until(bench.now + 10);
-                if (bench.last().call().equals("w" + i)) {
-                    bench.answer(bench.last());
+                harness.until(g + i * 25.0 * balancers);
+                harness.call("w" + i, 0, 1);
+                harness.until(harness.now + 10);
+                if (harness.last().call().equals("w" + i)) {
+                    harness.answer(harness.last());
                 }
             }
-            double from = bench.now;
-            bench.list(new Gateway.Listed(2, 2, Gateway.Mode.RUNNING, from, 1));
+            double from = harness.now;
+            harness.list(new Gateway.Listed(2, 2, Gateway.Mode.RUNNING, from, 1));
             for (int i = 0; i < 200; i++) {
-                bench.until(from + i * 50.0);
-                bench.call("c" + i, 0, 2);
+                harness.until(from + i * 50.0);
+                harness.call("c" + i, 0, 2);
             }
-            bench.sent.stream().filter(s -> s.server() == 2).forEach(s -> sends.add(s.at() - from));
+            harness.sent.stream().filter(s -> s.server() == 2).forEach(s -> sends.add(s.at() - from));
         }
         assertFalse(sends.isEmpty());
         for (double start : sends) {
--- a/core/src/test/java/pathlane/decision/SizeTest.java
+++ b/core/src/test/java/pathlane/decision/SizeTest.java
@@ -14,10 +14,10 @@
 
     private static final int MANY = 250;
 
-    private final Bench bench = new Bench(Bench.settings(500));
+    private final LogicHarness harness = new LogicHarness(LogicHarness.settings(500));
 
     private static Settings many() {
-        return Bench.settings(List.of(Bench.cls(1000, 1), Bench.cls(2000, 3)), MANY, 4, 500);
+        return LogicHarness.settings(List.of(LogicHarness.cls(1000, 1), LogicHarness.cls(2000, 3)), MANY, 4, 500);
     }
 
     private static Gateway.Report lines(double free, double all) {
@@ -27,18 +27,18 @@
     /** Before, each gateway sent a jammed server a lone set-up as often as one was answered: hundreds together. */
     @Test
     void aLateLoneSetUpPacesAServerThatThisGatewaySeldomUses() {
-        bench.list(Bench.running(1));
+        harness.list(LogicHarness.running(1));
         double last = Double.NEGATIVE_INFINITY;
         List<Double> gaps = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            int before = bench.sent.size();
-            bench.until(i * 2000.0);
-            bench.call("c" + i, 0, 1);
-            if (bench.sent.size() > before) {
-                gaps.add(bench.now - last);
-                last = bench.now;
-                bench.until(bench.now + 1500);
-                bench.answer(bench.last());
+            int before = harness.sent.size();
+            harness.until(i * 2000.0);
+            harness.call("c" + i, 0, 1);
+            if (harness.sent.size() > before) {
+                gaps.add(harness.now - last);
+                last = harness.now;
+                harness.until(harness.now + 1500);
+                harness.answer(harness.last());
             }
         }
         assertTrue(gaps.size() >= 3, "tried again at times: " + gaps);
@@ -48,16 +48,16 @@
     /** Where calls are many the conditions see enough, and no pace holds a server that is well again. */
     @Test
     void noPaceWhereCallsAreMany() {
-        bench.list(Bench.running(1));
+        harness.list(LogicHarness.running(1));
         for (int i = 0; i < 100; i++) {
-            bench.until(i * 20.0);
-            bench.call("c" + i, 0, 1);
+            harness.until(i * 20.0);
+            harness.call("c" + i, 0, 1);
         }
-        bench.until(2000);
-        for (Bench.Sent s : List.copyOf(bench.sent)) {
-            bench.answer(s);
+        harness.until(2000);
+        for (LogicHarness.Sent s : List.copyOf(harness.sent)) {
+            harness.answer(s);
         }
-        assertEquals(0, bench.logic.servers.get(1L).pace);
+        assertEquals(0, harness.logic.servers.get(1L).pace);
     }
 
     /** Before, the overflow of large servers was drawn evenly and jammed the small ones. */
@@ -65,8 +65,8 @@
     void theLinesOfAServerWeighTheDraw() {
         int large = 0;
         for (int seed = 0; seed < 200; seed++) {
-            Bench one = new Bench(Bench.settings(0), seed);
-            one.list(Bench.running(1), Bench.running(2));
+            LogicHarness one = new LogicHarness(LogicHarness.settings(0), seed);
+            one.list(LogicHarness.running(1), LogicHarness.running(2));
             one.logic.reported(0, 1, lines(100, 100));
             one.logic.reported(0, 2, lines(900, 900));
             one.call("a", 0, 3);
@@ -78,13 +78,13 @@
     /** Before, what was told of free lines was taken for stale before it was told again. */
     @Test
     void toldLinesStayInForceUntilToldAgain() {
-        bench.list(Bench.running(1));
-        bench.logic.reported(0, 1, lines(0, 500));
-        bench.until(2000);
-        bench.call("a", 0, 1);
-        assertTrue(bench.sent.isEmpty(), "no line is free");
-        bench.logic.reported(bench.now, 1, lines(400, 500));
-        assertEquals("a", bench.last().call());
+        harness.list(LogicHarness.running(1));
+        harness.logic.reported(0, 1, lines(0, 500));
+        harness.until(2000);
+        harness.call("a", 0, 1);
+        assertTrue(harness.sent.isEmpty(), "no line is free");
+        harness.logic.reported(harness.now, 1, lines(400, 500));
+        assertEquals("a", harness.last().call());
     }
 
     /** A few free lines told to all are shared out by chance: about as many gateways send as lines are free. */
@@ -92,8 +92,8 @@
     void allGatewaysTogetherTakeTheToldLines() {
         int sent = 0;
         for (int g = 0; g < MANY; g++) {
-            Bench one = new Bench(many(), g);
-            one.list(Bench.running(1));
+            LogicHarness one = new LogicHarness(many(), g);
+            one.list(LogicHarness.running(1));
             one.logic.reported(0, 1, lines(25, 500));
             one.call("a", 0, 9);
             one.call("b", 0, 9);
@@ -105,44 +105,44 @@
     /** Before, a region that restarted got four times what it could do until the list told it. */
     @Test
     void allOwnCallsCutMeanAColdStart() {
-        bench.list(Bench.running(1));
-        bench.call("a", 0, 1);
-        bench.until(30);
-        bench.answer(bench.last());
-        assertFalse(bench.logic.servers.get(1L).cold(bench.now));
-        bench.end(bench.last(), Gateway.Ending.RESET);
-        assertTrue(bench.logic.servers.get(1L).cold(bench.now));
+        harness.list(LogicHarness.running(1));
+        harness.call("a", 0, 1);
+        harness.until(30);
+        harness.answer(harness.last());
+        assertFalse(harness.logic.servers.get(1L).cold(harness.now));
+        harness.end(harness.last(), Gateway.Ending.RESET);
+        assertTrue(harness.logic.servers.get(1L).cold(harness.now));
     }
 
     /** Before, each answer lost on the way barred its server until the caller had gone. */
     @Test
     void lostAnswersDoNotBarTheirServer() {
-        bench.list(Bench.running(1));
-        bench.call("lost", 0, 1);
-        bench.until(100);
-        bench.logic.left(bench.now, "lost");
-        bench.end(bench.sent.get(0), Gateway.Ending.CANCELLED);
-        bench.call("b", 0, 1);
-        bench.until(130);
-        bench.answer(bench.last());
-        bench.call("lost too", 0, 1);
-        bench.until(2000);
+        harness.list(LogicHarness.running(1));
+        harness.call("lost", 0, 1);
+        harness.until(100);
+        harness.logic.left(harness.now, "lost");
+        harness.end(harness.sent.get(0), Gateway.Ending.CANCELLED);
+        harness.call("b", 0, 1);
+        harness.until(130);
+        harness.answer(harness.last());
+        harness.call("lost too", 0, 1);
+        harness.until(2000);
         for (int i = 0; i < 30; i++) {
-            bench.until(bench.now + 500);
-            bench.call("c" + i, 0, 1);
+            harness.until(harness.now + 500);
+            harness.call("c" + i, 0, 1);
         }
-        assertTrue(bench.sent.size() > 3, "sent on while one was out");
+        assertTrue(harness.sent.size() > 3, "sent on while one was out");
     }
 
     /** Before, calls that an own stall had held up past their aim were sent before fresh ones. */
     @Test
     void afterAStallThoseStillInTimeGoFirst() {
-        bench.call("usual", 0, 1);
-        bench.stallUntil(1900);
-        bench.call("old", 0, 1, Bench.GRACE - 1800);
-        bench.call("young", 0, 1, Bench.GRACE - 100);
-        bench.list(Bench.running(1));
-        assertEquals("young", bench.sent.get(0).call());
+        harness.call("usual", 0, 1);
+        harness.stallUntil(1900);
+        harness.call("old", 0, 1, LogicHarness.GRACE - 1800);
+        harness.call("young", 0, 1, LogicHarness.GRACE - 100);
+        harness.list(LogicHarness.running(1));
+        assertEquals("young", harness.sent.get(0).call());
     }
 
     /** Hundreds of gateways, a list of servers all started at once, two seconds of events at one time. */
@@ -154,13 +154,13 @@
         }
         int sent = 0;
         for (int g = 0; g < MANY; g++) {
-            Bench one = new Bench(many(), g);
+            LogicHarness one = new LogicHarness(many(), g);
             one.until(1000);
             one.list(cold.toArray(Gateway.Listed[]::new));
             one.call("first", 0, 1);
             one.stallUntil(3000);
             for (int i = 0; i < 20; i++) {
-                one.call("c" + i, i % 2, i % 12, Bench.GRACE - 100 * i);
+                one.call("c" + i, i % 2, i % 12, LogicHarness.GRACE - 100 * i);
             }
             int late = one.sent.size();
             for (int i = 0; i < late; i++) {
@@ -168,9 +168,9 @@
             }
             one.until(9000);
             sent += late;
-            long ended = one.finals.stream().map(Bench.Final::call).distinct().count();
+            long ended = one.finals.stream().map(LogicHarness.Final::call).distinct().count();
             assertEquals(one.finals.size(), ended, "one final answer each");
-            assertTrue(one.finals.stream().allMatch(f -> f.at() <= 3000 + Bench.GRACE), "in time");
+            assertTrue(one.finals.stream().allMatch(f -> f.at() <= 3000 + LogicHarness.GRACE), "in time");
         }
         assertTrue(sent <= MANY, "no gateway knows yet what a server can do: " + sent);
     }
--- a/daemon/src/main/java/pathlane/Main.java
+++ b/daemon/src/main/java/pathlane/Main.java
@@ -32,10 +32,10 @@
         String what = own == 2 ? args[0] + " FILE" : own == 1 ? args[0] : "";
         try {
             switch (group.isPresent() && what.equals("simhost") ? "" : what) {
-                case "serve" -> serve(group, HangUp.minded());
+                case "serve" -> serve(group, SighupHandler.install());
                 case "diameter FILE" -> {
                     logPlainly();
-                    Node.startDiameter(Path.of(args[1]), group, HangUp.minded());
+                    Node.startDiameter(Path.of(args[1]), group, SighupHandler.install());
                 }
                 case "simhost" -> simulate();
                 default -> {
@@ -63,13 +63,13 @@
         }
     }
 
-    private static void serve(Optional<Path> group, HangUp hangUp) {
+    private static void serve(Optional<Path> group, SighupHandler sighup) {
         logPlainly();
         String file = System.getenv("RELAY_CONFIG");
         if (file == null) {
             throw new IllegalArgumentException("RELAY_CONFIG does not name a configuration");
         }
-        Node.startPlatform(Path.of(file), group, hangUp);
+        Node.startPlatform(Path.of(file), group, sighup);
     }
 
     private static void simulate() throws IOException {
--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -22,8 +22,8 @@
 import pathlane.config.file.DiameterConfig;
 import pathlane.config.file.NodeConfig;
 import pathlane.core.CallController;
+import pathlane.core.CallReplication;
 import pathlane.core.Counters;
-import pathlane.core.Cover;
 import pathlane.diameter.DiameterFront;
 import pathlane.link.Protocol;
 import pathlane.metrics.CollectdReporter;
@@ -62,28 +62,28 @@
     private volatile boolean listens;
 
     /** Starts a call controller on the platform; it serves until the process is asked to end. */
-    static void startPlatform(Path file, Optional<Path> groupFile, HangUp hangUp) {
+    static void startPlatform(Path file, Optional<Path> groupFile, SighupHandler sighup) {
         ConfigFile configFile = new ConfigFile(file);
         NodeConfig config = configFile.read();
         Node node = new Node();
-        node.serve(config.name(), config.listen(), hangUp, () -> {
+        node.serve(config.name(), config.listen(), sighup, () -> {
             Optional<GroupNode> group = node.group(groupFile, config.name(), config.settings());
             PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.ending,
-                    configFile::readIfChanged, cover(group));
+                    configFile::readIfChanged, replication(group));
             return new Front(platform.controller(), platform::accept, config.callers(), () -> { },
                     () -> platform.reload(configFile.read()), platform.current(), group);
         });
     }
 
     /** Starts a call controller for Diameter peers; it serves until the process is asked to end. */
-    static void startDiameter(Path file, Optional<Path> groupFile, HangUp hangUp) {
+    static void startDiameter(Path file, Optional<Path> groupFile, SighupHandler sighup) {
         DiameterConfig config = DiameterConfig.read(file);
         Node node = new Node();
         SplittableRandom random = new SplittableRandom();
-        node.serve(config.host(), config.listen(), hangUp, () -> {
+        node.serve(config.host(), config.listen(), sighup, () -> {
             Optional<GroupNode> group = node.group(groupFile, config.host(), config.settings());
             DiameterFront diameter = new DiameterFront(config, random.nextLong(), node.network, node.loop, random,
-                    cover(group));
+                    replication(group));
             if (config.graphite() != null) {
                 new GraphiteReporter(config.graphite(), diameter.controller().counters(), node.network, node.loop)
                         .start();
@@ -104,11 +104,11 @@
         return file.map(path -> new GroupNode(GroupFile.read(path), name, settings, network, loop));
     }
 
-    private static Cover cover(Optional<GroupNode> group) {
-        return group.isPresent() ? group.get().cover() : Cover.NONE;
+    private static CallReplication replication(Optional<GroupNode> group) {
+        return group.isPresent() ? group.get().replication() : CallReplication.NONE;
     }
 
-    private void serve(String name, InetSocketAddress listen, HangUp hangUp, Supplier<Front> build) {
+    private void serve(String name, InetSocketAddress listen, SighupHandler sighup, Supplier<Front> build) {
         Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
         CompletableFuture<Front> built = new CompletableFuture<>();
         loop.execute(() -> {
@@ -136,9 +136,9 @@
             loop.close();
             throw new IllegalArgumentException(e.getMessage(), e);
         }
-        hangUp.does(() -> loop.execute(this::reload));
+        sighup.onSignal(() -> loop.execute(this::reload));
         LOG.log(Level.INFO, "call controller {0} serves on {1}", name, bound);
-        if (hangUp.isUnheard()) {
+        if (sighup.isIgnored()) {
             LOG.log(Level.WARNING, "SIGHUP was ignored when the program was started: it asks for no reload here");
         }
     }
@@ -190,10 +190,10 @@
      */
     private void endWhenAnswered(Instant until, Instant checkedBefore, long cameBefore) {
         Instant now = loop.now();
-        long came = network.accepted() + front.controller().counters().value(Counters.Name.SET_UPS);
-        boolean quiet = came == cameBefore && !checkedBefore.isBefore(until) || now.isAfter(until.plus(COMING_MOST));
+        long accepted = network.accepted() + front.controller().counters().value(Counters.Name.SET_UPS);
+        boolean quiet = accepted == cameBefore && !checkedBefore.isBefore(until) || now.isAfter(until.plus(COMING_MOST));
         if (front.controller().openCalls() > 0 || !quiet) {
-            loop.after(END_CHECK, () -> endWhenAnswered(until, now, came));
+            loop.after(END_CHECK, () -> endWhenAnswered(until, now, accepted));
         } else {
             front.group().ifPresentOrElse(group -> group.leave(this::part), this::part);
         }
--- a/daemon/src/main/java/pathlane/diameter/ClientPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ClientPeer.java
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void heard(boolean watchdogAnswer) {
+    public void messageReceived(boolean watchdogAnswer) {
         watchdog.received(watchdogAnswer);
     }
 
--- a/daemon/src/main/java/pathlane/diameter/DiameterFront.java
+++ b/daemon/src/main/java/pathlane/diameter/DiameterFront.java
@@ -8,7 +8,7 @@
 import java.util.random.RandomGenerator;
 import pathlane.config.file.DiameterConfig;
 import pathlane.core.CallController;
-import pathlane.core.Cover;
+import pathlane.core.CallReplication;
 import pathlane.core.Scheduler;
 import pathlane.core.ServerLine;
 import pathlane.decision.Gateway.Mode;
@@ -30,12 +30,12 @@
     /** In no group. */
     public DiameterFront(DiameterConfig config, long seed, Dialer dialer, Scheduler scheduler,
                          RandomGenerator random) {
-        this(config, seed, dialer, scheduler, random, Cover.NONE);
+        this(config, seed, dialer, scheduler, random, CallReplication.NONE);
     }
 
-    /** {@code cover} keeps calls elsewhere. */
+    /** {@code replication} keeps records of calls elsewhere. */
     public DiameterFront(DiameterConfig config, long seed, Dialer dialer, Scheduler scheduler,
-                         RandomGenerator random, Cover cover) {
+                         RandomGenerator random, CallReplication replication) {
         this.config = config;
         this.scheduler = scheduler;
         this.random = random;
@@ -48,7 +48,7 @@
                     random, available -> list(peer, available));
             servers.put(line.id(), port);
             return port;
-        }, cover);
+        }, replication);
         controller.listed(true, config.peers().stream().map(peer -> line(peer, false)).toList());
     }
 
--- a/daemon/src/main/java/pathlane/diameter/PeerSession.java
+++ b/daemon/src/main/java/pathlane/diameter/PeerSession.java
@@ -36,7 +36,7 @@
         void answer(PeerSession session, DiameterMessage answer);
 
         /** A sign of life; {@code watchdog} where it is the answer to a watchdog. */
-        void heard(boolean watchdog);
+        void messageReceived(boolean watchdog);
 
         void closed(PeerSession session, ConnectionEnd end);
     }
@@ -163,7 +163,7 @@
             connection.close(ConnectionEnd.BAD_INPUT);
             return;
         }
-        handler.heard(false);
+        handler.messageReceived(false);
         switch (request.command()) {
             case DiameterMessage.CAPABILITIES_EXCHANGE -> capabilitiesAsked(request);
             case DiameterMessage.DEVICE_WATCHDOG -> send(request.answer(ResultCode.SUCCESS, local, List.of()));
@@ -229,7 +229,7 @@
             }
             return;
         }
-        handler.heard(answer.command() == DiameterMessage.DEVICE_WATCHDOG);
+        handler.messageReceived(answer.command() == DiameterMessage.DEVICE_WATCHDOG);
         if (answer.command() == DiameterMessage.CREDIT_CONTROL) {
             handler.answer(this, answer);
         } else if (answer.command() == DiameterMessage.DISCONNECT_PEER) {
--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public void heard(boolean watchdogAnswer) {
+    public void messageReceived(boolean watchdogAnswer) {
         watchdog.received(watchdogAnswer);
     }
 
--- a/daemon/src/main/java/pathlane/platform/CallerSession.java
+++ b/daemon/src/main/java/pathlane/platform/CallerSession.java
@@ -152,7 +152,7 @@
             unfinished.stop();
             idle.cancel();
             controller.callerClosed(this);
-            connection.unsent().forEach(this::unheard);
+            connection.unsent().forEach(this::undelivered);
         }
     }
 
@@ -160,7 +160,7 @@
      * Guards calls against the close of a connection that was read just after something was written there: the end of a
      * call that stood is told on another connection, and a call whose answer never left stands for nobody.
      */
-    private void unheard(byte[] written) {
+    private void undelivered(byte[] written) {
         Message message = Message.read(ByteBuffer.wrap(written, Message.LENGTH_BYTES,
                 written.length - Message.LENGTH_BYTES));
         if (message.type == Message.ANSWER) {
--- a/daemon/src/main/java/pathlane/platform/DrainDetector.java
+++ b/daemon/src/main/java/pathlane/platform/DrainDetector.java
@@ -32,7 +32,7 @@
 
     /** Whether the server, with connections up, has been without a capacity report for so long that it may be draining. */
     boolean mayBeDraining() {
-        Duration period = context.lines().length();
+        Duration period = context.reportPeriod().length();
         Duration allowed = context.listCurrent().getAsBoolean()
                 ? period.multipliedBy(3).dividedBy(2)
                 : period.plus(context.limits().linesVary());
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -13,7 +13,7 @@
 import pathlane.config.file.NodeConfig;
 import pathlane.config.file.ServerLimits;
 import pathlane.core.CallController;
-import pathlane.core.Cover;
+import pathlane.core.CallReplication;
 import pathlane.core.Scheduler;
 import pathlane.link.Admission;
 import pathlane.link.Dialer;
@@ -42,12 +42,12 @@
      */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
                          Supplier<Optional<NodeConfig>> changed) {
-        this(config, dialer, scheduler, ready, changed, Cover.NONE);
+        this(config, dialer, scheduler, ready, changed, CallReplication.NONE);
     }
 
     /** The same with what keeps calls elsewhere. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
-                         Supplier<Optional<NodeConfig>> changed, Cover cover) {
+                         Supplier<Optional<NodeConfig>> changed, CallReplication replication) {
         this.ready = ready;
         this.changed = changed;
         this.limits = config.callers();
@@ -58,9 +58,9 @@
         Admission servers = new Admission(config.descriptors().servers());
         ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.USUAL, this::controller,
                 this::isListCurrent, dialer, scheduler, servers,
-                new LinesPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
+                new ReportPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
         controller = new CallController(config.settings(), config.seed(), scheduler,
-                line -> new ServerLink(line, context), cover);
+                line -> new ServerLink(line, context), replication);
         KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
         feed = new BusFeed(config.knownOffset(), dialer, scheduler, random.split(),
                 event -> controller.listed(event.whole(), event.lines()), this::busUnreachable);
--- a/daemon/src/main/java/pathlane/platform/Reachability.java
+++ b/daemon/src/main/java/pathlane/platform/Reachability.java
@@ -67,9 +67,9 @@
         if (end == ConnectionEnd.DIAL_TIMED_OUT) {
             failedDials++;
         }
-        boolean sure = end.provesProcessGone() && (!draining || leftByServer);
-        if (sure || failedDials >= MOST_FAILED_DIALS) {
-            context.controller().get().serverDied(server, sure);
+        boolean isCertain = end.provesProcessGone() && (!draining || leftByServer);
+        if (isCertain || failedDials >= MOST_FAILED_DIALS) {
+            context.controller().get().serverDied(server, isCertain);
         }
     }
 
--- a/daemon/src/main/java/pathlane/platform/ReportIntervals.java
+++ b/daemon/src/main/java/pathlane/platform/ReportIntervals.java
@@ -6,13 +6,13 @@
 /** Measures the intervals between the capacity reports on one connection and adds them to what is known of all servers. */
 final class ReportIntervals {
 
-    private final LinesPeriod period;
+    private final ReportPeriod period;
     private boolean started;
     /** When the last report came, or null until the second: the first comes with the connection, at any time. */
     private Instant lastAt;
     private Duration lastInterval;
 
-    ReportIntervals(LinesPeriod period) {
+    ReportIntervals(ReportPeriod period) {
         this.period = period;
     }
 
@@ -20,7 +20,7 @@
     void reported(Instant now) {
         if (lastAt != null) {
             Duration interval = Duration.between(lastAt, now);
-            period.told(interval, lastInterval);
+            period.reported(interval, lastInterval);
             lastInterval = interval;
         }
         lastAt = started ? now : null;
--- a/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
@@ -20,13 +20,13 @@
  * @param controller supplied late, since the controller creates its links itself
  * @param listCurrent whether the event bus would have reported by now that a server has begun to drain
  * @param connections the descriptors that all servers' connections share
- * @param lines the period of the servers' capacity reports
+ * @param reportPeriod the period of the servers' capacity reports
  * @param random spreads what the whole fleet would otherwise do at once
  * @param startedAt when the program started
  */
 record ServerLinkContext(Settings settings, ServerLimits limits, Supplier<CallController> controller,
                          BooleanSupplier listCurrent, Dialer dialer, Scheduler scheduler, Admission connections,
-                         LinesPeriod lines, SplittableRandom random, Instant startedAt) {
+                         ReportPeriod reportPeriod, SplittableRandom random, Instant startedAt) {
 
     /** An idle connection is closed here after this part of the time after which the other side closes it. */
     private static final int IDLE_PERCENT = 90;
@@ -42,8 +42,8 @@
 
     /** How long nothing may be received on a connection: two reports are awaited where their period is known. */
     Duration longestSilence() {
-        Duration twoReports = lines.length().multipliedBy(2).plus(limits.linesVary());
-        boolean isLonger = lines.isSeen() && twoReports.compareTo(limits.silence()) > 0;
+        Duration twoReports = reportPeriod.length().multipliedBy(2).plus(limits.linesVary());
+        boolean isLonger = reportPeriod.isSeen() && twoReports.compareTo(limits.silence()) > 0;
         return isLonger ? twoReports : limits.silence();
     }
 }
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -68,7 +68,7 @@
         this.longestPatience = context.settings().longestPatience();
         this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(), () -> end(ConnectionEnd.UNFINISHED));
         this.unconfirmedReleases = new UnconfirmedReleases(limits.waitingReleases());
-        this.reports = new ReportIntervals(context.lines());
+        this.reports = new ReportIntervals(context.reportPeriod());
     }
 
     /** Whether the connection has not come up, and has not since failed to. */
--- a/daemon/src/main/java/pathlane/takeover/GroupNode.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupNode.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import pathlane.config.Settings;
 import pathlane.core.CallController;
-import pathlane.core.Cover;
+import pathlane.core.CallReplication;
 import pathlane.core.Scheduler;
 import pathlane.group.Keys;
 import pathlane.group.SealedLink;
@@ -34,7 +34,7 @@
     private final Scheduler scheduler;
     private final Handover handover;
     private Keys keys;
-    private String said = "";
+    private String lastLogged = "";
 
     /**
      * Starts nothing yet.
@@ -67,7 +67,7 @@
     }
 
     /** What the core tells of each call's life. */
-    public Cover cover() {
+    public CallReplication replication() {
         return handover;
     }
 
@@ -90,8 +90,8 @@
     /** Says how things stand, whenever that has changed. */
     private void say() {
         String line = handover.line();
-        if (!line.equals(said)) {
-            said = line;
+        if (!line.equals(lastLogged)) {
+            lastLogged = line;
             LOG.log(Level.INFO, "stands at: {0}", line);
         }
         scheduler.after(SAYS, this::say);
--- a/daemon/src/test/java/pathlane/HangUpTest.java
+++ b/daemon/src/test/java/pathlane/SighupHandlerTest.java
@@ -7,24 +7,24 @@
 import org.junit.jupiter.api.Test;
 
 /** A reload that is asked for while the program starts is done once it can be. */
-class HangUpTest {
+class SighupHandlerTest {
 
     @Test
     void aSignalBeforeAnybodyCanReloadIsKept() {
         List<String> done = new ArrayList<>();
-        HangUp hangUp = new HangUp();
-        hangUp.came();
-        hangUp.came();
-        hangUp.does(() -> done.add("reload"));
+        SighupHandler sighup = new SighupHandler();
+        sighup.signalled();
+        sighup.signalled();
+        sighup.onSignal(() -> done.add("reload"));
         assertEquals(List.of("reload"), done);
-        hangUp.came();
+        sighup.signalled();
         assertEquals(List.of("reload", "reload"), done);
     }
 
     @Test
     void nothingIsReloadedUnasked() {
-        HangUp hangUp = new HangUp();
-        hangUp.does(() -> {
+        SighupHandler sighup = new SighupHandler();
+        sighup.onSignal(() -> {
             throw new AssertionError("reloaded unasked");
         });
     }
--- a/daemon/src/test/java/pathlane/exchange/Stage.java
+++ b/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
@@ -64,7 +64,7 @@
  * <li>{@code lag MS}: what comes next has waited so long for a stall of the program
  * </ul>
  */
-final class Stage implements Scheduler, Dialer, Datagrams {
+final class ExchangeHarness implements Scheduler, Dialer, Datagrams {
 
     private record Due(Instant at, long order, Runnable task) implements Comparable<Due> {
         @Override
@@ -139,7 +139,7 @@
     private int looks;
     private String at = "the start";
 
-    Stage(boolean diameter, String config) {
+    ExchangeHarness(boolean diameter, String config) {
         if (diameter) {
             DiameterConfig parsed = DiameterConfig.parse(config);
             DiameterFront front = new DiameterFront(parsed, 7, this, this,
--- a/daemon/src/test/java/pathlane/exchange/ExchangeTest.java
+++ b/daemon/src/test/java/pathlane/exchange/ExchangeTest.java
@@ -21,7 +21,7 @@
         }
         return files.stream().map(file -> DynamicTest.dynamicTest(EXCHANGES.relativize(file).toString(), () -> {
             String config = Files.readString(file.resolveSibling("config.json"));
-            new Stage(file.getParent().getFileName().toString().startsWith("diameter"), config)
+            new ExchangeHarness(file.getParent().getFileName().toString().startsWith("diameter"), config)
                     .play(Files.readAllLines(file));
         }));
     }
--- a/daemon/src/test/java/pathlane/exchange/FloodTest.java
+++ b/daemon/src/test/java/pathlane/exchange/FloodTest.java
@@ -12,23 +12,23 @@
     private static final int AT_ONCE = 5000;
     private static final int EACH_MILLISECOND = 5;
 
-    private static Stage stage(String front) throws IOException {
-        return new Stage(front.equals("diameter"),
+    private static ExchangeHarness harness(String front) throws IOException {
+        return new ExchangeHarness(front.equals("diameter"),
                 Files.readString(Path.of("src/test/resources/exchanges", front, "config.json")));
     }
 
     @Test
     void platform() throws IOException {
         String message = "{2 06 e12b454a5d3a91c4} ";
-        stage("platform").play(List.of("accept 5001", "accept 5002", "open c", "c > " + message.repeat(AT_ONCE), "wait 1",
+        harness("platform").play(List.of("accept 5001", "accept 5002", "open c", "c > " + message.repeat(AT_ONCE), "wait 1",
                 "c > " + message.repeat(EACH_MILLISECOND), "c > " + message, "c closed BAD_INPUT"));
     }
 
     @Test
     void diameter() throws IOException {
         String answer = "[00 280 0 00000009 00000009 <268 u32:2001>] ";
-        Stage stage = stage("diameter");
-        stage.play(List.of("refuse 3870", "refuse 3871", "open c",
+        ExchangeHarness harness = harness("diameter");
+        harness.play(List.of("refuse 3870", "refuse 3871", "open c",
                 "c > [80 257 0 00000001 00000001 <264 \"client.example\"> <296 \"example\"> <257 00017f000001>"
                         + " <266 u32:0> <269 \"stand-in\"> <258 u32:4>]",
                 "c < [00 257 0 00000001 00000001 <268 u32:2001> <264 \"controller.pathlane.example\">"
--- a/daemon/src/test/java/pathlane/exchange/LongDayTest.java
+++ b/daemon/src/test/java/pathlane/exchange/LongDayTest.java
@@ -21,14 +21,14 @@
 
     @Test
     void whatIsKeptDoesNotGrowWithTheDay() throws IOException {
-        Stage stage = new Stage(false, Files.readString(CONFIG));
-        stage.play(List.of("accept 9092", "9092 < 0000000000000003", "accept 5001", "accept 5002"));
+        ExchangeHarness harness = new ExchangeHarness(false, Files.readString(CONFIG));
+        harness.play(List.of("accept 9092", "9092 < 0000000000000003", "accept 5001", "accept 5002"));
         int settled = 0;
         for (int second = 1; second <= LONG; second++) {
-            stage.play(second(second));
-            settled = second == SETTLED ? stage.kept() : settled;
+            harness.play(second(second));
+            settled = second == SETTLED ? harness.kept() : settled;
         }
-        int kept = stage.kept();
+        int kept = harness.kept();
         int most = settled + SWAY;
         assertTrue(kept <= most, () -> kept + " kept, of which there were " + most + " at the most");
     }
--- a/group/src/main/java/pathlane/group/Command.java
+++ b/group/src/main/java/pathlane/group/Command.java
@@ -31,7 +31,7 @@
     record Expire(long token, long number) implements Command { }
 
     /** All of a member's records are where this view places them. */
-    record Cover(long token, long view) implements Command { }
+    record Replicated(long token, long view) implements Command { }
 
     /** A member wants to act for one that has gone, in these slots. */
     record Claim(long claimer, long estate, List<Integer> slots) implements Command { }
--- a/group/src/main/java/pathlane/group/Seat.java
+++ b/group/src/main/java/pathlane/group/LeaseHolder.java
@@ -9,29 +9,29 @@
 import pathlane.core.Scheduler;
 
 /**
- * A call controller's own lease: asked for, renewed, lapsed, lost, and asked for anew. It alone says whether the lease is
- * sure. On the loop's thread.
+ * A call controller's own lease: requested, renewed, lapsed, lost, and requested anew. It alone says whether the lease is
+ * valid. On the loop's thread.
  *
- * <p>A lease that lapses is not lost: nobody may know yet, and a renewal that the register takes makes it sure again.
+ * <p>A lease that lapses is not lost: nobody may know yet, and a renewal that the register takes makes it valid again.
  * It is lost once the register says that it has ended.
  */
-public final class Seat {
+public final class LeaseHolder {
 
     private static final Logger LOG = System.getLogger("group");
     private static final Duration ASK_AGAIN = Duration.ofMillis(250);
     private static final Duration GRAIN = Duration.ofMillis(1);
     private static final Duration REFUSED_AGAIN = Duration.ofSeconds(5);
 
-    /** Who acts by the lease. */
-    public interface Holder {
-        /** A lease begins; the one before it, if any, was told as lost. */
-        void seated(long token);
+    /** Whoever acts by the lease, notified of its states. */
+    public interface Listener {
+        /** A lease was granted; the one before it, if any, was reported as lost. */
+        void granted(long token);
 
-        /** The lease is not sure any more: nothing may be done by it. */
+        /** The lease is no longer valid: nothing may be done by it. */
         void lapsed();
 
-        /** The lease that lapsed is sure again, and nobody has acted for this member meanwhile. */
-        void sureAgain();
+        /** The lease that lapsed is valid again, and nobody has acted for this member meanwhile. */
+        void validAgain();
 
         /** The lease has ended in the register: others may act for this member, or do. */
         void lost(long token);
@@ -45,13 +45,13 @@
     private final Registrar registrar;
     private final Scheduler scheduler;
     private final LongSupplier nanos;
-    private final Holder holder;
+    private final Listener listener;
     /** The lease that this process has, 0 while it has none. */
     private long token;
     /** The last one that it had. */
     private long last;
     private long renewals;
-    private long sureUntil = Long.MIN_VALUE;
+    private long validUntil = Long.MIN_VALUE;
     private boolean lapsed;
     private boolean leaving;
     private boolean emptied;
@@ -64,8 +64,8 @@
      *
      * @param nanos the monotonic clock
      */
-    public Seat(String name, long incarnation, String address, int copies, LeaseTerms terms, Registrar registrar,
-                Scheduler scheduler, LongSupplier nanos, Holder holder) {
+    public LeaseHolder(String name, long incarnation, String address, int copies, LeaseTerms terms, Registrar registrar,
+                Scheduler scheduler, LongSupplier nanos, Listener listener) {
         this.name = name;
         this.incarnation = incarnation;
         this.address = address;
@@ -74,7 +74,7 @@
         this.registrar = registrar;
         this.scheduler = scheduler;
         this.nanos = nanos;
-        this.holder = holder;
+        this.listener = listener;
     }
 
     /** Asks for a lease, and goes on asking and renewing. */
@@ -82,19 +82,19 @@
         turn();
     }
 
-    /** The lease's token, sure or not; 0 while there is none. */
+    /** The lease's token, valid or not; 0 while there is none. */
     public long token() {
         return token;
     }
 
-    /** Whether the lease is sure now. Asked where bytes are written: what passes after this is the write lag. */
-    public boolean isSure() {
-        return token != 0 && !leaving && nanos.getAsLong() < sureUntil;
+    /** Whether the lease is valid now. Asked where bytes are written: what passes after this is the write lag. */
+    public boolean isValid() {
+        return token != 0 && !leaving && nanos.getAsLong() < validUntil;
     }
 
     /** Whether there is a lease, and it has lapsed. */
     public boolean hasLapsed() {
-        return token != 0 && !leaving && !isSure();
+        return token != 0 && !leaving && !isValid();
     }
 
     /** All that kept records for this member have said that they dropped them: nobody can act for it any more. */
@@ -158,9 +158,9 @@
             renewals = 0;
             emptied = false;
             lapsed = false;
-            sureUntil = sentAt + terms.sureFor().toNanos();
+            validUntil = sentAt + terms.validFor().toNanos();
             LOG.log(Level.INFO, "lease {0} granted to {1}", Long.toString(token), name);
-            holder.seated(token);
+            listener.granted(token);
             watchLapse();
             next(terms.renewEvery());
         } else if (answered.isPresent() && answered.get() instanceof Reply.Refused refused) {
@@ -181,12 +181,12 @@
             lose();
             next(Duration.ZERO);
         } else if (answered.isPresent()) {
-            sureUntil = Math.max(sureUntil, sentAt + terms.sureFor().toNanos());
-            if (lapsed && isSure()) {
+            validUntil = Math.max(validUntil, sentAt + terms.validFor().toNanos());
+            if (lapsed && isValid()) {
                 lapsed = false;
                 emptied = false;   // records are sent again from now on
                 LOG.log(Level.INFO, "lease {0} is sure again", Long.toString(token));
-                holder.sureAgain();
+                listener.validAgain();
             }
             watchLapse();
             next(terms.renewEvery().minusNanos(Math.min(terms.renewEvery().toNanos(), nanos.getAsLong() - sentAt)));
@@ -208,15 +208,15 @@
     private void lose() {
         long ended = token;
         token = 0;
-        sureUntil = Long.MIN_VALUE;
+        validUntil = Long.MIN_VALUE;
         cancelLapse();
         LOG.log(Level.WARNING, "lease {0} has ended in the register; {1} asks for another", Long.toString(ended), name);
-        holder.lost(ended);
+        listener.lost(ended);
     }
 
     private void watchLapse() {
         cancelLapse();
-        Duration left = Duration.ofNanos(sureUntil - nanos.getAsLong());
+        Duration left = Duration.ofNanos(validUntil - nanos.getAsLong());
         // The two clocks differ: a timer that comes early is set again, and must not come at once each time.
         lapse = scheduler.after(left.compareTo(GRAIN) > 0 ? left : GRAIN, this::lapseIfDue);
     }
@@ -225,13 +225,13 @@
         if (token == 0 || leaving || lapsed) {
             return;
         }
-        if (isSure()) {
+        if (isValid()) {
             watchLapse();
             return;
         }
         lapsed = true;
         LOG.log(Level.WARNING, "lease {0} has lapsed: the register was not reached in time", Long.toString(token));
-        holder.lapsed();
+        listener.lapsed();
     }
 
     private void cancelLapse() {
--- a/group/src/main/java/pathlane/group/LeaseTerms.java
+++ b/group/src/main/java/pathlane/group/LeaseTerms.java
@@ -36,7 +36,7 @@
     }
 
     /** How long the holder may act, from when it sent its renewal, by its own clock. */
-    public Duration sureFor() {
+    public Duration validFor() {
         return Duration.ofNanos((long) (length.toNanos() * (1 - drift))).minus(writeLag);
     }
 
@@ -45,7 +45,7 @@
         return Duration.ofNanos((long) (length.toNanos() * (1 + drift)));
     }
 
-    /** How often a holder renews: twice it may fail before the lease is not sure any more. */
+    /** How often a holder renews: twice it may fail before the lease is no longer valid. */
     public Duration renewEvery() {
         return length.dividedBy(RENEWALS);
     }
--- a/group/src/main/java/pathlane/group/Register.java
+++ b/group/src/main/java/pathlane/group/Register.java
@@ -11,13 +11,13 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import pathlane.group.Command.Claim;
-import pathlane.group.Command.Cover;
 import pathlane.group.Command.Expire;
 import pathlane.group.Command.Join;
 import pathlane.group.Command.Leave;
 import pathlane.group.Command.Reclaim;
 import pathlane.group.Command.Renew;
 import pathlane.group.Command.Renewal;
+import pathlane.group.Command.Replicated;
 import pathlane.group.Command.Settle;
 
 /**
@@ -26,7 +26,7 @@
  * Not safe for threads.
  *
  * <p>Invariants, which the tests check after each command: a token is granted once and tokens only grow; a slot of an
- * estate has at most one holder with a live lease; its holder is one of the keepers that the former owner's last covered
+ * estate has at most one holder with a live lease; its holder is one of the keepers that the former owner's last replicated
  * view names.
  */
 public final class Register {
@@ -78,7 +78,7 @@
         final Member member;
         long renewals;
         /** The view by which all its records are placed; 0 while none are. */
-        long covered;
+        long replicatedView;
 
         Lease(Member member) {
             this.member = member;
@@ -147,10 +147,10 @@
         return lease == null ? -1 : lease.renewals;
     }
 
-    /** The view by which a live member's records are placed; 0 while none are covered, or it has no lease. */
-    public long covered(long token) {
+    /** The view by which a live member's records are placed; 0 while none are replicated, or it has no lease. */
+    public long replicatedView(long token) {
         Lease lease = leases.get(token);
-        return lease == null ? 0 : lease.covered;
+        return lease == null ? 0 : lease.replicatedView;
     }
 
     /** Estates that are not settled, by the token of their former owner. */
@@ -205,8 +205,8 @@
                 end(expire.token(), false);
             }
             return Reply.DONE;
-        } else if (command instanceof Cover cover) {
-            return cover(cover);
+        } else if (command instanceof Replicated replicated) {
+            return replicated(replicated);
         } else if (command instanceof Claim claim) {
             return claim(claim);
         } else if (command instanceof Reclaim reclaim) {
@@ -261,13 +261,13 @@
         return new Reply.Ended(ended);
     }
 
-    private Reply cover(Cover cover) {
-        Lease lease = leases.get(cover.token());
+    private Reply replicated(Replicated replicated) {
+        Lease lease = leases.get(replicated.token());
         if (lease == null) {
-            return new Reply.Ended(List.of(cover.token()));
+            return new Reply.Ended(List.of(replicated.token()));
         }
-        if (cover.view() > lease.covered && views.containsKey(cover.view())) {
-            lease.covered = cover.view();
+        if (replicated.view() > lease.replicatedView && views.containsKey(replicated.view())) {
+            lease.replicatedView = replicated.view();
             forgetViews();
         }
         return Reply.DONE;
@@ -357,14 +357,14 @@
                 && (estate.past(slot).contains(token) || estate.holders.get(slot) == token));
     }
 
-    /** A lease has ended; what it covered is an estate, unless nobody has any of its records. */
+    /** A lease has ended; what it replicated is an estate, unless nobody has any of its records. */
     private void end(long token, boolean emptied) {
         Lease lease = leases.remove(token);
         if (lease == null) {
             return;
         }
-        if (lease.covered > 0 && !emptied) {
-            Estate estate = new Estate(lease.member, lease.covered);
+        if (lease.replicatedView > 0 && !emptied) {
+            Estate estate = new Estate(lease.member, lease.replicatedView);
             for (int slot = 0; slot < Placement.SLOTS; slot++) {
                 estate.holders.put(slot, 0L);
             }
@@ -402,7 +402,7 @@
     private void forgetViews() {
         Set<Long> used = new HashSet<>();
         used.add(view);
-        leases.values().forEach(lease -> used.add(lease.covered));
+        leases.values().forEach(lease -> used.add(lease.replicatedView));
         estates.values().forEach(estate -> used.add(estate.view));
         views.keySet().retainAll(used);
     }
--- a/group/src/main/java/pathlane/group/RegisterCodec.java
+++ b/group/src/main/java/pathlane/group/RegisterCodec.java
@@ -110,8 +110,8 @@
             packer.packInt(LEAVE).packLong(leave.token());
         } else if (command instanceof Command.Expire expire) {
             packer.packInt(EXPIRE).packLong(expire.token()).packLong(expire.number());
-        } else if (command instanceof Command.Cover cover) {
-            packer.packInt(COVER).packLong(cover.token()).packLong(cover.view());
+        } else if (command instanceof Command.Replicated replicated) {
+            packer.packInt(COVER).packLong(replicated.token()).packLong(replicated.view());
         } else if (command instanceof Command.Claim claim) {
             packer.packInt(CLAIM).packLong(claim.claimer()).packLong(claim.estate());
             writeSlots(packer, claim.slots());
@@ -147,7 +147,7 @@
                 return new Command.Expire(unpacker.unpackLong(), unpacker.unpackLong());
             }
             case COVER -> {
-                return new Command.Cover(unpacker.unpackLong(), unpacker.unpackLong());
+                return new Command.Replicated(unpacker.unpackLong(), unpacker.unpackLong());
             }
             case CLAIM -> {
                 return new Command.Claim(unpacker.unpackLong(), unpacker.unpackLong(), slots(unpacker));
@@ -231,7 +231,7 @@
         packer.packArrayHeader(whole.leases().size());
         for (Register.Lease lease : whole.leases().values()) {
             write(packer, lease.member);
-            packer.packLong(lease.renewals).packLong(lease.covered);
+            packer.packLong(lease.renewals).packLong(lease.replicatedView);
         }
         packer.packArrayHeader(whole.estates().size());
         for (Register.Estate estate : whole.estates().values()) {
@@ -270,7 +270,7 @@
         for (int left = items(unpacker); left > 0; left--) {
             Register.Lease lease = new Register.Lease(member(unpacker));
             lease.renewals = unpacker.unpackLong();
-            lease.covered = unpacker.unpackLong();
+            lease.replicatedView = unpacker.unpackLong();
             leases.put(lease.member.token(), lease);
         }
         SortedMap<Long, Register.Estate> estates = new TreeMap<>();
--- a/group/src/main/java/pathlane/group/Voter.java
+++ b/group/src/main/java/pathlane/group/Voter.java
@@ -85,8 +85,8 @@
         index = at;
         boolean wasLive = command instanceof Command.Expire expire && register.isLive(expire.token());
         Reply reply = register.apply(command);
-        told(command, wasLive).ifPresent(told -> {
-            byte[] bytes = RegisterCodec.bytes(told);
+        announcement(command, wasLive).ifPresent(announcement -> {
+            byte[] bytes = RegisterCodec.bytes(announcement);
             byte[] message = RegisterCodec.packed(packer -> {
                 packer.packInt(RegisterClient.APPLIED).packLong(at);
                 RegisterClient.binary(packer, bytes);
@@ -100,7 +100,7 @@
      * What members are told of a command. They don't follow renewals, so they could not judge by themselves whether an end
      * was void: one that took place is told as an end without a condition.
      */
-    private Optional<Command> told(Command command, boolean wasLive) {
+    private Optional<Command> announcement(Command command, boolean wasLive) {
         if (command instanceof Command.Expire expire) {
             return wasLive && !register.isLive(expire.token()) ? Optional.of(new Command.Leave(expire.token()))
                     : Optional.empty();
--- a/group/src/test/java/pathlane/group/LeaseExplorationTest.java
+++ b/group/src/test/java/pathlane/group/LeaseExplorationTest.java
@@ -48,10 +48,10 @@
     /**
      * A controller.
      *
-     * @param sureUntil by when its lease is not sure any more, in its own clock, which is right here
+     * @param sureUntil by when its lease is no longer valid, in its own clock, which is right here
      * @param holds which of the calls it believes to be its own to act on
      */
-    private record Self(long token, int sureUntil, int renewals, boolean stopped, boolean dead, Set<Integer> holds) { }
+    private record Self(long token, int validUntil, int renewals, boolean stopped, boolean dead, Set<Integer> holds) { }
 
     private int states;
     private String violation;
@@ -61,11 +61,11 @@
         List<Self> selves = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             Reply.Granted granted = (Reply.Granted) register.apply(join(i, 1, 0));
-            selves.add(new Self(granted.token(), sureFor(), 0, false, false, i == 0 ? new TreeSet<>(List.of(0, 1))
+            selves.add(new Self(granted.token(), validFor(), 0, false, false, i == 0 ? new TreeSet<>(List.of(0, 1))
                     : new TreeSet<>()));
         }
         for (Self self : selves) {
-            register.apply(new Command.Cover(self.token, register.view()));
+            register.apply(new Command.Replicated(self.token, register.view()));
         }
         Deque<State> open = new ArrayDeque<>();
         Set<HashValue128> seen = new HashSet<>();
@@ -86,8 +86,8 @@
         }
     }
 
-    private static int sureFor() {
-        return (int) TERMS.sureFor().toMillis();
+    private static int validFor() {
+        return (int) TERMS.validFor().toMillis();
     }
 
     private static Command.Join join(int place, long incarnation, long last) {
@@ -111,12 +111,12 @@
             }
             if (i == 0) {
                 // The owner alone may be stopped or die here; successors die in the second half of the orders below.
-                next.add(with(state, i, new Self(self.token, self.sureUntil, self.renewals, !self.stopped, false,
+                next.add(with(state, i, new Self(self.token, self.validUntil, self.renewals, !self.stopped, false,
                         self.holds)));
             }
             // Deaths multiply the orders, and what taking back without agreement breaks takes none.
             if (i < 2 && without != Without.AGREEMENT_ON_TAKING_BACK) {
-                next.add(with(state, i, new Self(self.token, self.sureUntil, self.renewals, false, true, Set.of())));
+                next.add(with(state, i, new Self(self.token, self.validUntil, self.renewals, false, true, Set.of())));
             }
             if (!self.stopped && self.token != 0) {
                 // A renewal leaves now, and is taken at any time later, or never.
@@ -124,7 +124,8 @@
                     Set<String> way = new TreeSet<>(state.onTheWay);
                     way.add("renew " + i + " " + self.token + " " + (self.renewals + 1) + " " + state.now);
                     next.add(new State(state.now, state.register, replace(state.selves, i, new Self(self.token,
-                            self.sureUntil, self.renewals + 1, false, false, self.holds)), way, state.started, state.noted));
+                            self.validUntil, self.renewals + 1, false, false, self.holds)), way, state.started,
+                            state.noted));
                 }
                 claims(state, register, i, without, next);
             }
@@ -142,13 +143,13 @@
         Register register = RegisterCodec.register(state.register);
         Reply.Granted granted = (Reply.Granted) register.apply(join(i, 2, 0));
         return new State(state.now, RegisterCodec.bytes(register), replace(state.selves, i,
-                new Self(granted.token(), state.now + sureFor(), 2, false, false, Set.of())), state.onTheWay, true,
+                new Self(granted.token(), state.now + validFor(), 2, false, false, Set.of())), state.onTheWay, true,
                 state.noted);
     }
 
     private void claims(State state, Register register, int i, Without without, List<State> next) {
         Self self = state.selves.get(i);
-        boolean sure = state.now < self.sureUntil;
+        boolean sure = state.now < self.validUntil;
         if (!sure && without != Without.THE_OWN_CHECK) {
             return;
         }
@@ -175,7 +176,7 @@
                         noted.add(self.token + ":" + call);
                     }
                     next.add(new State(state.now, RegisterCodec.bytes(after), replace(state.selves, i, new Self(self.token,
-                            self.sureUntil, self.renewals, false, false, holds)), state.onTheWay, state.started, noted));
+                            self.validUntil, self.renewals, false, false, holds)), state.onTheWay, state.started, noted));
                 }
             }
         }
@@ -197,7 +198,7 @@
         if (!self.dead && !self.stopped && self.token == token) {
             Self told = ended.tokens().contains(token)
                     ? new Self(0, 0, self.renewals, false, false, Set.of())
-                    : new Self(token, Math.max(self.sureUntil, Integer.parseInt(words[4]) + sureFor()), self.renewals,
+                    : new Self(token, Math.max(self.validUntil, Integer.parseInt(words[4]) + validFor()), self.renewals,
                             false, false, self.holds);
             next.add(new State(state.now, bytes, replace(state.selves, i, told), way, state.started, state.noted));
             if (ended.tokens().contains(token) && i == 0) {
@@ -219,7 +220,7 @@
             }
         }
         return new State(state.now, RegisterCodec.bytes(after), replace(state.selves, 0, new Self(granted.token(),
-                state.now + sureFor(), 2, false, false, holds)), way, state.started, state.noted);
+                state.now + validFor(), 2, false, false, holds)), way, state.started, state.noted);
     }
 
     /** The leader ends a lease, once it has waited since it applied the last renewal, which here is when it was taken. */
@@ -243,7 +244,7 @@
         for (Self self : state.selves) {
             if (self.token == member.token()) {
                 // Sure until tells when its last answered renewal left; an unanswered one left no earlier than that.
-                return Math.max(0, self.sureUntil - sureFor());
+                return Math.max(0, self.validUntil - validFor());
             }
         }
         return state.now;
@@ -266,7 +267,7 @@
             List<Integer> acting = new ArrayList<>();
             for (int i = 0; i < CONTROLLERS; i++) {
                 Self self = state.selves.get(i);
-                boolean sure = state.now < self.sureUntil || without == Without.THE_OWN_CHECK;
+                boolean sure = state.now < self.validUntil || without == Without.THE_OWN_CHECK;
                 if (!self.dead && self.holds.contains(call) && sure) {
                     acting.add(i);
                 }
--- a/grpc/src/main/java/pathlane/grpc/Directory.java
+++ b/grpc/src/main/java/pathlane/grpc/Directory.java
@@ -23,7 +23,7 @@
 
     private final Map<Object, Map<Long, ServerLine>> named = new HashMap<>();
     private final Map<Long, Integer> calls = new HashMap<>();
-    private Map<Long, ServerLine> told = new LinkedHashMap<>();
+    private Map<Long, ServerLine> listed = new LinkedHashMap<>();
     private boolean any;
 
     /** A resolver's whole list; the source is the channel it is for. */
@@ -54,7 +54,7 @@
     /** An attempt, or the call that it set up, is over there. True: the list to tell has changed by it. */
     boolean callEnds(long server) {
         calls.computeIfPresent(server, (id, count) -> count == 1 ? null : count - 1);
-        return !calls.containsKey(server) && told.containsKey(server) && told.get(server).mode() == Mode.DRAINING;
+        return !calls.containsKey(server) && listed.containsKey(server) && listed.get(server).mode() == Mode.DRAINING;
     }
 
     /** The whole list as the controller is to be told it now. */
@@ -66,25 +66,25 @@
                 lines.put(id, line);
             }
         }));
-        told.forEach((id, line) -> {
+        listed.forEach((id, line) -> {
             if (!lines.containsKey(id) && calls.containsKey(id)) {
                 lines.put(id, new ServerLine(id, line.address(), Mode.DRAINING, line.cell(), line.weight(),
                         line.startedAt()));
             }
         });
         lines.values().removeIf(line -> line.mode() == Mode.GONE && !calls.containsKey(line.id()));
-        told = lines;
+        listed = lines;
         return new ArrayList<>(lines.values());
     }
 
     /** Servers in the list that was last told. */
-    int told() {
-        return told.size();
+    int listed() {
+        return listed.size();
     }
 
     /** Servers that count as there, calls on whichever server included; for tests of what is kept. */
     int kept() {
-        Set<Long> ids = new HashSet<>(told.keySet());
+        Set<Long> ids = new HashSet<>(listed.keySet());
         ids.addAll(calls.keySet());
         return ids.size();
     }
--- a/grpc/src/main/java/pathlane/grpc/Engine.java
+++ b/grpc/src/main/java/pathlane/grpc/Engine.java
@@ -128,7 +128,7 @@
 
     /** Servers that the controller was last told of, those that drain included. */
     int listedServers() {
-        return directory.told();
+        return directory.listed();
     }
 
     void attemptBegins(long server) {
--- a/grpc/src/test/java/pathlane/grpc/BusResolverTest.java
+++ b/grpc/src/test/java/pathlane/grpc/BusResolverTest.java
@@ -82,7 +82,7 @@
     @Test
     void drainsAndMovesOfTheBusAreFollowedAndItsEventsAskedForFromTheLast() throws Exception {
         try (Bus bus = new Bus(); RawServer first = new RawServer(); RawServer second = new RawServer();
-                Pathlane pathlane = Pathlane.builder().configuration(Field.SETTINGS).build()) {
+                Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
             ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget("pathlane-bus:///127.0.0.1:"
                     + bus.listening.getLocalPort()).usePlaintext()).build();
             try {
@@ -125,7 +125,7 @@
 
     @Test
     void aTargetThatNamesNoBusIsRefusedWithOneSentence() {
-        Pathlane pathlane = Pathlane.builder().configuration(Field.SETTINGS).build();
+        Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build();
         IllegalArgumentException said = assertThrows(IllegalArgumentException.class, () -> pathlane.attach(
                 NettyChannelBuilder.forTarget("pathlane-bus:///nowhere").usePlaintext()).build());
         assertTrue(said.getMessage().contains("names no event bus"), said.getMessage());
--- a/grpc/src/test/java/pathlane/grpc/ChannelTest.java
+++ b/grpc/src/test/java/pathlane/grpc/ChannelTest.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import pathlane.core.Counters.Name;
-import pathlane.grpc.Field.Heard;
+import pathlane.grpc.PluginHarness.Response;
 import pathlane.standin.GrpcFront;
 import pathlane.standin.Processor;
 
@@ -29,123 +29,123 @@
 
     @Test
     void aServerThatGoesSilentCostsItsCallsTheirTimeAndNoOther() {
-        try (Field field = new Field("a", "b")) {
-            ManagedChannel channel = field.channel();
-            List<Heard> streams = new ArrayList<>();
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            ManagedChannel channel = harness.channel();
+            List<Response> streams = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                streams.add(field.sign(channel, "s" + i));
-                field.time.pass(100);
+                streams.add(harness.sign(channel, "s" + i));
+                harness.time.pass(100);
             }
-            field.processors.get("a").silent();
-            List<Heard> calls = new ArrayList<>();
+            harness.processors.get("a").silent();
+            List<Response> calls = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                calls.add(field.check(channel, "n" + i));
-                field.time.pass(100);
+                calls.add(harness.check(channel, "n" + i));
+                harness.time.pass(100);
             }
-            field.processors.get("a").speak();
-            field.time.pass(20_000);
-            assertTrue(streams.stream().allMatch(heard -> heard.closes == 1 && heard.messages.size() == 1));
-            assertTrue(calls.stream().allMatch(heard -> heard.closes == 1));
-            long stood = calls.stream().filter(heard -> heard.status.isOk()).count();
+            harness.processors.get("a").speak();
+            harness.time.pass(20_000);
+            assertTrue(streams.stream().allMatch(response -> response.closes == 1 && response.messages.size() == 1));
+            assertTrue(calls.stream().allMatch(response -> response.closes == 1));
+            long stood = calls.stream().filter(response -> response.status.isOk()).count();
             assertTrue(stood >= 55, "stood: " + stood);
-            assertEquals(List.of(), field.rules.broken());
+            assertEquals(List.of(), harness.rules.broken());
         }
     }
 
     @Test
     void anEmptyListIsObeyedAndWhenAllServersComeBackColdNoneIsPushedOver() {
-        try (Field field = new Field("a", "b")) {
-            ManagedChannel channel = field.channel();
-            List<Heard> calls = new ArrayList<>();
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            ManagedChannel channel = harness.channel();
+            List<Response> calls = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                calls.add(field.check(channel, "n" + i));
-                field.time.pass(40);
+                calls.add(harness.check(channel, "n" + i));
+                harness.time.pass(40);
             }
-            field.time.pass(1000);
-            long before = field.processors.values().stream().mapToLong(Processor::setUps).sum();
-            field.list();
+            harness.time.pass(1000);
+            long before = harness.processors.values().stream().mapToLong(Processor::setUps).sum();
+            harness.list();
             for (int i = 0; i < 100; i++) {
-                calls.add(field.check(channel, "e" + i));
-                field.time.pass(40);
+                calls.add(harness.check(channel, "e" + i));
+                harness.time.pass(40);
             }
-            assertEquals(before, field.processors.values().stream().mapToLong(Processor::setUps).sum(), "sent nowhere");
-            field.add("c").startCold();
-            field.add("d").startCold();
-            field.list("c", "d");
+            assertEquals(before, harness.processors.values().stream().mapToLong(Processor::setUps).sum(), "sent nowhere");
+            harness.add("c").startCold();
+            harness.add("d").startCold();
+            harness.list("c", "d");
             for (int i = 0; i < 600; i++) {
-                calls.add(field.check(channel, "c" + i));
-                field.time.pass(25);
+                calls.add(harness.check(channel, "c" + i));
+                harness.time.pass(25);
             }
-            field.time.pass(10_000);
-            assertTrue(calls.stream().allMatch(heard -> heard.closes == 1));
+            harness.time.pass(10_000);
+            assertTrue(calls.stream().allMatch(response -> response.closes == 1));
             for (String cold : List.of("c", "d")) {
-                Processor processor = field.processors.get(cold);
+                Processor processor = harness.processors.get(cold);
                 assertTrue(!processor.fell() && processor.mostOfBudget() < 1, cold + ": " + processor.mostOfBudget());
                 assertTrue(processor.answers() > 100, cold + " answered " + processor.answers());
             }
-            assertEquals(List.of(), field.rules.broken());
+            assertEquals(List.of(), harness.rules.broken());
         }
     }
 
     @Test
     void aStreamOutlivesItsServersNameAndNothingNewGoesThere() {
-        try (Field field = new Field("a")) {
-            ManagedChannel channel = field.channel();
-            Heard heard = field.sign(channel, "one");
-            field.time.pass(200);
-            field.add("b");
-            field.list("b");
+        try (PluginHarness harness = new PluginHarness("a")) {
+            ManagedChannel channel = harness.channel();
+            Response response = harness.sign(channel, "one");
+            harness.time.pass(200);
+            harness.add("b");
+            harness.list("b");
             for (int i = 0; i < 10; i++) {
-                field.check(channel, "n" + i);
-                field.time.pass(100);
+                harness.check(channel, "n" + i);
+                harness.time.pass(100);
             }
-            assertEquals(1, field.processors.get("a").setUps());
-            assertEquals(0, heard.closes);
-            field.time.pass(8000);
-            assertEquals(Status.Code.OK, heard.code());
-            field.list("a");
-            Heard back = field.check(channel, "back");
-            field.time.pass(200);
+            assertEquals(1, harness.processors.get("a").setUps());
+            assertEquals(0, response.closes);
+            harness.time.pass(8000);
+            assertEquals(Status.Code.OK, response.code());
+            harness.list("a");
+            Response back = harness.check(channel, "back");
+            harness.time.pass(200);
             assertEquals(Status.Code.OK, back.code());
-            assertEquals(2, field.processors.get("a").setUps());
+            assertEquals(2, harness.processors.get("a").setUps());
         }
     }
 
     @Test
     void whereTheFirstListIsEmptyCallsFailAtOnceAndThoseThatWaitForItStand() {
-        try (Field field = new Field()) {
-            ManagedChannel channel = field.channel();
-            Heard now = field.check(channel, "now");
+        try (PluginHarness harness = new PluginHarness()) {
+            ManagedChannel channel = harness.channel();
+            Response now = harness.check(channel, "now");
             assertEquals(Status.Code.UNAVAILABLE, now.code());
-            Heard waits = field.call(channel, GrpcFront.CHECK, CallOptions.DEFAULT.withWaitForReady(), "waits");
+            Response waits = harness.call(channel, GrpcFront.CHECK, CallOptions.DEFAULT.withWaitForReady(), "waits");
             assertEquals(0, waits.closes);
-            field.add("a");
-            field.list("a");
-            field.time.pass(100);
+            harness.add("a");
+            harness.list("a");
+            harness.time.pass(100);
             assertEquals(Status.Code.OK, waits.code());
         }
     }
 
     @Test
     void settingsComeByTheServiceConfigToo() {
-        Map<String, Object> own = new HashMap<>(json(Field.SETTINGS));
+        Map<String, Object> own = new HashMap<>(json(PluginHarness.SETTINGS));
         own.put("plug-in", json("{\"classes\": {\"signing.Sessions\": \"deadline-sign\"}}"));
         Map<String, ?> service = Map.of("loadBalancingConfig", List.of(Map.of("pathlane", own)));
-        try (Field field = new Field(Pathlane.builder(), "a")) {
-            ManagedChannel channel = field.keep(field.pathlane.attach(field.builder("pool"), service).build());
-            Heard heard = field.check(channel, "one");
-            field.time.pass(100);
-            assertEquals(Status.Code.OK, heard.code());
-            assertEquals(1, field.pathlane.engine().config().classOf("signing.Sessions/Check", "signing.Sessions", null));
+        try (PluginHarness harness = new PluginHarness(Pathlane.builder(), "a")) {
+            ManagedChannel channel = harness.keep(harness.pathlane.attach(harness.builder("pool"), service).build());
+            Response response = harness.check(channel, "one");
+            harness.time.pass(100);
+            assertEquals(Status.Code.OK, response.code());
+            assertEquals(1, harness.pathlane.engine().config().classOf("signing.Sessions/Check", "signing.Sessions", null));
         }
     }
 
     @Test
     void aChannelWithoutSettingsSaysSo() {
-        try (Field field = new Field(Pathlane.builder(), "a")) {
-            Heard heard = field.check(field.channel(), "one");
-            assertEquals(Status.Code.INTERNAL, heard.code());
-            assertTrue(heard.status.getDescription().contains("has no settings"), heard.status.toString());
+        try (PluginHarness harness = new PluginHarness(Pathlane.builder(), "a")) {
+            Response response = harness.check(harness.channel(), "one");
+            assertEquals(Status.Code.INTERNAL, response.code());
+            assertTrue(response.status.getDescription().contains("has no settings"), response.status.toString());
         }
     }
 
@@ -153,22 +153,22 @@
     void aBadConfigIsRefusedWithOneSentence() {
         PathlaneLoadBalancerProvider provider = new PathlaneLoadBalancerProvider();
         Status error = provider.parseLoadBalancingPolicyConfig(json(
-                Field.SETTINGS.replace("\"cold-ms\": 13000,", ""))).getError();
+                PluginHarness.SETTINGS.replace("\"cold-ms\": 13000,", ""))).getError();
         assertEquals("the config of the policy 'pathlane' can't be used: setting can't be used: cold-ms",
                 error.getDescription());
         assertThrows(IllegalArgumentException.class, () -> Pathlane.builder().configuration("no json"));
         assertThrows(IllegalArgumentException.class,
-                () -> Pathlane.builder().configuration(Field.SETTINGS).defaultClass("no-such").build());
+                () -> Pathlane.builder().configuration(PluginHarness.SETTINGS).defaultClass("no-such").build());
         assertThrows(IllegalArgumentException.class, () -> Pathlane.builder().defaultClass("a").build());
     }
 
     @Test
     void thePolicyWithoutItsPluginSaysSo() {
-        try (Field field = new Field("a")) {
-            ManagedChannel bare = field.keep(field.builder("pool").defaultLoadBalancingPolicy("pathlane").build());
-            Heard heard = field.check(bare, "one");
-            assertEquals(Status.Code.INTERNAL, heard.code());
-            assertTrue(heard.status.getDescription().contains("Pathlane.attach"), heard.status.toString());
+        try (PluginHarness harness = new PluginHarness("a")) {
+            ManagedChannel bare = harness.keep(harness.builder("pool").defaultLoadBalancingPolicy("pathlane").build());
+            Response response = harness.check(bare, "one");
+            assertEquals(Status.Code.INTERNAL, response.code());
+            assertTrue(response.status.getDescription().contains("Pathlane.attach"), response.status.toString());
         }
     }
 
@@ -177,9 +177,9 @@
         Map<String, ?> hedging = json("""
                 {"methodConfig": [{"name": [{"service": "signing.Sessions"}], "hedgingPolicy":
                  {"maxAttempts": 3, "hedgingDelay": "0.05s", "nonFatalStatusCodes": ["UNAVAILABLE"]}}]}""");
-        try (Field field = new Field("a", "b")) {
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
             assertThrows(IllegalArgumentException.class,
-                    () -> field.pathlane.attach(field.builder("pool"), hedging));
+                    () -> harness.pathlane.attach(harness.builder("pool"), hedging));
         }
     }
 
@@ -202,17 +202,17 @@
 
     @Test
     void aChannelThatHedgesAllTheSameIsToldSoAndNoSecondStreamLeaves() {
-        try (Field field = new Field("a", "b")) {
-            ManagedChannel insists = field.keep(field.pathlane.attach(field.builder("pool").intercept(new Hedger()))
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            ManagedChannel insists = harness.keep(harness.pathlane.attach(harness.builder("pool").intercept(new Hedger()))
                     .build());
-            Heard first = field.check(insists, "one");
-            Heard second = field.check(insists, "two");
+            Response first = harness.check(insists, "one");
+            Response second = harness.check(insists, "two");
             assertEquals(Status.Code.FAILED_PRECONDITION, second.code());
             assertTrue(second.status.getDescription().contains("hedgingPolicy"), second.status.toString());
-            field.time.pass(1000);
+            harness.time.pass(1000);
             assertEquals(Status.Code.OK, first.code());
-            assertEquals(1, field.rules.attempts("one"));
-            assertEquals(0, field.rules.attempts("two"));
+            assertEquals(1, harness.rules.attempts("one"));
+            assertEquals(0, harness.rules.attempts("two"));
         }
     }
 
@@ -222,67 +222,67 @@
                 {"methodConfig": [{"name": [{"service": "signing.Sessions"}], "retryPolicy":
                  {"maxAttempts": 5, "initialBackoff": "0.01s", "maxBackoff": "0.01s", "backoffMultiplier": 1,
                   "retryableStatusCodes": ["INTERNAL", "NOT_FOUND"]}}]}""");
-        try (Field field = new Field("a", "b")) {
-            field.fronts.values().forEach(front -> front.answerWith(Status.NOT_FOUND));
-            ManagedChannel channel = field.keep(field.pathlane.attach(field.builder("pool"), retrying).build());
-            Heard heard = field.check(channel, "one");
-            field.time.pass(2000);
-            assertEquals(Status.Code.NOT_FOUND, heard.code());
-            assertEquals(1, field.rules.attempts("one"));
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            harness.fronts.values().forEach(front -> front.answerWith(Status.NOT_FOUND));
+            ManagedChannel channel = harness.keep(harness.pathlane.attach(harness.builder("pool"), retrying).build());
+            Response response = harness.check(channel, "one");
+            harness.time.pass(2000);
+            assertEquals(Status.Code.NOT_FOUND, response.code());
+            assertEquals(1, harness.rules.attempts("one"));
         }
     }
 
     @Test
     void channelsOfOneTargetShareAControllerAndAnotherTargetIsRefused() {
-        try (Field field = new Field("a", "b")) {
-            ManagedChannel one = field.channel();
-            ManagedChannel two = field.channel();
-            Heard first = field.check(one, "one");
-            Heard second = field.check(two, "two");
-            field.time.pass(200);
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            ManagedChannel one = harness.channel();
+            ManagedChannel two = harness.channel();
+            Response first = harness.check(one, "one");
+            Response second = harness.check(two, "two");
+            harness.time.pass(200);
             assertEquals(Status.Code.OK, first.code());
             assertEquals(Status.Code.OK, second.code());
-            assertEquals(2, field.pathlane.counters().value(Name.STOOD));
-            ManagedChannel other = field.keep(field.pathlane.attach(field.builder("elsewhere")).build());
-            Heard refused = field.check(other, "three");
+            assertEquals(2, harness.pathlane.counters().value(Name.STOOD));
+            ManagedChannel other = harness.keep(harness.pathlane.attach(harness.builder("elsewhere")).build());
+            Response refused = harness.check(other, "three");
             assertEquals(Status.Code.INTERNAL, refused.code());
             assertTrue(refused.status.getDescription().contains("build another"), refused.status.toString());
             one.shutdownNow();
-            Heard third = field.check(two, "four");
-            field.time.pass(200);
+            Response third = harness.check(two, "four");
+            harness.time.pass(200);
             assertEquals(Status.Code.OK, third.code());
         }
     }
 
     @Test
     void aChannelThatIsShutDownTakesNothingNewAndEndsWhatIsOpen() {
-        try (Field field = new Field("a")) {
-            ManagedChannel channel = field.channel();
-            Heard stands = field.sign(channel, "stands");
-            field.time.pass(100);
-            Heard open = field.check(channel, "open");
+        try (PluginHarness harness = new PluginHarness("a")) {
+            ManagedChannel channel = harness.channel();
+            Response stands = harness.sign(channel, "stands");
+            harness.time.pass(100);
+            Response open = harness.check(channel, "open");
             channel.shutdown();
-            Heard late = field.check(channel, "late");
+            Response late = harness.check(channel, "late");
             assertEquals(Status.Code.UNAVAILABLE, late.code());
-            field.time.pass(9000);
+            harness.time.pass(9000);
             assertEquals(Status.Code.OK, open.code());
             assertEquals(Status.Code.OK, stands.code());
-            assertEquals(0, field.rules.attempts("late"));
+            assertEquals(0, harness.rules.attempts("late"));
             assertTrue(channel.isTerminated());
         }
     }
 
     @Test
     void aPluginThatIsClosedAnswersWhatIsOpenAndLetsStreamsGoOn() {
-        try (Field field = new Field("a")) {
-            ManagedChannel channel = field.channel();
-            Heard stands = field.sign(channel, "stands");
-            field.time.pass(100);
-            Heard open = field.check(channel, "open");
-            field.pathlane.close();
+        try (PluginHarness harness = new PluginHarness("a")) {
+            ManagedChannel channel = harness.channel();
+            Response stands = harness.sign(channel, "stands");
+            harness.time.pass(100);
+            Response open = harness.check(channel, "open");
+            harness.pathlane.close();
             assertEquals(Status.Code.UNAVAILABLE, open.code());
-            assertEquals(Status.Code.UNAVAILABLE, field.check(channel, "late").code());
-            field.time.pass(9000);
+            assertEquals(Status.Code.UNAVAILABLE, harness.check(channel, "late").code());
+            harness.time.pass(9000);
             assertEquals(Status.Code.OK, stands.code());
             assertEquals(1, open.closes);
         }
@@ -290,30 +290,30 @@
 
     @Test
     void aContextThatIsCancelledGivesItsCallUp() {
-        try (Field field = new Field("a")) {
-            ManagedChannel channel = field.channel();
-            field.processors.get("a").silent();
+        try (PluginHarness harness = new PluginHarness("a")) {
+            ManagedChannel channel = harness.channel();
+            harness.processors.get("a").silent();
             Context.CancellableContext context = Context.current().withCancellation();
-            Heard[] heard = new Heard[1];
-            context.run(() -> heard[0] = field.check(channel, "one"));
-            field.time.pass(100);
+            Response[] response = new Response[1];
+            context.run(() -> response[0] = harness.check(channel, "one"));
+            harness.time.pass(100);
             context.cancel(null);
-            assertEquals(Status.Code.CANCELLED, heard[0].code());
-            assertEquals(1, field.pathlane.counters().value(Name.GIVEN_UP_BY_CALLER));
-            assertEquals(0, field.pathlane.engine().controller().openCalls());
+            assertEquals(Status.Code.CANCELLED, response[0].code());
+            assertEquals(1, harness.pathlane.counters().value(Name.GIVEN_UP_BY_CALLER));
+            assertEquals(0, harness.pathlane.engine().controller().openCalls());
         }
     }
 
     @Test
     void anIdleChannelForgetsNoServerAndServesAgain() {
-        try (Field field = new Field("a", "b")) {
-            ManagedChannel channel = field.channel();
-            field.check(channel, "one");
-            field.time.pass(100);
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            ManagedChannel channel = harness.channel();
+            harness.check(channel, "one");
+            harness.time.pass(100);
             channel.enterIdle();
-            field.time.pass(20_000);
-            Heard again = field.check(channel, "two");
-            field.time.pass(100);
+            harness.time.pass(20_000);
+            Response again = harness.check(channel, "two");
+            harness.time.pass(100);
             assertEquals(Status.Code.OK, again.code());
         }
     }
--- a/grpc/src/test/java/pathlane/grpc/Field.java
+++ b/grpc/src/test/java/pathlane/grpc/PluginHarness.java
@@ -36,7 +36,7 @@
 import pathlane.standin.VirtualTime;
 
 /** Stand-in servers, a resolver and a plug-in's channels in one thread and in virtual time. */
-final class Field implements AutoCloseable {
+final class PluginHarness implements AutoCloseable {
 
     static final String SETTINGS = """
             {"balancers": 1, "tick-ms": 5,
@@ -48,10 +48,10 @@
              "rules": {"cold-from": 0.28, "cold-ms": 13000, "fall-multiple": 3, "fall-ms": 1500},
              "specifics": {"clear-wait-ms": 200, "t1-ms": 500}}
             """;
-    private static final AtomicInteger FIELDS = new AtomicInteger();
+    private static final AtomicInteger HARNESSES = new AtomicInteger();
 
     /** One answer, as the application hears it. */
-    final class Heard extends ClientCall.Listener<byte[]> {
+    final class Response extends ClientCall.Listener<byte[]> {
         ClientCall<byte[], byte[]> call;
         final List<String> messages = new ArrayList<>();
         Status status;
@@ -90,17 +90,17 @@
     final List<Server> servers = new ArrayList<>();
     final List<ManagedChannel> channels = new ArrayList<>();
     final Pathlane pathlane;
-    private final String scheme = "field" + FIELDS.incrementAndGet();
+    private final String scheme = "field" + HARNESSES.incrementAndGet();
     private final Map<NameResolver.Listener2, SynchronizationContext> listeners = new LinkedHashMap<>();
     private List<String> listed = List.of();
     private Map<String, ?> resolvedConfig;
     private final NameResolverProvider provider = new Provider();
 
-    Field(String... names) {
+    PluginHarness(String... names) {
         this(Pathlane.builder().configuration(SETTINGS), names);
     }
 
-    Field(Pathlane.Builder builder, String... names) {
+    PluginHarness(Pathlane.Builder builder, String... names) {
         NameResolverRegistry.getDefaultRegistry().register(provider);
         pathlane = builder.seed(7).time(turn -> time).build();
         for (String name : names) {
@@ -158,29 +158,29 @@
     }
 
     /** Calls with a key by which the rules are watched over all tries. */
-    Heard call(ManagedChannel channel, MethodDescriptor<byte[], byte[]> method, CallOptions options, String key) {
+    Response call(ManagedChannel channel, MethodDescriptor<byte[], byte[]> method, CallOptions options, String key) {
         return call(channel, method, options, key, key);
     }
 
-    Heard call(ManagedChannel channel, MethodDescriptor<byte[], byte[]> method, CallOptions options, String key,
+    Response call(ManagedChannel channel, MethodDescriptor<byte[], byte[]> method, CallOptions options, String key,
                String request) {
-        Heard heard = new Heard();
+        Response response = new Response();
         ClientCall<byte[], byte[]> call = channel.newCall(method, options);
-        heard.call = call;
+        response.call = call;
         Metadata headers = new Metadata();
         headers.put(GrpcFront.CALL, key);
-        call.start(heard, headers);
+        call.start(response, headers);
         call.request(2);
         call.sendMessage(request.getBytes(StandardCharsets.UTF_8));
         call.halfClose();
-        return heard;
+        return response;
     }
 
-    Heard check(ManagedChannel channel, String key) {
+    Response check(ManagedChannel channel, String key) {
         return call(channel, GrpcFront.CHECK, CallOptions.DEFAULT, key);
     }
 
-    Heard sign(ManagedChannel channel, String key) {
+    Response sign(ManagedChannel channel, String key) {
         return call(channel, GrpcFront.SIGN, CallOptions.DEFAULT.withOption(PathlaneOptions.CLASS, "deadline-sign"),
                 key);
     }
--- a/grpc/src/test/java/pathlane/grpc/RetryTest.java
+++ b/grpc/src/test/java/pathlane/grpc/RetryTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pathlane.grpc.Field.Heard;
+import pathlane.grpc.PluginHarness.Response;
 import pathlane.standin.GrpcFront;
 
 /** Applications whose own loops call again: every try counts under the first, and none leaves within the gap. */
@@ -18,41 +18,41 @@
     private static final int TRIES = 6;
 
     /** Tries until it stands, each given up after so long and followed at once by the next. */
-    private static List<Heard> loop(Field field, ManagedChannel channel, CallOptions options, String key,
+    private static List<Response> loop(PluginHarness harness, ManagedChannel channel, CallOptions options, String key,
                                     boolean sameRequest, long eachMs) {
-        List<Heard> tries = new ArrayList<>();
-        tryOnce(field, channel, options, key, sameRequest, eachMs, tries);
+        List<Response> tries = new ArrayList<>();
+        tryOnce(harness, channel, options, key, sameRequest, eachMs, tries);
         return tries;
     }
 
-    private static void tryOnce(Field field, ManagedChannel channel, CallOptions options, String key,
-                                boolean sameRequest, long eachMs, List<Heard> tries) {
+    private static void tryOnce(PluginHarness harness, ManagedChannel channel, CallOptions options, String key,
+                                boolean sameRequest, long eachMs, List<Response> tries) {
         String request = sameRequest ? key : key + ", try " + tries.size();
-        Heard heard = field.call(channel, GrpcFront.CHECK, options, key, request);
-        tries.add(heard);
-        heard.onClose = () -> {
-            if (!heard.status.isOk() && tries.size() < TRIES) {
-                tryOnce(field, channel, options, key, sameRequest, eachMs, tries);
+        Response response = harness.call(channel, GrpcFront.CHECK, options, key, request);
+        tries.add(response);
+        response.onClose = () -> {
+            if (!response.status.isOk() && tries.size() < TRIES) {
+                tryOnce(harness, channel, options, key, sameRequest, eachMs, tries);
             }
         };
-        field.time.after(java.time.Duration.ofMillis(eachMs), () -> {
-            if (heard.closes == 0) {
-                heard.call.cancel("the application's own patience is over", null);
+        harness.time.after(java.time.Duration.ofMillis(eachMs), () -> {
+            if (response.closes == 0) {
+                response.call.cancel("the application's own patience is over", null);
             }
         });
     }
 
     private static void keepsTheGap(CallOptions options, boolean sameRequest) {
-        try (Field field = new Field("a", "b")) {
-            ManagedChannel channel = field.channel();
-            field.processors.values().forEach(processor -> processor.silent());
-            List<Heard> tries = loop(field, channel, options, "one", sameRequest, 300);
-            field.time.pass(10_000);
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            ManagedChannel channel = harness.channel();
+            harness.processors.values().forEach(processor -> processor.silent());
+            List<Response> tries = loop(harness, channel, options, "one", sameRequest, 300);
+            harness.time.pass(10_000);
             assertEquals(TRIES, tries.size());
-            assertTrue(tries.stream().allMatch(heard -> heard.closes == 1));
-            assertEquals(new Pathlane.Tries(1, TRIES - 1, TRIES - 1), field.pathlane.tries());
-            assertTrue(field.rules.attempts("one") >= 4, "attempts " + field.rules.attempts("one"));
-            assertEquals(List.of(), field.rules.broken());
+            assertTrue(tries.stream().allMatch(response -> response.closes == 1));
+            assertEquals(new Pathlane.Tries(1, TRIES - 1, TRIES - 1), harness.pathlane.tries());
+            assertTrue(harness.rules.attempts("one") >= 4, "attempts " + harness.rules.attempts("one"));
+            assertEquals(List.of(), harness.rules.broken());
         }
     }
 
@@ -68,62 +68,63 @@
 
     @Test
     void whoAsksSomethingElseIsNobodysRetryAndWaitsForNothing() {
-        try (Field field = new Field("a", "b")) {
-            ManagedChannel channel = field.channel();
-            Heard given = field.check(channel, "one");
-            field.time.pass(1);
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            ManagedChannel channel = harness.channel();
+            Response given = harness.check(channel, "one");
+            harness.time.pass(1);
             given.call.cancel("enough", null);
-            Heard other = field.check(channel, "two");
-            field.time.pass(150);
+            Response other = harness.check(channel, "two");
+            harness.time.pass(150);
             assertEquals(Status.Code.OK, other.code());
-            assertEquals(new Pathlane.Tries(2, 0, 0), field.pathlane.tries());
+            assertEquals(new Pathlane.Tries(2, 0, 0), harness.pathlane.tries());
         }
     }
 
     @Test
     void aRetryThatCannotStandInTimeHearsSoAtOnceAndWhenToComeBack() {
-        String brief = Field.SETTINGS.replace("\"deadline-ms\": 9000", "\"deadline-ms\": 150");
-        try (Field field = new Field(Pathlane.builder().configuration(brief).defaultClass("status-check"), "a")) {
-            ManagedChannel channel = field.channel();
-            Heard given = field.check(channel, "one");
-            field.time.pass(1);
+        String brief = PluginHarness.SETTINGS.replace("\"deadline-ms\": 9000", "\"deadline-ms\": 150");
+        try (PluginHarness harness =
+                new PluginHarness(Pathlane.builder().configuration(brief).defaultClass("status-check"), "a")) {
+            ManagedChannel channel = harness.channel();
+            Response given = harness.check(channel, "one");
+            harness.time.pass(1);
             given.call.cancel("enough", null);
-            Heard retry = field.check(channel, "one");
+            Response retry = harness.check(channel, "one");
             assertEquals(Status.Code.RESOURCE_EXHAUSTED, retry.code());
             assertEquals("200", retry.trailers.get(Endings.PUSHBACK));
-            assertEquals(1, field.rules.attempts("one"));
+            assertEquals(1, harness.rules.attempts("one"));
         }
     }
 
     @Test
     void aCallThatStoodIsAskedAnewAfterwards() {
-        try (Field field = new Field("a")) {
-            ManagedChannel channel = field.channel();
-            Heard given = field.check(channel, "one");
+        try (PluginHarness harness = new PluginHarness("a")) {
+            ManagedChannel channel = harness.channel();
+            Response given = harness.check(channel, "one");
             given.call.cancel("enough", null);
-            field.check(channel, "one");
-            field.time.pass(1000);
-            field.check(channel, "one");
-            field.time.pass(1000);
-            assertEquals(new Pathlane.Tries(2, 1, 1), field.pathlane.tries());
+            harness.check(channel, "one");
+            harness.time.pass(1000);
+            harness.check(channel, "one");
+            harness.time.pass(1000);
+            assertEquals(new Pathlane.Tries(2, 1, 1), harness.pathlane.tries());
         }
     }
 
     @Test
     void aStreamThatWasCutWaitsForTheGapWhenItComesAgain() {
-        try (Field field = new Field("a", "b")) {
-            ManagedChannel channel = field.channel();
-            Heard heard = field.sign(channel, "one");
-            field.time.pass(300);
-            assertEquals(List.of("one"), heard.messages);
-            String there = field.processors.get("a").standing() == 1 ? "a" : "b";
-            field.processors.get(there).stop();
-            assertEquals(Status.Code.UNAVAILABLE, heard.code());
-            Heard again = field.sign(channel, "one");
-            field.time.pass(1000);
+        try (PluginHarness harness = new PluginHarness("a", "b")) {
+            ManagedChannel channel = harness.channel();
+            Response response = harness.sign(channel, "one");
+            harness.time.pass(300);
+            assertEquals(List.of("one"), response.messages);
+            String there = harness.processors.get("a").standing() == 1 ? "a" : "b";
+            harness.processors.get(there).stop();
+            assertEquals(Status.Code.UNAVAILABLE, response.code());
+            Response again = harness.sign(channel, "one");
+            harness.time.pass(1000);
             assertEquals(List.of("one"), again.messages);
-            assertEquals(List.of(), field.rules.broken());
-            assertEquals(1, field.pathlane.tries().heldBack());
+            assertEquals(List.of(), harness.rules.broken());
+            assertEquals(1, harness.pathlane.tries().heldBack());
         }
     }
 }
--- a/grpc/src/test/java/pathlane/grpc/SharedColdTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SharedColdTest.java
@@ -23,7 +23,7 @@
 import pathlane.core.SetUp;
 import pathlane.decision.Gateway.Ending;
 import pathlane.decision.Gateway.Mode;
-import pathlane.grpc.Field.Heard;
+import pathlane.grpc.PluginHarness.Response;
 import pathlane.link.Connection;
 import pathlane.link.Dialer;
 import pathlane.link.Protocol;
@@ -62,19 +62,19 @@
 
     /** Both ends of a connection, in virtual time. */
     private static final class Wire implements Connection {
-        private final Field field;
+        private final PluginHarness harness;
         private Protocol own;
         private Protocol other;
         private Wire back;
         private boolean closed;
 
-        Wire(Field field) {
-            this.field = field;
+        Wire(PluginHarness harness) {
+            this.harness = harness;
         }
 
         @Override
         public void write(byte[] bytes) {
-            field.time.after(Duration.ofMillis(1), () -> {
+            harness.time.after(Duration.ofMillis(1), () -> {
                 if (!closed) {
                     other.received(ByteBuffer.wrap(bytes));
                 }
@@ -83,7 +83,7 @@
 
         @Override
         public void close(ConnectionEnd why) {
-            field.time.after(Duration.ZERO, () -> {
+            harness.time.after(Duration.ZERO, () -> {
                 if (!closed) {
                     closed = true;
                     back.closed = true;
@@ -100,7 +100,7 @@
     }
 
     private static String settings(boolean stated, int number) {
-        String two = Field.SETTINGS.replace("\"balancers\": 1", "\"balancers\": 2");
+        String two = PluginHarness.SETTINGS.replace("\"balancers\": 1", "\"balancers\": 2");
         return stated ? two.replaceFirst("\\{", "{\"cold-share\": {\"set-ups-per-second\": 30, \"senders\": 2, "
                 + "\"number\": " + number + "}, ") : two;
     }
@@ -112,34 +112,34 @@
     @ParameterizedTest
     @CsvSource({"true, 60, 60", "false, 60, 60", "true, 20, 120", "false, 20, 120", "true, 120, 20"})
     void togetherTheyStayUnderWhatAColdProcessorTolerates(boolean stated, int daemonRate, int pluginRate) {
-        try (Field field = new Field(Pathlane.builder().configuration(settings(stated, 1)))) {
+        try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(settings(stated, 1)))) {
             for (String name : List.of("a", "b")) {
-                field.add(name, 60);
-                field.lines.put(name, line(name, 0));
+                harness.add(name, 60);
+                harness.lines.put(name, line(name, 0));
             }
-            field.list("a", "b");
-            CallController daemon = daemon(field, settings(stated, 0));
-            daemon.listed(true, List.of(field.lines.get("a"), field.lines.get("b")));
-            ManagedChannel channel = field.channel();
+            harness.list("a", "b");
+            CallController daemon = daemon(harness, settings(stated, 0));
+            daemon.listed(true, List.of(harness.lines.get("a"), harness.lines.get("b")));
+            ManagedChannel channel = harness.channel();
             Callers callers = new Callers();
             daemon.callerOpened(callers);
-            List<Heard> heard = new ArrayList<>();
-            play(field, daemon, callers, channel, heard, 6, pluginRate, daemonRate);
-            field.processors.get("b").drain(Duration.ofSeconds(2));
-            field.add("c").startCold();
-            field.lines.put("c", line("c", field.time.nowMs()));
-            field.list("a", "c");
-            daemon.listed(true, List.of(field.lines.get("a"), field.lines.get("c")));
-            play(field, daemon, callers, channel, heard, 14, daemonRate, pluginRate);
-            field.time.pass(15_000);
-
-            Processor cold = field.processors.get("c");
+            List<Response> response = new ArrayList<>();
+            play(harness, daemon, callers, channel, response, 6, pluginRate, daemonRate);
+            harness.processors.get("b").drain(Duration.ofSeconds(2));
+            harness.add("c").startCold();
+            harness.lines.put("c", line("c", harness.time.nowMs()));
+            harness.list("a", "c");
+            daemon.listed(true, List.of(harness.lines.get("a"), harness.lines.get("c")));
+            play(harness, daemon, callers, channel, response, 14, daemonRate, pluginRate);
+            harness.time.pass(15_000);
+
+            Processor cold = harness.processors.get("c");
             assertTrue(!cold.fell() && cold.mostOfBudget() < 1, "used of the budget: " + cold.mostOfBudget());
             assertTrue(cold.answers() > 50, "answered by the cold one: " + cold.answers());
-            assertTrue(heard.stream().allMatch(one -> one.closes == 1));
+            assertTrue(response.stream().allMatch(one -> one.closes == 1));
             assertTrue(callers.finals.values().stream().allMatch(count -> count == 1));
             assertEquals(14 * daemonRate + 6 * pluginRate, callers.finals.size());
-            assertEquals(List.of(), field.rules.broken());
+            assertEquals(List.of(), harness.rules.broken());
         }
     }
 
@@ -150,39 +150,40 @@
     @Test
     void fortyDaemonsAndAPluginTakeTurnsAtAColdProcessor() {
         int daemons = 40;
-        String shared = Field.SETTINGS.replace("\"balancers\": 1", "\"balancers\": " + (daemons + 1)).replaceFirst("\\{",
+        String shared = PluginHarness.SETTINGS.replace("\"balancers\": 1", "\"balancers\": " + (daemons + 1)).replaceFirst(
+                "\\{",
                 "{\"cold-share\": {\"set-ups-per-second\": 10, \"senders\": " + (daemons + 1) + ", \"number\": NUMBER}, ");
-        try (Field field = new Field(Pathlane.builder().configuration(shared.replace("NUMBER", "40")))) {
-            field.add("a", 400);
-            field.lines.put("a", line("a", 0));
-            field.list("a");
-            ManagedChannel channel = field.channel();
+        try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(shared.replace("NUMBER", "40")))) {
+            harness.add("a", 400);
+            harness.lines.put("a", line("a", 0));
+            harness.list("a");
+            ManagedChannel channel = harness.channel();
             List<CallController> controllers = new ArrayList<>();
             Callers callers = new Callers();
             for (int i = 0; i < daemons; i++) {
-                CallController daemon = daemon(field, shared.replace("NUMBER", Integer.toString(i)));
-                daemon.listed(true, List.of(field.lines.get("a")));
+                CallController daemon = daemon(harness, shared.replace("NUMBER", Integer.toString(i)));
+                daemon.listed(true, List.of(harness.lines.get("a")));
                 daemon.callerOpened(callers);
                 controllers.add(daemon);
             }
-            List<Heard> heard = new ArrayList<>();
+            List<Response> response = new ArrayList<>();
             for (int step = 0; step < 16 * 200; step++) {
                 if (step == 600) {
-                    field.add("c", 10).startCold();
-                    field.lines.put("c", line("c", field.time.nowMs()));
-                    field.list("a", "c");
-                    controllers.forEach(one -> one.listed(false, List.of(field.lines.get("c"))));
+                    harness.add("c", 10).startCold();
+                    harness.lines.put("c", line("c", harness.time.nowMs()));
+                    harness.list("a", "c");
+                    controllers.forEach(one -> one.listed(false, List.of(harness.lines.get("c"))));
                 }
                 String id = String.format("%016x", ++callers.issued);
                 controllers.get(step % daemons).setUp(new SetUp(id, 0, "d" + id, Duration.ofMillis(3000),
                         step >= 600 ? 2 : -1, new byte[] {1}), callers);
                 if (step % 40 == 0) {
-                    heard.add(field.check(channel, "p" + heard.size()));
+                    response.add(harness.check(channel, "p" + response.size()));
                 }
-                field.time.pass(5);
+                harness.time.pass(5);
             }
-            field.time.pass(15_000);
-            Processor cold = field.processors.get("c");
+            harness.time.pass(15_000);
+            Processor cold = harness.processors.get("c");
             assertTrue(!cold.fell() && cold.mostOfBudget() < 1, "used of the budget: " + cold.mostOfBudget());
             assertTrue(cold.answers() > 20, "answered by the cold one: " + cold.answers());
             assertTrue(callers.finals.values().stream().allMatch(count -> count == 1));
@@ -190,8 +191,8 @@
         }
     }
 
-    private static void play(Field field, CallController daemon, Callers callers, ManagedChannel channel,
-                             List<Heard> heard, int seconds, int daemonRate, int pluginRate) {
+    private static void play(PluginHarness harness, CallController daemon, Callers callers, ManagedChannel channel,
+                             List<Response> response, int seconds, int daemonRate, int pluginRate) {
         int steps = 1000 / 5;
         for (int step = 0; step < seconds * steps; step++) {
             int inSecond = step % steps;
@@ -200,9 +201,9 @@
                 daemon.setUp(new SetUp(id, 0, "d" + id, Duration.ofMillis(3000), -1, new byte[] {1}), callers);
             }
             for (int i = inSecond * pluginRate / steps; i < (inSecond + 1) * pluginRate / steps; i++) {
-                heard.add(field.check(channel, "p" + heard.size()));
+                response.add(harness.check(channel, "p" + response.size()));
             }
-            field.time.pass(5);
+            harness.time.pass(5);
         }
     }
 
@@ -211,14 +212,15 @@
                 name.charAt(0) - 'a', 1, java.time.Instant.ofEpochMilli((long) startedMs));
     }
 
-    private static CallController daemon(Field field, String settings) {
+    private static CallController daemon(PluginHarness harness, String settings) {
         NodeConfig config = NodeConfig.parse("{\"name\": \"d\", \"listen\": \"127.0.0.1:0\", \"seed\": \"3\","
                 + "\"limits\": {\"sockets\": 1024}, \"settings\": " + settings + "}");
-        Dialer dialer = (address, timeout, protocol) -> field.time.after(Duration.ofMillis(1), () -> {
+        Dialer dialer = (address, timeout, protocol) -> harness.time.after(Duration.ofMillis(1), () -> {
             String name = String.valueOf((char) (address.getPort() - 5000));
-            PlatformServer server = new PlatformServer(name, field.processors.get(name), field.time, HOLDS, field.rules);
-            Wire up = new Wire(field);
-            Wire down = new Wire(field);
+            PlatformServer server =
+                    new PlatformServer(name, harness.processors.get(name), harness.time, HOLDS, harness.rules);
+            Wire up = new Wire(harness);
+            Wire down = new Wire(harness);
             up.other = server;
             up.own = protocol;
             up.back = down;
@@ -228,6 +230,6 @@
             server.opened(down);
             protocol.opened(up);
         });
-        return new PlatformFront(config, dialer, field.time, () -> true, Optional::empty).controller();
+        return new PlatformFront(config, dialer, harness.time, () -> true, Optional::empty).controller();
     }
 }
--- a/grpc/src/test/java/pathlane/grpc/SocketTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SocketTest.java
@@ -44,7 +44,7 @@
         "HEADERS_THEN_DROP, ATTEMPTS_RESET", "ENHANCE_CALM, ATTEMPTS_IN_ERROR"})
     void aStreamThatEndsSoIsCountedSoAndTriedAgainByTheModuleAlone(Act act, Name counted) {
         try (RawServer server = new RawServer(act);
-                Pathlane pathlane = Pathlane.builder().configuration(Field.SETTINGS).build()) {
+                Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
             ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget(server.target()).usePlaintext())
                     .build();
             try {
@@ -66,7 +66,7 @@
     @Test
     void aCallThatNobodyAnswersHearsSoBeforeItsDeadline() {
         try (RawServer server = new RawServer(Act.SILENCE, Act.SILENCE, Act.SILENCE);
-                Pathlane pathlane = Pathlane.builder().configuration(Field.SETTINGS).build()) {
+                Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
             ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget(server.target()).usePlaintext())
                     .build();
             try {
@@ -84,7 +84,7 @@
 
     @Test
     void nobodyListensAndCallsHearSoInTime() {
-        try (Pathlane pathlane = Pathlane.builder().configuration(Field.SETTINGS).build()) {
+        try (Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
             ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget("127.0.0.1:1").usePlaintext())
                     .build();
             try {
@@ -106,7 +106,7 @@
     void aGoAwayAmidABurstCostsNoCallItsAnswerAndMakesNoSecondAttempt() throws Exception {
         ScheduledExecutorService turn = Executors.newSingleThreadScheduledExecutor();
         ExecutorService callers = Executors.newFixedThreadPool(4);
-        Pathlane pathlane = Pathlane.builder().configuration(Field.SETTINGS).build();
+        Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build();
         pathlane.standin.RuleBook rules = new pathlane.standin.RuleBook(200);
         LoopTime time = new LoopTime(turn, turn);
         List<Server> servers = new ArrayList<>();
@@ -114,7 +114,7 @@
         try {
             for (String name : List.of("a", "b")) {
                 Processor processor = new Processor(Processor.Model.of(2000,
-                        PluginConfig.read(Field.SETTINGS).settings().rules()), time);
+                        PluginConfig.read(PluginHarness.SETTINGS).settings().rules()), time);
                 servers.add(NettyServerBuilder.forAddress(new InetSocketAddress("127.0.0.1", 0))
                         .addService(new GrpcFront(name, processor, time, turn, Duration.ofSeconds(1), rules).service())
                         .build().start());
--- a/handover/src/main/java/pathlane/handover/Handover.java
+++ b/handover/src/main/java/pathlane/handover/Handover.java
@@ -18,16 +18,16 @@
 import java.util.function.Supplier;
 import pathlane.core.CallController;
 import pathlane.core.CallEvent;
+import pathlane.core.CallReplication;
 import pathlane.core.CallerPort;
-import pathlane.core.Cover;
 import pathlane.core.Scheduler;
 import pathlane.decision.Gateway.Ending;
+import pathlane.group.LeaseHolder;
 import pathlane.group.Placement;
 import pathlane.group.Register;
 import pathlane.group.RegisterClient;
 import pathlane.group.Registrar;
 import pathlane.group.SealedLink;
-import pathlane.group.Seat;
 import pathlane.link.Dialer;
 import pathlane.link.Protocol;
 import pathlane.link.RateLimit;
@@ -36,9 +36,9 @@
  * One controller's part in a group whose members go on with each other's calls: its lease, its records at others, what it
  * keeps for others, and what it takes over. On the loop's thread.
  *
- * <p>Rule: it writes something that concerns a call others may act on only while its lease is sure ({@link #mayAct}).
+ * <p>Rule: it writes something that concerns a call others may act on only while its lease is valid ({@link #mayAct}).
  */
-public final class Handover implements Cover, Seat.Holder {
+public final class Handover implements CallReplication, LeaseHolder.Listener {
 
     private static final Logger LOG = System.getLogger("group");
     private static final byte[] NOTHING = {};
@@ -50,8 +50,8 @@
     /** The bus may name a server up to 9.5 s late: an adopted call's is waited for so long. */
     private static final Duration NAMED_BY = Duration.ofSeconds(10);
     /** Things that happened to calls that are not known here: so many at once, and one more each so often. */
-    private static final int STRAYS_AT_ONCE = 1_000;
-    private static final Duration STRAY_EVERY = Duration.ofMillis(2);
+    private static final int ORPHANED_EVENTS_AT_ONCE = 1_000;
+    private static final Duration ORPHANED_EVENT_EVERY = Duration.ofMillis(2);
 
     private record Place(long owner, int slot) { }
 
@@ -62,14 +62,14 @@
     private final Scheduler scheduler;
     private final Registrar registrar;
     private final RegisterClient client;
-    private final Seat seat;
+    private final LeaseHolder leaseHolder;
     private final Links links;
-    private final Ledger ledger;
-    private final Keeping keeping;
+    private final ReplicationLog replicationLog;
+    private final ReplicaStore replicaStore;
     private final Succession succession;
-    private final Strays strays;
-    private final TakeBack takeBack;
-    private final RateLimit strayLimit;
+    private final OrphanedEvents orphanedEvents;
+    private final Reclaim reclaim;
+    private final RateLimit orphanedEventLimit;
     private final Map<String, List<CallEvent>> parked = new LinkedHashMap<>();
     private final Map<String, Loose> loose = new HashMap<>();
     /** Calls gone on with whose slot is not settled: their former records are still there. */
@@ -97,22 +97,23 @@
         this.scheduler = common.scheduler();
         this.client = new RegisterClient(voters, dialer, common, this::registerChanged);
         this.registrar = client;
-        this.seat = new Seat(terms.name(), incarnation, terms.address(), terms.copies(), terms.lease(), client, scheduler,
-                nanos, this);
-        this.keeping = new Keeping(scheduler, terms.clearWait());
-        this.links = new Links(dialer, common, client, seat::token, new Incoming());
-        this.ledger = new Ledger(client, scheduler, terms.window(), new LedgerOut());
-        this.succession = new Succession(client, seat, scheduler, keeping, terms.pace(), new SuccessionWork());
-        this.strays = new Strays(client, scheduler, keeping, new StraysOut());
-        this.takeBack = new TakeBack(client, new TakeBackOut());
-        this.strayLimit = new RateLimit(STRAYS_AT_ONCE, STRAY_EVERY, scheduler);
-    }
-
-    /** Begins; the controller is the one that has this as its cover. */
+        this.leaseHolder =
+                new LeaseHolder(terms.name(), incarnation, terms.address(), terms.copies(), terms.lease(), client, scheduler,
+                        nanos, this);
+        this.replicaStore = new ReplicaStore(scheduler, terms.clearWait());
+        this.links = new Links(dialer, common, client, leaseHolder::token, new Incoming());
+        this.replicationLog = new ReplicationLog(client, scheduler, terms.window(), new LogTransport());
+        this.succession = new Succession(client, leaseHolder, scheduler, replicaStore, terms.pace(), new SuccessionWork());
+        this.orphanedEvents = new OrphanedEvents(client, scheduler, replicaStore, new OrphanedEventPeers());
+        this.reclaim = new Reclaim(client, new ReclaimListener());
+        this.orphanedEventLimit = new RateLimit(ORPHANED_EVENTS_AT_ONCE, ORPHANED_EVENT_EVERY, scheduler);
+    }
+
+    /** Begins; the controller is the one that replicates its calls by this. */
     public void start(CallController of) {
         controller = of;
         client.start();
-        seat.start();
+        leaseHolder.start();
         tick();
     }
 
@@ -127,18 +128,18 @@
             return;
         }
         leaving = true;
-        ledger.flush();
+        replicationLog.flush();
         leaveOnceKept(scheduler.now().plus(FLUSH_MOST), done);
     }
 
     private void leaveOnceKept(Instant until, Runnable done) {
-        if (seat.isSure() && !ledger.isKept() && scheduler.now().isBefore(until)) {
+        if (leaseHolder.isValid() && !replicationLog.isKept() && scheduler.now().isBefore(until)) {
             scheduler.after(terms.window().plusMillis(1), () -> leaveOnceKept(until, done));
             return;
         }
-        long token = seat.token();
-        LOG.log(Level.INFO, "leaves the group: {0} calls are handed over", Integer.toString(ledger.shared().size()));
-        seat.leave();
+        long token = leaseHolder.token();
+        LOG.log(Level.INFO, "leaves the group: {0} calls are handed over", Integer.toString(replicationLog.shared().size()));
+        leaseHolder.leave();
         awaitLeft(token, scheduler.now().plus(LEAVE_MOST), done);
     }
 
@@ -163,26 +164,28 @@
 
     /** What there is to see, as a line for the log. */
     public String line() {
-        return "lease=" + seat.token() + " sure=" + seat.isSure() + " covered=" + isCovered() + " members="
+        return "lease=" + leaseHolder.token() + " sure=" + leaseHolder.isValid() + " covered=" + isReplicated() + " members="
                 + registrar.seen().members().size()
-                + " records=" + ledger.size() + " keeps=" + keeping.size() + " taken_over=" + succession.adopted()
+                + " records=" + replicationLog.size() + " keeps=" + replicaStore.size() + " taken_over="
+                + succession.adopted()
                 + " parked=" + parked.size();
     }
 
     /** The lease's token; 0 while there is none. */
     public long token() {
-        return seat.token();
+        return leaseHolder.token();
     }
 
-    /** Whether the lease is sure. */
-    public boolean isSure() {
-        return seat.isSure();
+    /** Whether the lease is valid. */
+    public boolean isLeaseValid() {
+        return leaseHolder.isValid();
     }
 
     /** Whether all of this controller's records are where the register looks for them. */
-    public boolean isCovered() {
+    public boolean isReplicated() {
         Register register = registrar.seen();
-        return seat.isSure() && register.covered(seat.token()) == register.view() && ledger.isKept();
+        return leaseHolder.isValid() && register.replicatedView(leaseHolder.token()) == register.view()
+                && replicationLog.isKept();
     }
 
     /** The register as it was last seen. */
@@ -192,7 +195,7 @@
 
     /** What is left to do for a call by what is known here, its own or another's; empty where nothing is. */
     public Optional<CallRecord.Kind> knows(String call) {
-        return ledger.record(call).map(CallRecord::kind).or(() -> keeping.kindOf(call));
+        return replicationLog.record(call).map(CallRecord::kind).or(() -> replicaStore.kindOf(call));
     }
 
     /** Calls of others that this one went on with. */
@@ -204,28 +207,28 @@
 
     @Override
     public void sent(String call, long server, Duration patience, CallerPort caller, Supplier<byte[]> ending) {
-        ledger.put(CallRecord.sent(call, server, caller.key(), patience, ending.get()));
+        replicationLog.put(CallRecord.sent(call, server, caller.key(), patience, ending.get()));
     }
 
     @Override
     public void attemptOver(String call, long server, Duration wait, CallerPort caller) {
-        ledger.put(CallRecord.waits(call, server, caller.key(), wait, ending(call)));
+        replicationLog.put(CallRecord.waits(call, server, caller.key(), wait, ending(call)));
     }
 
     @Override
     public void stands(String call, long server, CallerPort caller) {
         loose.remove(call);
-        ledger.put(CallRecord.stands(call, server, caller.key(), ending(call)));
+        replicationLog.put(CallRecord.stands(call, server, caller.key(), ending(call)));
     }
 
     private byte[] ending(String call) {
-        return ledger.record(call).map(CallRecord::ending).orElse(NOTHING);
+        return replicationLog.record(call).map(CallRecord::ending).orElse(NOTHING);
     }
 
     @Override
     public void answer(String call, int callClass, Runnable write) {
-        if (terms.waiting().contains(callClass) && seat.isSure()) {
-            ledger.whenKept(call, terms.waitMost(), write);
+        if (terms.waiting().contains(callClass) && leaseHolder.isValid()) {
+            replicationLog.whenKept(call, terms.waitMost(), write);
         } else {
             write.run();
         }
@@ -233,34 +236,34 @@
 
     @Override
     public void owesCaller(String call, CallerPort caller, Ending how) {
-        ledger.put(CallRecord.owesCaller(call, caller == null ? "" : caller.key(), how));
+        replicationLog.put(CallRecord.owesCaller(call, caller == null ? "" : caller.key(), how));
     }
 
     @Override
     public void owesServer(String call, long server, byte[] ending) {
-        ledger.put(CallRecord.owesServer(call, server, ending));
+        replicationLog.put(CallRecord.owesServer(call, server, ending));
     }
 
     @Override
     public void over(String call) {
         if (unsettled.containsKey(call)) {
             // Guards against a successor that would go on with it by its former owner's records.
-            ledger.drop(call);
-            ledger.put(CallRecord.over(call));
+            replicationLog.drop(call);
+            replicationLog.put(CallRecord.over(call));
         } else {
-            ledger.drop(call);
+            replicationLog.drop(call);
         }
     }
 
     @Override
     public boolean mayAct(String call) {
         return !isOpen(call)
-                && (seat.isSure() || !ledger.isShared(call) && !unsettled.containsKey(call));
+                && (leaseHolder.isValid() || !replicationLog.isShared(call) && !unsettled.containsKey(call));
     }
 
     /** Whether it is not known yet if this member's own lease, which ended, left it the call. */
     private boolean isOpen(String call) {
-        return takeBack.contains(call);
+        return reclaim.contains(call);
     }
 
     @Override
@@ -276,94 +279,94 @@
         Loose attempt = loose.remove(event.call());
         if (attempt != null) {
             if (event instanceof CallEvent.Ended) {
-                ledger.drop(event.call());
+                replicationLog.drop(event.call());
                 return false;   // towards whichever connection from callers there is
             }
             over(event.call());
             controller.owedToServer(event.call(), attempt.record().server(), attempt.record().ending());
             return true;
         }
-        if (registrar.seen().members().size() < 2 || !strayLimit.take()) {
+        if (registrar.seen().members().size() < 2 || !orphanedEventLimit.take()) {
             return false;
         }
-        strays.tell(event);
+        orphanedEvents.tell(event);
         return true;
     }
 
     @Override
     public Duration heldBack(String call) {
-        return keeping.heldBack(call);
+        return replicaStore.heldBack(call);
     }
 
     // ---- from the lease
 
     @Override
-    public void seated(long token) {
+    public void granted(long token) {
         freedBy.clear();
-        ledger.begin(token);
+        replicationLog.begin(token);
         succession.look();
-        takeBack.ask();
+        reclaim.ask();
         replayParked();
     }
 
     @Override
     public void lapsed() {
-        ledger.pause();
+        replicationLog.pause();
         freedBy.clear();
         askToFree();
     }
 
     /** Guards calls against a group that can't agree: once no keeper will act on them, this controller may. */
     private void askToFree() {
-        if (!seat.hasLapsed() || stopped) {
+        if (!leaseHolder.hasLapsed() || stopped) {
             return;
         }
-        long owner = seat.token();
-        ledger.keepers().stream().filter(keeper -> !freedBy.contains(keeper))
+        long owner = leaseHolder.token();
+        replicationLog.keepers().stream().filter(keeper -> !freedBy.contains(keeper))
                 .forEach(keeper -> links.send(keeper, new PeerMessage.Free(owner)));
         scheduler.after(TICK, this::askToFree);
     }
 
     private void freed(long by, PeerMessage.Freed freed) {
-        if (!freed.free() || freed.owner() != seat.token()) {
+        if (!freed.free() || freed.owner() != leaseHolder.token()) {
             return;
         }
-        // Also where the lease is sure again by now: what the keeper dropped is not covered before it has it anew.
-        ledger.dropped(by);
-        if (!seat.hasLapsed()) {
+        // Also where the lease is valid again by now: what the keeper dropped is not replicated before it has it anew.
+        replicationLog.dropped(by);
+        if (!leaseHolder.hasLapsed()) {
             return;
         }
         freedBy.add(by);
-        if (freedBy.containsAll(ledger.keepers())) {
+        if (freedBy.containsAll(replicationLog.keepers())) {
             LOG.log(Level.INFO, "no agreement can be reached; all keepers have dropped their records, and calls are served "
                     + "uncovered");
-            seat.emptied();
-            ledger.freed();
+            leaseHolder.emptied();
+            replicationLog.freed();
             replayParked();
         }
     }
 
     @Override
-    public void sureAgain() {
-        ledger.resume();
+    public void validAgain() {
+        replicationLog.resume();
         replayParked();
     }
 
     @Override
     public void lost(long token) {
-        List<CallRecord> others = ledger.shared();
+        List<CallRecord> others = replicationLog.shared();
         Set<String> gone = new HashSet<>(unsettled.keySet());
         // What was taken over and not settled is looked up in this lease's records: its slots are others'.
         Set<Integer> unsettledSlots = new HashSet<>();
         unsettled.keySet().forEach(call -> unsettledSlots.add(Placement.slot(call)));
-        takeBack.begin(token, unsettledSlots);
+        reclaim.begin(token, unsettledSlots);
         int open = 0;
         for (CallRecord record : others) {
             if (unsettledSlots.contains(Placement.slot(record.call()))) {
                 gone.add(record.call());
             } else {
-                takeBack.add(token, record);
-                ledger.forget(record.call());
+                reclaim.add(token, record);
+                replicationLog.forget(record.call());
                 if (record.kind() != CallRecord.Kind.STANDS) {
                     controller.disown(record.call());   // what is owed is not told before it is known whose it is
                 }
@@ -376,9 +379,9 @@
                 Integer.toString(gone.size()), Integer.toString(open));
         gone.forEach(call -> {
             controller.disown(call);
-            ledger.forget(call);
+            replicationLog.forget(call);
         });
-        ledger.end();
+        replicationLog.end();
         succession.stop();
         unsettled.clear();
         wentOn.clear();
@@ -396,7 +399,7 @@
             if (isOpen(one.getKey()) && !leaving) {
                 parked.put(one.getKey(), one.getValue());
             } else {
-                one.getValue().forEach(strays::tell);
+                one.getValue().forEach(orphanedEvents::tell);
             }
         }
     }
@@ -416,19 +419,20 @@
             scheduler.after(REGISTER_SETTLES, this::lookAtRegister);
         }
         Register register = registrar.seen();
-        if (seat.token() != 0 && !register.isLive(seat.token()) && register.lastToken() >= seat.token()) {
-            seat.seenEnded(seat.token());
+        if (leaseHolder.token() != 0 && !register.isLive(leaseHolder.token())
+                && register.lastToken() >= leaseHolder.token()) {
+            leaseHolder.seenEnded(leaseHolder.token());
         }
     }
 
     private void lookAtRegister() {
         registerChanged = false;
         // What was kept for whoever would act goes the round again: who acts now is not told by records kept here.
-        List<CallEvent> left = keeping.prune(registrar.seen(), seat.token());
-        ledger.registerChanged();
+        List<CallEvent> left = replicaStore.prune(registrar.seen(), leaseHolder.token());
+        replicationLog.registerChanged();
         succession.look();
-        strays.deliver();
-        left.forEach(strays::tell);
+        orphanedEvents.deliver();
+        left.forEach(orphanedEvents::tell);
     }
 
     private void tick() {
@@ -437,17 +441,18 @@
         }
         Instant now = scheduler.now();
         for (String call : List.copyOf(unplaced.keySet())) {
-            ledger.record(call).ifPresentOrElse(record -> place(record, unplaced.get(call)), () -> unplaced.remove(call));
+            replicationLog.record(call).ifPresentOrElse(record -> place(record, unplaced.get(call)),
+                    () -> unplaced.remove(call));
         }
-        if (terms.orphans().compareTo(Duration.ZERO) > 0 && seat.isSure()) {
+        if (terms.orphans().compareTo(Duration.ZERO) > 0 && leaseHolder.isValid()) {
             for (Loose one : List.copyOf(loose.values())) {
                 if (one.orphanAt.isBefore(now)) {
                     endOrphan(one.record);
                 }
             }
         }
-        strays.deliver();
-        takeBack.ask();
+        orphanedEvents.deliver();
+        reclaim.ask();
         scheduler.after(TICK, this::tick);
     }
 
@@ -455,7 +460,7 @@
     private void endOrphan(CallRecord record) {
         loose.remove(record.call());
         over(record.call());
-        boolean elsewhere = keeping.ownerOf(record.call()).filter(registrar.seen()::isLive).isPresent();
+        boolean elsewhere = replicaStore.ownerOf(record.call()).filter(registrar.seen()::isLive).isPresent();
         if (!elsewhere) {
             LOG.log(Level.INFO, "call {0} was left open by its controller; it is ended", record.call());
             controller.owedToServer(record.call(), record.server(), record.ending());
@@ -466,10 +471,10 @@
     /** Goes on with a call that stands, if the list names its server. */
     private void place(CallRecord record, Instant until) {
         String call = record.call();
-        ledger.put(record);
+        replicationLog.put(record);
         if (controller.adopt(call, record.server(), new AdoptedCaller(record.caller()), record.ending())) {
             unplaced.remove(call);
-            keeping.take(call).forEach(controller::happened);
+            replicaStore.take(call).forEach(controller::happened);
         } else if (controller.hasGone(record.server()) || !scheduler.now().isBefore(until)) {
             unplaced.remove(call);
             over(call);
@@ -490,8 +495,8 @@
                 case STANDS -> place(record, scheduler.now().plus(NAMED_BY));
                 case SENT, WAITS -> {
                     loose.put(record.call(), new Loose(record, scheduler.now().plus(record.lasts()).plus(terms.orphans())));
-                    ledger.put(record);
-                    keeping.take(record.call()).forEach(event -> {
+                    replicationLog.put(record);
+                    replicaStore.take(record.call()).forEach(event -> {
                         if (!seesTo(event)) {
                             controller.unowned(event);
                         }
@@ -507,7 +512,7 @@
                 }
                 case OVER -> { }
             }
-            wentOnAt.put(place, ledger.changes());
+            wentOnAt.put(place, replicationLog.changes());
         }
 
         @Override
@@ -517,13 +522,13 @@
                 unplaced.remove(call);
                 controller.disown(call);
                 over(call);
-                wentOnAt.put(new Place(from, slot), ledger.changes());
+                wentOnAt.put(new Place(from, slot), replicationLog.changes());
             }
         }
 
         @Override
         public boolean isKept(long from, int slot) {
-            return ledger.areKept(wentOnAt.getOrDefault(new Place(from, slot), 0L), slot);
+            return replicationLog.areKept(wentOnAt.getOrDefault(new Place(from, slot), 0L), slot);
         }
 
         @Override
@@ -533,8 +538,8 @@
             List<String> calls = wentOn.remove(place);
             for (String call : calls == null ? List.<String>of() : calls) {
                 if (unsettled.remove(call, place)) {
-                    ledger.record(call).filter(record -> record.kind() == CallRecord.Kind.OVER)
-                            .ifPresent(record -> ledger.drop(call));
+                    replicationLog.record(call).filter(record -> record.kind() == CallRecord.Kind.OVER)
+                            .ifPresent(record -> replicationLog.drop(call));
                 }
             }
         }
@@ -545,7 +550,7 @@
         }
     }
 
-    private final class LedgerOut implements Ledger.Out {
+    private final class LogTransport implements ReplicationLog.Transport {
 
         @Override
         public boolean isUp(long keeper) {
@@ -570,7 +575,7 @@
         } else if (record.kind() == CallRecord.Kind.OWES_SERVER) {
             controller.owedToServer(record.call(), record.server(), record.ending());
         } else if (controller.stands(record.call())) {
-            ledger.put(record);
+            replicationLog.put(record);
             List<CallEvent> happened = parked.remove(record.call());
             if (happened != null) {
                 happened.forEach(controller::happened);
@@ -583,15 +588,15 @@
         controller.disown(call);
         List<CallEvent> happened = parked.remove(call);
         if (happened != null) {
-            happened.forEach(strays::tell);
+            happened.forEach(orphanedEvents::tell);
         }
     }
 
-    private final class TakeBackOut implements TakeBack.Out {
+    private final class ReclaimListener implements Reclaim.Listener {
 
         @Override
-        public long sureToken() {
-            return seat.isSure() ? seat.token() : 0;
+        public long validToken() {
+            return leaseHolder.isValid() ? leaseHolder.token() : 0;
         }
 
         @Override
@@ -605,11 +610,11 @@
         }
     }
 
-    private final class StraysOut implements Strays.Out {
+    private final class OrphanedEventPeers implements OrphanedEvents.Peers {
 
         @Override
         public long self() {
-            return seat.token();
+            return leaseHolder.token();
         }
 
         @Override
@@ -627,30 +632,30 @@
 
         @Override
         public void up(long member) {
-            ledger.linkUp(member);
+            replicationLog.linkUp(member);
         }
 
         @Override
         public void received(long from, long stream, PeerMessage message, Consumer<PeerMessage> answer) {
             if (message instanceof PeerMessage.Slot slot) {
                 if (mayStillSend(slot.owner())) {
-                    keeping.slot(slot, stream);
+                    replicaStore.slot(slot, stream);
                 }
             } else if (message instanceof PeerMessage.Changes changes) {
                 if (mayStillSend(changes.owner())) {
-                    keeping.changes(changes, stream);
+                    replicaStore.changes(changes, stream);
                 }
                 if (changes.upTo() >= 0) {
-                    answer.accept(keeping.upTo(changes.owner()));
+                    answer.accept(replicaStore.upTo(changes.owner()));
                 }
             } else if (message instanceof PeerMessage.Placed placed) {
-                answer.accept(keeping.placed(placed, stream));
+                answer.accept(replicaStore.placed(placed, stream));
             } else if (message instanceof PeerMessage.Kept kept) {
-                ledger.kept(from, kept);
+                replicationLog.kept(from, kept);
             } else if (message instanceof PeerMessage.Pull pull && registrar.seen().isLive(pull.owner())) {
                 return;   // more may come from its owner as long as its end is not known here; it is asked again
             } else if (message instanceof PeerMessage.Pull pull) {
-                answer.accept(keeping.copy(pull.owner(), pull.slot())
+                answer.accept(replicaStore.copy(pull.owner(), pull.slot())
                         .map(copy -> new PeerMessage.Pulled(pull.owner(), pull.slot(), copy.upTo(), copy.records()))
                         .orElse(new PeerMessage.Pulled(pull.owner(), pull.slot(), -1, List.of())));
             } else if (message instanceof PeerMessage.Pulled pulled) {
@@ -658,11 +663,11 @@
             } else if (message instanceof PeerMessage.Told told) {
                 answer.accept(new PeerMessage.Known(told.ask(), told(told.event())));
             } else if (message instanceof PeerMessage.Known known) {
-                strays.known(known);
+                orphanedEvents.known(known);
             } else if (message instanceof PeerMessage.Free free) {
                 boolean may = !succession.hasClaimed(free.owner());
-                List<CallEvent> happened = may ? keeping.free(free.owner()) : List.of();
-                happened.forEach(event -> strays.tellOwner(event, free.owner()));
+                List<CallEvent> happened = may ? replicaStore.free(free.owner()) : List.of();
+                happened.forEach(event -> orphanedEvents.tellOwner(event, free.owner()));
                 answer.accept(new PeerMessage.Freed(free.owner(), may));
             } else if (message instanceof PeerMessage.Freed freed) {
                 freed(from, freed);
@@ -694,10 +699,10 @@
                 return true;
             }
             if (unplaced.containsKey(event.call())) {
-                keeping.happened(event);
+                replicaStore.happened(event);
                 return true;
             }
-            return strays.keep(event);
+            return orphanedEvents.keep(event);
         }
     }
 
--- a/handover/src/main/java/pathlane/handover/Strays.java
+++ b/handover/src/main/java/pathlane/handover/OrphanedEvents.java
@@ -14,16 +14,16 @@
 import pathlane.group.Registrar;
 
 /**
- * Brings what happened to a call to whoever acts on it, where it came to another member: a release on any connection
- * from callers, an end on any connection to the server. What happened is kept where the call's record is, at all its
- * keepers, until whoever acts has said that it knows: nobody may act for a while. On the loop's thread.
+ * Forwards events of calls to the member that acts on the call, where they arrived at another one: a release on any
+ * connection from callers, an end on any connection to the server. An event is stored beside the call's record, at all its
+ * keepers, until the acting member has acknowledged it, since nobody may act for a while. On the loop's thread.
  */
-final class Strays {
+final class OrphanedEvents {
 
     private static final Duration ANSWER_MOST = Duration.ofMillis(400);
 
-    /** How the others are asked. */
-    interface Out {
+    /** The other members. */
+    interface Peers {
         long self();
 
         void send(long member, PeerMessage message);
@@ -32,7 +32,7 @@
         void nobody(CallEvent event);
     }
 
-    /** Something that was told to others, and is to be answered. */
+    /** An event that was sent to others and awaits their acknowledgement. */
     private static final class Open {
         final CallEvent event;
         final boolean kept;
@@ -47,35 +47,35 @@
 
     private final Registrar registrar;
     private final Scheduler scheduler;
-    private final Keeping keeping;
-    private final Out out;
+    private final ReplicaStore replicaStore;
+    private final Peers peers;
     private final Map<Long, Open> open = new HashMap<>();
     private long asks;
 
-    Strays(Registrar registrar, Scheduler scheduler, Keeping keeping, Out out) {
+    OrphanedEvents(Registrar registrar, Scheduler scheduler, ReplicaStore replicaStore, Peers peers) {
         this.registrar = registrar;
         this.scheduler = scheduler;
-        this.keeping = keeping;
-        this.out = out;
+        this.replicaStore = replicaStore;
+        this.peers = peers;
     }
 
-    /** Something happened here to a call of somebody else's, or of nobody's. */
+    /** An event of a call that another member owns, or nobody, has arrived here. */
     void tell(CallEvent event) {
         if (keep(event)) {
             return;
         }
         Register register = registrar.seen();
         // Whoever it belongs to, its keepers are among the first of its slot.
-        List<Member> asked = Placement.keepers(Placement.slot(event.call()), register.members(), out.self(),
+        List<Member> asked = Placement.keepers(Placement.slot(event.call()), register.members(), peers.self(),
                 register.copies() + 1);
         if (asked.isEmpty()) {
-            scheduler.after(Duration.ZERO, () -> out.nobody(event));
+            scheduler.after(Duration.ZERO, () -> peers.nobody(event));
         } else {
             ask(event, false, asked);
         }
     }
 
-    /** Something happened to a call whose records were just dropped here for its owner's sake: that one is to know. */
+    /** An event of a call whose records were just dropped here for its owner: that one is notified. */
     void tellOwner(CallEvent event, long owner) {
         if (registrar.seen().isLive(owner)) {
             ask(event, false, List.of(registrar.seen().member(owner).orElseThrow()));
@@ -87,11 +87,11 @@
     private void ask(CallEvent event, boolean kept, List<Member> members) {
         long ask = ++asks;
         open.put(ask, new Open(event, kept, members.size()));
-        members.forEach(member -> out.send(member.token(), new PeerMessage.Told(ask, event)));
+        members.forEach(member -> peers.send(member.token(), new PeerMessage.Told(ask, event)));
         scheduler.after(ANSWER_MOST, () -> close(ask));
     }
 
-    /** A member's word whether somebody sees to it. */
+    /** A member's answer whether the event is handled. */
     void known(PeerMessage.Known known) {
         Open one = open.get(known.ask());
         if (one == null) {
@@ -100,7 +100,7 @@
         if (known.known()) {
             open.remove(known.ask());
             if (one.kept) {
-                keeping.done(one.event);
+                replicaStore.done(one.event);
             }
         } else if (--one.awaited == 0) {
             close(known.ask());
@@ -110,37 +110,37 @@
     private void close(long ask) {
         Open one = open.remove(ask);
         if (one != null && !one.kept) {
-            out.nobody(one.event);
+            peers.nobody(one.event);
         }
     }
 
-    /** Keeps what happened to a call whose record is kept here, and passes it on; false where none is. */
+    /** Stores an event of a call whose record is kept here, and forwards it; false where no record is. */
     boolean keep(CallEvent event) {
-        Optional<Long> owner = keeping.ownerOf(event.call());
+        Optional<Long> owner = replicaStore.ownerOf(event.call());
         if (owner.isEmpty()) {
             return false;
         }
-        if (keeping.happened(event)) {
+        if (replicaStore.happened(event)) {
             deliver(event.call(), owner.get());
             Register register = registrar.seen();
             int slot = Placement.slot(event.call());
             List<Member> others = new ArrayList<>(register.estate(owner.get()).map(estate -> register.heirs(estate, slot))
-                    .orElseGet(() -> register.keepers(owner.get(), slot, register.covered(owner.get()))));
-            others.removeIf(member -> member.token() == out.self() || !register.isLive(member.token()));
-            others.forEach(member -> out.send(member.token(), new PeerMessage.Told(0, event)));
+                    .orElseGet(() -> register.keepers(owner.get(), slot, register.replicatedView(owner.get()))));
+            others.removeIf(member -> member.token() == peers.self() || !register.isLive(member.token()));
+            others.forEach(member -> peers.send(member.token(), new PeerMessage.Told(0, event)));
         }
         return true;
     }
 
-    /** What is kept goes to whoever acts by now. */
+    /** Forwards the stored events to the members that act by now. */
     void deliver() {
-        keeping.happenedTo().forEach(call -> keeping.ownerOf(call).ifPresent(owner -> deliver(call, owner)));
+        replicaStore.happenedTo().forEach(call -> replicaStore.ownerOf(call).ifPresent(owner -> deliver(call, owner)));
     }
 
     private void deliver(String call, long owner) {
         Optional<Member> acting = registrar.seen().actingFor(owner, Placement.slot(call));
-        if (acting.isPresent() && acting.get().token() != out.self()) {
-            keeping.happened(call).forEach(event -> ask(event, true, List.of(acting.get())));
+        if (acting.isPresent() && acting.get().token() != peers.self()) {
+            replicaStore.happened(call).forEach(event -> ask(event, true, List.of(acting.get())));
         }
     }
 }
--- a/handover/src/main/java/pathlane/handover/TakeBack.java
+++ b/handover/src/main/java/pathlane/handover/Reclaim.java
@@ -13,16 +13,16 @@
 import pathlane.group.Reply;
 
 /**
- * Calls of a lease that has ended while its process goes on: by its next lease it takes back, by agreement, what nobody has
- * claimed; what somebody has is that one's. Until the register has said which, nothing is done about them here. On the
- * loop's thread.
+ * Reclaims the calls of a lease that has ended while its process goes on: by its next lease it is granted, through the
+ * register, the slots that nobody has claimed; those that somebody has are that one's. Until the register has answered,
+ * nothing is done about their calls here. On the loop's thread.
  */
-final class TakeBack {
+final class Reclaim {
 
-    /** What comes of it. */
-    interface Out {
-        /** The present lease's token, if it is sure; else 0. */
-        long sureToken();
+    /** Receives the outcome for each call. */
+    interface Listener {
+        /** The present lease's token, if it is valid; else 0. */
+        long validToken();
 
         /** Nobody has claimed it, and nobody can: it is this member's own. */
         void own(CallRecord record);
@@ -32,14 +32,14 @@
     }
 
     private final Registrar registrar;
-    private final Out out;
+    private final Listener listener;
     private final Map<Long, Map<Integer, List<CallRecord>>> open = new TreeMap<>();
     private final Set<String> calls = new HashSet<>();
     private boolean asking;
 
-    TakeBack(Registrar registrar, Out out) {
+    Reclaim(Registrar registrar, Listener listener) {
         this.registrar = registrar;
-        this.out = out;
+        this.listener = listener;
     }
 
     /** A lease has ended: its slots are to be taken back, whether there are calls in them or not, but for some. */
@@ -65,9 +65,9 @@
         return calls.contains(call);
     }
 
-    /** Asks the register for what is open, if the present lease is sure and nothing is asked. */
+    /** Asks the register for what is open, if the present lease is valid and nothing is asked. */
     void ask() {
-        long token = out.sureToken();
+        long token = listener.validToken();
         if (token == 0 || asking || open.isEmpty()) {
             return;
         }
@@ -103,9 +103,9 @@
         for (CallRecord record : records) {
             calls.remove(record.call());
             if (back) {
-                out.own(record);
+                listener.own(record);
             } else {
-                out.others(record.call());
+                listener.others(record.call());
             }
         }
     }
--- a/handover/src/main/java/pathlane/handover/Keeping.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaStore.java
@@ -18,10 +18,10 @@
 import pathlane.group.Register;
 
 /**
- * What a member keeps for others: by owner and slot, as far as each owner's changes have come. A slot is as its owner
- * had it at one moment, never half of one state and half of another. On the loop's thread.
+ * The replicas that a member holds of other owners' records, by owner and slot, as far as each owner's changes have arrived.
+ * A slot is as its owner had it at one moment, never half of one state and half of another. On the loop's thread.
  */
-final class Keeping {
+final class ReplicaStore {
 
     /** A slot as it was kept: how far it goes, in the owner's count of its changes. */
     record Copy(long upTo, List<CallRecord> records) { }
@@ -54,7 +54,7 @@
     /** Owners that were promised that nobody acts by their records from here. */
     private final Set<Long> freed = new HashSet<>();
 
-    Keeping(Scheduler scheduler, Duration clearWait) {
+    ReplicaStore(Scheduler scheduler, Duration clearWait) {
         this.scheduler = scheduler;
         this.clearWait = clearWait;
     }
@@ -277,7 +277,7 @@
     }
 
     private static boolean keeps(Register register, long owner, int slot, long self) {
-        return isAmong(register.keepers(owner, slot, register.covered(owner)), self)
+        return isAmong(register.keepers(owner, slot, register.replicatedView(owner)), self)
                 || isAmong(register.keepers(owner, slot, register.view()), self);
     }
 
