--- a/handover/src/main/java/pathlane/handover/Ledger.java
+++ b/handover/src/main/java/pathlane/handover/ReplicationLog.java
@@ -20,18 +20,18 @@
 import pathlane.group.Registrar;
 
 /**
- * An owner's own records: where each is kept, what has yet to be sent there, and which of them others may act by. On the
- * loop's thread.
+ * An owner's records of its calls, and their replication: which members hold a replica of each, what has yet to be sent to
+ * them, and which records others may act by. On the loop's thread.
  *
- * <p>Each keeper is sent the slots that the covered view and the newest view give it: each slot whole once, then its
+ * <p>Each keeper is sent the slots that the replicated view and the newest view give it: each slot whole once, then its
  * changes in order. Once all keepers of the newest view have all their slots, the register is told to go by it, so that
  * a claim is never made by one who has less. A record is <em>shared</em> from the moment it may have reached a keeper
- * whose claim the register may take: then this owner acts on the call while its lease is sure, and not else.
+ * whose claim the register may take: then this owner acts on the call while its lease is valid, and not else.
  */
-final class Ledger {
+final class ReplicationLog {
 
-    /** How messages leave; what is sent to a keeper that is not up is lost. */
-    interface Out {
+    /** Sends messages; what is sent to a keeper that is not up is lost. */
+    interface Transport {
         boolean isUp(long keeper);
 
         void send(long keeper, PeerMessage message);
@@ -40,7 +40,7 @@
         void wanted(Set<Long> keepers);
     }
 
-    private static final Duration COVER_AGAIN = Duration.ofMillis(250);
+    private static final Duration REPORT_AGAIN = Duration.ofMillis(250);
     /** Changes in one message, at most. */
     private static final int MOST_CHANGES = 500;
 
@@ -74,7 +74,7 @@
     private final Registrar registrar;
     private final Scheduler scheduler;
     private final Duration window;
-    private final Out out;
+    private final Transport transport;
     private final Map<String, Entry> entries = new HashMap<>();
     private final List<Map<String, Entry>> slots = new ArrayList<>();
     private final Map<Long, Feed> feeds = new LinkedHashMap<>();
@@ -82,19 +82,19 @@
     private long token;
     private long changes;
     private long target = -1;
-    private long coveredSeen;
+    private long replicatedViewSeen;
     /** Whether the register was ever asked to go by this lease's records. */
-    private boolean coverAsked;
-    private boolean coverOut;
+    private boolean replicationReported;
+    private boolean reportPending;
     private boolean flushDue;
     private boolean paused;
 
     /** {@code window} is how long a change may wait for others to go with it. */
-    Ledger(Registrar registrar, Scheduler scheduler, Duration window, Out out) {
+    ReplicationLog(Registrar registrar, Scheduler scheduler, Duration window, Transport transport) {
         this.registrar = registrar;
         this.scheduler = scheduler;
         this.window = window;
-        this.out = out;
+        this.transport = transport;
         for (int slot = 0; slot < Placement.SLOTS; slot++) {
             slots.add(new LinkedHashMap<>());
         }
@@ -131,7 +131,7 @@
         }
         int slot = Placement.slot(call);
         for (Map.Entry<Long, Feed> feed : feeds.entrySet()) {
-            if (feed.getValue().sent.get(slot) && out.isUp(feed.getKey())) {
+            if (feed.getValue().sent.get(slot) && transport.isUp(feed.getKey())) {
                 feed.getValue().changes.add(new PeerMessage.Change(call, record));
                 feed.getValue().due = changes;
                 flushSoon();
@@ -162,7 +162,7 @@
         for (int from = 0; from < all.size(); from += MOST_CHANGES) {
             int to = Math.min(all.size(), from + MOST_CHANGES);
             // Only the last part says how far it goes: what is kept of the others may lack the rest.
-            out.send(keeper, new PeerMessage.Changes(token, to == all.size() ? changes : -1, all.subList(from, to)));
+            transport.send(keeper, new PeerMessage.Changes(token, to == all.size() ? changes : -1, all.subList(from, to)));
         }
     }
 
@@ -173,16 +173,16 @@
         }
     }
 
-    /** The lease is not sure: what changes from now on is this owner's alone, until {@link #resume} or {@link #begin}. */
+    /** The lease is not valid: what changes from now on is this owner's alone, until {@link #resume} or {@link #begin}. */
     void pause() {
         paused = true;
     }
 
-    /** The lease is sure again, and the keepers have what they had: they are sent what they missed. */
+    /** The lease is valid again, and the keepers have what they had: they are sent what they missed. */
     void resume() {
         paused = false;
         feeds.forEach((keeper, feed) -> {
-            if (out.isUp(keeper)) {
+            if (transport.isUp(keeper)) {
                 send(keeper, feed);
             }
         });
@@ -192,12 +192,13 @@
     /** Whether others may act on this call by its record, should the lease have ended. */
     boolean isShared(String call) {
         Entry entry = entries.get(call);
-        return coverAsked && entry != null && entry.isShared();
+        return replicationReported && entry != null && entry.isShared();
     }
 
     /** The calls that others may act on. */
     List<CallRecord> shared() {
-        return entries.values().stream().filter(entry -> coverAsked && entry.isShared()).map(entry -> entry.record).toList();
+        return entries.values().stream().filter(entry -> replicationReported && entry.isShared()).map(entry -> entry.record)
+                .toList();
     }
 
     Optional<CallRecord> record(String call) {
@@ -210,7 +211,7 @@
         Set<Long> keepers = new HashSet<>();
         int slot = Placement.slot(call);
         feeds.forEach((keeper, feed) -> {
-            if (feed.sent.get(slot) && out.isUp(keeper)) {
+            if (feed.sent.get(slot) && transport.isUp(keeper)) {
                 keepers.add(keeper);
             }
         });
@@ -236,9 +237,9 @@
         entries.values().forEach(entry -> entry.sent = null);
         paused = false;
         target = -1;
-        coveredSeen = 0;
-        coverAsked = false;
-        coverOut = false;
+        replicatedViewSeen = 0;
+        replicationReported = false;
+        reportPending = false;
         registerChanged();
     }
 
@@ -246,7 +247,7 @@
     void end() {
         token = 0;
         feeds.clear();
-        out.wanted(Set.of());
+        transport.wanted(Set.of());
         List.copyOf(waiting.values()).forEach(one -> {
             one.timer.cancel();
             one.then.run();
@@ -264,7 +265,7 @@
         });
     }
 
-    /** A keeper has dropped its records: it is sent them anew, once the lease is sure. */
+    /** A keeper has dropped its records: it is sent them anew, once the lease is valid. */
     void dropped(long keeper) {
         Feed feed = feeds.get(keeper);
         if (feed != null) {
@@ -280,17 +281,17 @@
         if (token == 0 || paused || !register.isLive(token)) {
             return;
         }
-        if (register.view() != target || register.covered(token) != coveredSeen) {
+        if (register.view() != target || register.replicatedView(token) != replicatedViewSeen) {
             target = register.view();
-            coveredSeen = register.covered(token);
+            replicatedViewSeen = register.replicatedView(token);
             place(register);
         }
-        coverIfPlaced();
+        reportIfPlaced();
     }
 
     private void place(Register register) {
         Map<Long, BitSet> wanted = new HashMap<>();
-        for (long view : coveredSeen == 0 ? new long[] {target} : new long[] {coveredSeen, target}) {
+        for (long view : replicatedViewSeen == 0 ? new long[] {target} : new long[] {replicatedViewSeen, target}) {
             for (int slot = 0; slot < Placement.SLOTS; slot++) {
                 for (Member keeper : register.keepers(token, slot, view)) {
                     if (register.isLive(keeper.token())) {
@@ -310,9 +311,9 @@
             feed.slots = places;
             feed.sent.and(places);
         });
-        out.wanted(wanted.keySet());
+        transport.wanted(wanted.keySet());
         feeds.forEach((keeper, feed) -> {
-            if (out.isUp(keeper)) {
+            if (transport.isUp(keeper)) {
                 send(keeper, feed);
             }
         });
@@ -332,12 +333,12 @@
                     entry.sent = entry.record.kind();
                     records.add(entry.record);
                 });
-                out.send(keeper, new PeerMessage.Slot(token, target, slot, changes, records));
+                transport.send(keeper, new PeerMessage.Slot(token, target, slot, changes, records));
             }
         }
         if (feed.placedSent != target) {
             feed.placedSent = target;
-            out.send(keeper, new PeerMessage.Placed(token, target, changes));
+            transport.send(keeper, new PeerMessage.Placed(token, target, changes));
             feed.due = changes;
         }
     }
@@ -372,11 +373,11 @@
                 scheduler.after(Duration.ZERO, one.then);
             }
         }
-        coverIfPlaced();
+        reportIfPlaced();
     }
 
-    private void coverIfPlaced() {
-        if (coverOut || token == 0 || feeds.isEmpty() || coveredSeen >= target) {
+    private void reportIfPlaced() {
+        if (reportPending || token == 0 || feeds.isEmpty() || replicatedViewSeen >= target) {
             return;
         }
         Register register = registrar.seen();
@@ -389,25 +390,25 @@
             return;
         }
         long asked = token;
-        coverOut = true;
-        coverAsked = true;
-        registrar.ask(new Command.Cover(asked, target), answered -> {
+        reportPending = true;
+        replicationReported = true;
+        registrar.ask(new Command.Replicated(asked, target), answered -> {
             if (asked == token) {
-                coverOut = false;
-                scheduler.after(COVER_AGAIN, this::registerChanged);
+                reportPending = false;
+                scheduler.after(REPORT_AGAIN, this::registerChanged);
             }
         });
     }
 
     /** Whether all that this owner has is kept where the register looks for it. */
     boolean isKept() {
-        return feeds.entrySet().stream().allMatch(one -> !out.isUp(one.getKey())
+        return feeds.entrySet().stream().allMatch(one -> !transport.isUp(one.getKey())
                 || one.getValue().changes.isEmpty() && one.getValue().keptUpTo >= one.getValue().due);
     }
 
     /** Whether the records of these calls have reached all keepers that are up. */
     boolean areKept(long upTo, int slot) {
-        return feeds.entrySet().stream().allMatch(one -> !one.getValue().slots.get(slot) || !out.isUp(one.getKey())
+        return feeds.entrySet().stream().allMatch(one -> !one.getValue().slots.get(slot) || !transport.isUp(one.getKey())
                 || one.getValue().keptUpTo >= upTo);
     }
 
--- a/handover/src/main/java/pathlane/handover/Succession.java
+++ b/handover/src/main/java/pathlane/handover/Succession.java
@@ -17,10 +17,10 @@
 import java.util.TreeMap;
 import pathlane.core.Scheduler;
 import pathlane.group.Command;
+import pathlane.group.LeaseHolder;
 import pathlane.group.Member;
 import pathlane.group.Register;
 import pathlane.group.Registrar;
-import pathlane.group.Seat;
 
 /**
  * What a successor does with the work of a member that has gone: claims the slots that fall to it, looks up which keeper
@@ -68,12 +68,12 @@
         final Instant since;
         /** Copies that are still waited for. */
         final Set<Ask> awaited = new HashSet<>();
-        final Map<Long, Keeping.Copy> freshest = new HashMap<>();
+        final Map<Long, ReplicaStore.Copy> freshest = new HashMap<>();
         /** Calls that one that had gone on with the slot had noted. */
         final Set<String> elsewhere = new HashSet<>();
         Instant askedAt;
         boolean gathered;
-        boolean saidLate;
+        boolean reportedLate;
         boolean adopted;
         Instant settleAskedAt = Instant.MIN;
 
@@ -89,9 +89,9 @@
     private record Ask(long owner, long heir) { }
 
     private final Registrar registrar;
-    private final Seat seat;
+    private final LeaseHolder leaseHolder;
     private final Scheduler scheduler;
-    private final Keeping keeping;
+    private final ReplicaStore replicaStore;
     private final Work work;
     private final int callsEach;
     private final Map<Place, Task> tasks = new TreeMap<>(java.util.Comparator.comparingLong(Place::owner)
@@ -108,11 +108,12 @@
     private long adopted;
 
     /** {@code pace} is how many calls a second are gone on with. */
-    Succession(Registrar registrar, Seat seat, Scheduler scheduler, Keeping keeping, int pace, Work work) {
+    Succession(Registrar registrar, LeaseHolder leaseHolder, Scheduler scheduler, ReplicaStore replicaStore, int pace,
+            Work work) {
         this.registrar = registrar;
-        this.seat = seat;
+        this.leaseHolder = leaseHolder;
         this.scheduler = scheduler;
-        this.keeping = keeping;
+        this.replicaStore = replicaStore;
         this.work = work;
         this.callsEach = Math.max(1, (int) (pace * ADOPT_EVERY.toMillis() / 1000));
     }
@@ -146,11 +147,11 @@
     /** The register has changed, or time has passed. */
     void look() {
         Register register = registrar.seen();
-        long self = seat.token();
+        long self = leaseHolder.token();
         Set<Place> open = new HashSet<>();
-        if (seat.isSure()) {
+        if (leaseHolder.isValid()) {
             for (Register.Estate estate : List.copyOf(register.estates())) {
-                if (!keeping.isFreed(estate.former().token())) {
+                if (!replicaStore.isFreed(estate.former().token())) {
                     look(register, estate, self, open);
                 }
             }
@@ -229,9 +230,9 @@
     private void await(Register register, Task task, Register.Estate estate) {
         long owner = estate.former().token();
         int slot = task.place.slot();
-        keeping.copy(owner, slot).ifPresent(copy -> take(task, owner, copy));
+        replicaStore.copy(owner, slot).ifPresent(copy -> take(task, owner, copy));
         for (Member heir : register.heirs(estate, slot)) {
-            if (heir.token() != seat.token()) {
+            if (heir.token() != leaseHolder.token()) {
                 task.awaited.add(new Ask(owner, heir.token()));
             }
         }
@@ -251,8 +252,8 @@
         gatherIfReady(task);
         if (task.adopted && task.awaited.isEmpty()) {
             settle(task);
-        } else if (!task.awaited.isEmpty() && !task.saidLate && now.isAfter(task.since.plus(SAY_LATE))) {
-            task.saidLate = true;
+        } else if (!task.awaited.isEmpty() && !task.reportedLate && now.isAfter(task.since.plus(SAY_LATE))) {
+            task.reportedLate = true;
             LOG.log(Level.WARNING, "slot {0} of lease {1} waits for the word of {2}", Integer.toString(task.place.slot()),
                     Long.toString(task.place.owner()), task.awaited);
         }
@@ -270,8 +271,8 @@
         }
     }
 
-    private static void take(Task task, long owner, Keeping.Copy copy) {
-        Keeping.Copy before = task.freshest.get(owner);
+    private static void take(Task task, long owner, ReplicaStore.Copy copy) {
+        ReplicaStore.Copy before = task.freshest.get(owner);
         if (before == null || before.upTo() < copy.upTo()) {
             task.freshest.put(owner, copy);
         }
@@ -281,11 +282,11 @@
     void pulled(long keeper, PeerMessage.Pulled pulled) {
         for (Task task : List.copyOf(tasks.values())) {
             if (task.place.slot() == pulled.slot() && task.awaited.remove(new Ask(pulled.owner(), keeper))) {
-                Keeping.Copy before = task.freshest.get(pulled.owner());
+                ReplicaStore.Copy before = task.freshest.get(pulled.owner());
                 if (pulled.upTo() >= 0) {
-                    take(task, pulled.owner(), new Keeping.Copy(pulled.upTo(), pulled.records()));
+                    take(task, pulled.owner(), new ReplicaStore.Copy(pulled.upTo(), pulled.records()));
                 }
-                Keeping.Copy after = task.freshest.get(pulled.owner());
+                ReplicaStore.Copy after = task.freshest.get(pulled.owner());
                 if (task.gathered && after != before) {
                     mend(task, before, after);
                 }
@@ -295,7 +296,7 @@
     }
 
     /** A fresher copy came after the slot was gone on with: what it knows otherwise is put right. */
-    private void mend(Task task, Keeping.Copy before, Keeping.Copy after) {
+    private void mend(Task task, ReplicaStore.Copy before, ReplicaStore.Copy after) {
         Map<String, CallRecord.Kind> had = new HashMap<>();
         if (before != null) {
             before.records().forEach(record -> had.put(record.call(), record.kind()));
@@ -314,12 +315,12 @@
         task.gathered = true;
         for (long former : task.past) {
             // What one that had gone on with them noted itself goes by its own records, to whoever claims those.
-            Keeping.Copy copy = task.freshest.get(former);
+            ReplicaStore.Copy copy = task.freshest.get(former);
             if (copy != null) {
                 copy.records().forEach(record -> task.elsewhere.add(record.call()));
             }
         }
-        Keeping.Copy copy = task.freshest.get(task.place.owner());
+        ReplicaStore.Copy copy = task.freshest.get(task.place.owner());
         if (copy != null) {
             for (CallRecord record : copy.records()) {
                 if (record.kind() != CallRecord.Kind.OVER && !task.elsewhere.contains(record.call())) {
@@ -359,8 +360,8 @@
     }
 
     private void adoptSome() {
-        if (!seat.isSure()) {
-            scheduler.after(LOOK, this::adoptSome);   // it goes on if the lease is sure again, and is cleared if it is lost
+        if (!leaseHolder.isValid()) {
+            scheduler.after(LOOK, this::adoptSome);   // it goes on if the lease is valid again, and is cleared if it is lost
             return;
         }
         for (int i = 0; i < callsEach && !queue.isEmpty(); i++) {
@@ -374,7 +375,8 @@
 
     private void settle(Task task) {
         Instant now = scheduler.now();
-        if (now.isBefore(task.settleAskedAt) || !work.isKept(task.place.owner(), task.place.slot()) || !seat.isSure()) {
+        if (now.isBefore(task.settleAskedAt) || !work.isKept(task.place.owner(), task.place.slot())
+                || !leaseHolder.isValid()) {
             return;
         }
         task.settleAskedAt = now.plus(CLAIM_AGAIN);
@@ -386,6 +388,6 @@
                 slots.add(other.place.slot());
             }
         }
-        registrar.ask(new Command.Settle(seat.token(), task.place.owner(), slots), answered -> look());
+        registrar.ask(new Command.Settle(leaseHolder.token(), task.place.owner(), slots), answered -> look());
     }
 }
--- a/handover/src/main/java/pathlane/handover/Terms.java
+++ b/handover/src/main/java/pathlane/handover/Terms.java
@@ -10,7 +10,7 @@
  * @param name its name, the same after a restart
  * @param address where other members reach it, as {@code host:port}
  * @param copies how many others keep each record, from 1
- * @param window how long a change may wait for others to go with it; what is newer than this is not yet covered
+ * @param window how long a change may wait for others to go with it; what is newer than this is not yet replicated
  * @param waiting the classes whose answers wait until their call is kept, by their places in the settings
  * @param waitMost how long such an answer waits at the most
  * @param pace calls a second that a successor goes on with, from 100
--- a/lab/src/main/java/pathlane/lab/ScriptedCaller.java
+++ b/lab/src/main/java/pathlane/lab/ScriptedCaller.java
@@ -130,7 +130,7 @@
         private final FrameAssembler assembler = Message.assembler();
         private Connection connection;
         /** Releases that were written and not heard: another connection gets them if this one ends. */
-        private final Set<String> unheard = new LinkedHashSet<>();
+        private final Set<String> unansweredReleases = new LinkedHashSet<>();
 
         Line(String controller) {
             this.controller = controller;
@@ -147,7 +147,7 @@
         }
 
         void release(String call) {
-            unheard.add(call);
+            unansweredReleases.add(call);
             connection.write(new Message(Message.RELEASE, call).withCause(OVER).bytes());
         }
 
@@ -173,7 +173,7 @@
             connection = null;
             lines.remove(controller, this);
             lines.values().stream().filter(one -> one.connection != null).findFirst()
-                    .ifPresent(other -> unheard.forEach(other::release));
+                    .ifPresent(other -> unansweredReleases.forEach(other::release));
             List<String> broken = new ArrayList<>();
             open.forEach((call, at) -> {
                 if (at.equals(controller)) {
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -213,11 +213,11 @@
         return holds.getAsBoolean();
     }
 
-    /** Tokens that are sure to their holders now, by name: never two under one token. */
+    /** Tokens that are valid for their holders now, by name: never two under one token. */
     public Map<Long, String> sure() {
         Map<Long, String> sure = new HashMap<>();
         for (Controller one : up()) {
-            if (!one.time.isStopped() && one.handover.isSure()) {
+            if (!one.time.isStopped() && one.handover.isLeaseValid()) {
                 sure.put(one.handover.token(), one.name);
             }
         }
--- a/lab/src/main/java/pathlane/lab/VirtualTakeover.java
+++ b/lab/src/main/java/pathlane/lab/VirtualTakeover.java
@@ -24,7 +24,7 @@
     private static VirtualFleet fleet(int controllers, long seed) {
         VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(controllers, SERVERS, VOTERS, COPIES, LeaseTerms.USUAL,
                 Duration.ofMillis(5), Duration.ZERO, 20_000), seed);
-        if (!fleet.until(Duration.ofSeconds(60), () -> fleet.up().stream().allMatch(one -> one.handover.isCovered()))) {
+        if (!fleet.until(Duration.ofSeconds(60), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated()))) {
             throw new IllegalStateException("the group did not come about");
         }
         return fleet;
@@ -49,7 +49,7 @@
             }
             Controller owner = fleet.controllers().get(0);
             // The kill falls anywhere between two renewals of the lease.
-            fleet.until(Duration.ofSeconds(30), owner.handover::isCovered);
+            fleet.until(Duration.ofSeconds(30), owner.handover::isReplicated);
             fleet.world().pass(run * LeaseTerms.USUAL.renewEvery().toMillis() / runs);
             owner.kill();
             long waited = 0;
--- a/lab/src/test/java/pathlane/lab/Schedule.java
+++ b/lab/src/test/java/pathlane/lab/Schedule.java
@@ -41,7 +41,7 @@
     /** Plays it; empty where all rules were kept. */
     Optional<String> play() {
         boolean ready =
-                fleet.until(Duration.ofSeconds(10), () -> fleet.up().stream().allMatch(one -> one.handover.isSure()));
+                fleet.until(Duration.ofSeconds(10), () -> fleet.up().stream().allMatch(one -> one.handover.isLeaseValid()));
         if (!ready) {
             return Optional.of("the group did not come about");
         }
@@ -219,7 +219,7 @@
         fleet.voters().stream().filter(one -> !one.isUp()).forEach(VirtualVoter::restart);
         fleet.controllers().stream().filter(one -> !one.isUp()).forEach(Controller::start);
         pass(2000);
-        fleet.until(Duration.ofSeconds(20), () -> fleet.up().stream().allMatch(one -> one.handover.isSure()
+        fleet.until(Duration.ofSeconds(20), () -> fleet.up().stream().allMatch(one -> one.handover.isLeaseValid()
                 && one.handover.register().estates().isEmpty()));
         pass(4500);   // attempts that were out have ended, and those that nobody claims have been ended
         fleet.controllers().forEach(one -> fleet.caller().connect(one.name));
--- a/lab/src/test/java/pathlane/lab/TakeoverTest.java
+++ b/lab/src/test/java/pathlane/lab/TakeoverTest.java
@@ -27,7 +27,8 @@
     void recordsThatKeepersDroppedForWantOfAgreementAreKeptAgainOnceThereIsOne() {
         VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(4, 2, 3, 3, pathlane.group.LeaseTerms.USUAL,
                 Duration.ofMillis(5), Duration.ZERO, 20_000), 3);
-        assertTrue(fleet.until(Duration.ofSeconds(30), () -> fleet.up().stream().allMatch(one -> one.handover.isCovered())));
+        assertTrue(
+                fleet.until(Duration.ofSeconds(30), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated())));
         fleet.caller().connect("n1");
         fleet.world().pass(20);
         for (int i = 0; i < 20; i++) {
@@ -38,10 +39,12 @@
         assertTrue(standing > 10, standing + " stand");
         long token = fleet.controllers().get(0).handover.token();
         fleet.voters().subList(0, 2).forEach(voter -> voter.time().stop());
-        assertTrue(fleet.until(Duration.ofSeconds(10), () -> fleet.up().stream().noneMatch(one -> one.handover.isSure())));
+        assertTrue(fleet.until(Duration.ofSeconds(10),
+                () -> fleet.up().stream().noneMatch(one -> one.handover.isLeaseValid())));
         fleet.world().pass(2000);
         fleet.voters().subList(0, 2).forEach(voter -> voter.time().goOn());
-        assertTrue(fleet.until(Duration.ofSeconds(20), () -> fleet.up().stream().allMatch(one -> one.handover.isCovered())));
+        assertTrue(
+                fleet.until(Duration.ofSeconds(20), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated())));
         assertEquals(token, fleet.controllers().get(0).handover.token(), "its lease outlived the time without agreement");
         fleet.controllers().get(0).kill();
         assertTrue(fleet.until(Duration.ofSeconds(10), () -> fleet.up().stream().mapToLong(one -> one.handover.adopted())
@@ -57,7 +60,8 @@
     void whatIsTakenOverIsSpreadAndGoneOnWithAtTheStatedPace() {
         VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(10, 2, 3, 3, pathlane.group.LeaseTerms.USUAL,
                 Duration.ofMillis(5), Duration.ZERO, 100), 5);
-        assertTrue(fleet.until(Duration.ofSeconds(30), () -> fleet.up().stream().allMatch(one -> one.handover.isCovered())));
+        assertTrue(
+                fleet.until(Duration.ofSeconds(30), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated())));
         fleet.controllers().forEach(one -> fleet.caller().connect(one.name));
         fleet.world().pass(20);
         for (int i = 0; i < 40; i++) {
@@ -67,7 +71,8 @@
             fleet.world().pass(100);
         }
         int standing = fleet.caller().standing().size();
-        assertTrue(fleet.until(Duration.ofSeconds(5), () -> fleet.up().stream().allMatch(one -> one.handover.isCovered())));
+        assertTrue(
+                fleet.until(Duration.ofSeconds(5), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated())));
         long theirs =
                 fleet.controllers().subList(0, 7).stream().mapToLong(one -> one.front.controller().standingCalls()).sum();
         fleet.controllers().subList(0, 7).forEach(VirtualFleet.Controller::kill);
--- a/wire/src/main/java/pathlane/bus/BusFeed.java
+++ b/wire/src/main/java/pathlane/bus/BusFeed.java
@@ -55,7 +55,7 @@
     private final Runnable unreachable;
     private Instant lookedElsewhere = Instant.MIN;
     /** When the bus last said something whole. */
-    private Instant heard = Instant.MIN;
+    private Instant lastReceived = Instant.MIN;
     private InetSocketAddress bus;
     private long last;
     private boolean wasUp;
@@ -103,7 +103,7 @@
 
     /** Whether the bus was heard so lately that it would have told of a change; always where none is followed. */
     public boolean isCurrent() {
-        return bus == null || !heard.plus(CURRENT).isBefore(scheduler.now());
+        return bus == null || !lastReceived.plus(CURRENT).isBefore(scheduler.now());
     }
 
     private void dial() {
@@ -140,7 +140,7 @@
             Instant openedAt = scheduler.now();
             scheduler.after(CATCH_UP, () -> {
                 if (session == this && !ended) {
-                    heard = heard.isAfter(openedAt) ? heard : openedAt;
+                    lastReceived = lastReceived.isAfter(openedAt) ? lastReceived : openedAt;
                     current.complete(null);
                 }
             });
@@ -159,7 +159,7 @@
             }
             try {
                 if (assembler.feed(bytes, this::frame) > 0) {
-                    heard = scheduler.now();
+                    lastReceived = scheduler.now();
                     silence.cancel();   // a whole event came: half of one that then stops is silence too
                     await();
                 }
