--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -1,8 +1,8 @@
 package pathlane.diameter;
 
+import java.io.ByteArrayOutputStream;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public void heard(boolean watchdogAnswer) {
+    public void messageReceived(boolean watchdogAnswer) {
         watchdog.received(watchdogAnswer);
     }
 
--- a/daemon/src/test/java/pathlane/exchange/LongDayTest.java
+++ b/daemon/src/test/java/pathlane/exchange/LongDayTest.java
@@ -21,14 +21,14 @@
 
     @Test
     void whatIsKeptDoesNotGrowWithTheDay() throws IOException {
-        Stage stage = new Stage(false, Files.readString(CONFIG));
-        stage.play(List.of("accept 9092", "9092 < 0000000000000003", "accept 5001", "accept 5002"));
+        ExchangeHarness harness = new ExchangeHarness(false, Files.readString(CONFIG));
+        harness.play(List.of("accept 9092", "9092 < 0000000000000003", "accept 5001", "accept 5002"));
         int settled = 0;
         for (int second = 1; second <= LONG; second++) {
-            stage.play(second(second));
-            settled = second == SETTLED ? stage.kept() : settled;
+            harness.play(second(second));
+            settled = second == SETTLED ? harness.kept() : settled;
         }
-        int kept = stage.kept();
+        int kept = harness.kept();
         int most = settled + SWAY;
         assertTrue(kept <= most, () -> kept + " kept, of which there were " + most + " at the most");
     }
@@ -46,7 +46,8 @@
                 second > 1 ? 6000 + (second + 2) % 3 + " closed DELISTED" : "# none has gone yet",
                 "accept " + (6000 + second % 3),
                 "open " + caller,
-                String.format(caller + " > {2 01 " + call + " " + setUp + " 90{2 \"dest:1;width:1;via:-1\"} ae{2 01}}", 1500),
+                String.format(caller + " > {2 01 " + call + " " + setUp + " 90{2 \"dest:1;width:1;via:-1\"} ae{2 01}}",
+                        1500),
                 String.format("5002 < {2 01 " + call + " " + setUp + " ae{2 01}}", 1490),
                 "5002 > {2 09 " + call + " ae{2 c0}}",
                 caller + " < {2 09 " + call + " ae{2 c0}}",
