--- /dev/null
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
@@ -0,0 +1,125 @@
+package pathlane.discovery;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import pathlane.core.ServerLine;
+import pathlane.decision.Gateway.Mode;
+
+/** One service of a {@link Catalogue}, changed in place so that a change of one endpoint costs that endpoint. */
+final class CatalogueEntry {
+
+    /**
+     * What a difference touched.
+     *
+     * @param takesAway whether an endpoint is gone, or has begun to drain
+     */
+    record Difference(Set<Long> endpoints, boolean configuration, boolean takesAway) {
+        boolean isEmpty() {
+            return endpoints.isEmpty() && !configuration;
+        }
+    }
+
+    private final String service;
+    private final Map<Long, ServerLine> endpoints = new TreeMap<>();
+    private String configuration = "";
+    private long digest = ServiceDigest.of(List.of(), "");
+    private Held held = Held.NOTHING;
+    /** Made when it is asked for, and kept until the next change. */
+    private ServiceState state;
+
+    CatalogueEntry(String service) {
+        this.service = service;
+    }
+
+    String service() {
+        return service;
+    }
+
+    Revision revision() {
+        return held.revision();
+    }
+
+    /** What a subscriber holds that has been sent the whole of this; one object for all of them. */
+    Held held() {
+        return held;
+    }
+
+    ServerLine endpoint(long id) {
+        return endpoints.get(id);
+    }
+
+    String configuration() {
+        return configuration;
+    }
+
+    List<Long> ids() {
+        return new ArrayList<>(endpoints.keySet());
+    }
+
+    /** Puts a change in; an endpoint that is upserted as gone counts as removed. */
+    Difference change(List<ServerLine> upserted, List<Long> removed, String newConfiguration) {
+        Set<Long> touched = new HashSet<>();
+        boolean takesAway = false;
+        for (ServerLine endpoint : upserted) {
+            if (endpoint.mode() == Mode.GONE) {
+                takesAway |= remove(endpoint.id(), touched);
+            } else {
+                takesAway |= upsert(endpoint, touched);
+            }
+        }
+        for (long id : removed) {
+            takesAway |= remove(id, touched);
+        }
+        boolean configured = !newConfiguration.equals(configuration);
+        if (configured) {
+            digest = ServiceDigest.withConfiguration(digest, configuration, newConfiguration);
+            configuration = newConfiguration;
+        }
+        return new Difference(touched, configured, takesAway);
+    }
+
+    /** Whether the endpoint begins to drain with this. */
+    private boolean upsert(ServerLine endpoint, Set<Long> touched) {
+        ServerLine former = endpoints.put(endpoint.id(), endpoint);
+        if (endpoint.equals(former)) {
+            return false;
+        }
+        if (former != null) {
+            digest = ServiceDigest.without(digest, former);
+        }
+        digest = ServiceDigest.with(digest, endpoint);
+        touched.add(endpoint.id());
+        return endpoint.mode() == Mode.DRAINING && former != null && former.mode() != Mode.DRAINING;
+    }
+
+    private boolean remove(long id, Set<Long> touched) {
+        ServerLine former = endpoints.remove(id);
+        if (former == null) {
+            return false;
+        }
+        digest = ServiceDigest.without(digest, former);
+        touched.add(id);
+        return true;
+    }
+
+    /** The content is that of this revision now. */
+    void setRevision(Revision revision) {
+        held = new Held(revision, digest);
+        state = null;
+    }
+
+    long digest() {
+        return digest;
+    }
+
+    ServiceState state() {
+        if (state == null) {
+            state = new ServiceState(service, held.revision(), digest, List.copyOf(endpoints.values()), configuration);
+        }
+        return state;
+    }
+}
--- /dev/null
+++ b/discovery/src/main/java/pathlane/discovery/ServiceDigest.java
@@ -0,0 +1,67 @@
+package pathlane.discovery;
+
+import com.dynatrace.hash4j.hashing.HashStream64;
+import com.dynatrace.hash4j.hashing.Hasher64;
+import com.dynatrace.hash4j.hashing.Hashing;
+import java.net.InetSocketAddress;
+import java.util.List;
+import pathlane.core.ServerLine;
+
+/**
+ * A digest of a service's content: the sum, modulo 2^64, of one hash for each endpoint and one of the configuration. The sum
+ * does not depend on an order, and a change costs only what it changes. It finds faults, not forgeries: the connections are
+ * authenticated by themselves.
+ */
+public final class ServiceDigest {
+
+    private static final Hasher64 HASH = Hashing.komihash5_0();
+    /** Starts the hashes of endpoints and of configurations apart from each other. */
+    private static final byte ENDPOINT = 1;
+    private static final byte CONFIGURATION = 2;
+
+    private ServiceDigest() { }
+
+    /** The digest of a whole content; the order of the endpoints is of no account. */
+    public static long of(List<ServerLine> endpoints, String configuration) {
+        long digest = hash(configuration);
+        for (ServerLine endpoint : endpoints) {
+            digest += hash(endpoint);
+        }
+        return digest;
+    }
+
+    /** The digest once an endpoint has been added. */
+    public static long with(long digest, ServerLine added) {
+        return digest + hash(added);
+    }
+
+    /** The digest once an endpoint that the content had has been taken out. */
+    public static long without(long digest, ServerLine removed) {
+        return digest - hash(removed);
+    }
+
+    /** The digest once one configuration has taken another's place. */
+    public static long withConfiguration(long digest, String former, String configuration) {
+        return digest - hash(former) + hash(configuration);
+    }
+
+    private static long hash(String configuration) {
+        return HASH.hashStream().putByte(CONFIGURATION).putString(configuration).getAsLong();
+    }
+
+    private static long hash(ServerLine endpoint) {
+        HashStream64 stream = HASH.hashStream().putByte(ENDPOINT).putLong(endpoint.id());
+        putAddress(stream, endpoint.address());
+        return stream.putInt(endpoint.mode().ordinal()).putInt(endpoint.cell()).putDouble(endpoint.weight())
+                .putLong(endpoint.startedAt().getEpochSecond()).putInt(endpoint.startedAt().getNano()).getAsLong();
+    }
+
+    private static void putAddress(HashStream64 stream, InetSocketAddress address) {
+        if (address.isUnresolved()) {
+            stream.putString(address.getHostString());
+        } else {
+            stream.putByteArray(address.getAddress().getAddress());
+        }
+        stream.putInt(address.getPort());
+    }
+}
