--- /dev/null
+++ b/discovery/src/main/java/pathlane/discovery/EncodedChange.java
@@ -0,0 +1,17 @@
+package pathlane.discovery;
+
+/**
+ * A change as it is sent, shared by all subscribers that need the same one.
+ *
+ * @param held what a subscriber holds once it has applied it
+ * @param takesAway whether it may take an endpoint away or have one drain; such changes are sent before others
+ */
+record EncodedChange(Kind kind, byte[] bytes, Held held, boolean takesAway) {
+
+    /** The kinds of {@link ServiceChange}. */
+    enum Kind { SNAPSHOT, DELTA, ABSENT }
+
+    int size() {
+        return bytes.length;
+    }
+}
--- /dev/null
+++ b/discovery/src/main/java/pathlane/discovery/ProgressTable.java
@@ -0,0 +1,58 @@
+package pathlane.discovery;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** How far the controllers below one publisher are: those connected to it, and those that its relays report. */
+final class ProgressTable {
+
+    private static final Comparator<ProgressReport.Slow> SLOWEST_FIRST =
+            Comparator.comparing(ProgressReport.Slow::inForce).thenComparing(ProgressReport.Slow::name);
+
+    /** By subscriber: itself as a report of one controller, or a relay's report. */
+    private final Map<SubscriberSession, ProgressReport> reports = new LinkedHashMap<>();
+
+    /** A subscriber that is a controller has everything up to this revision in force. */
+    void putController(SubscriberSession subscriber, String name, Revision inForce) {
+        reports.put(subscriber, new ProgressReport(List.of(new ProgressReport.Level(inForce, 1)),
+                List.of(new ProgressReport.Slow(name, inForce))));
+    }
+
+    /** A subscriber that is a relay reports the controllers below it. */
+    void putRelay(SubscriberSession subscriber, ProgressReport report) {
+        reports.put(subscriber, report);
+    }
+
+    void remove(SubscriberSession subscriber) {
+        reports.remove(subscriber);
+    }
+
+    /** All of them together; who has the newest revision in force is not slow. */
+    ProgressReport report(Revision newest) {
+        TreeMap<Revision, Long> levels = new TreeMap<>();
+        List<ProgressReport.Slow> behind = new ArrayList<>();
+        for (ProgressReport report : reports.values()) {
+            report.levels().forEach(level -> levels.merge(level.inForce(), level.controllers(), Long::sum));
+            report.slowest().stream().filter(slow -> newest.isAfter(slow.inForce())).forEach(behind::add);
+        }
+        levels.values().removeIf(controllers -> controllers == 0);
+        reduce(levels);
+        return new ProgressReport(
+                levels.entrySet().stream().map(level -> new ProgressReport.Level(level.getKey(), level.getValue())).toList(),
+                behind.stream().sorted(SLOWEST_FIRST).limit(ProgressReport.MOST_SLOWEST).toList());
+    }
+
+    /** Counts the smallest levels at the next lower one. The lowest stays exact: it says what is in force everywhere. */
+    private static void reduce(TreeMap<Revision, Long> levels) {
+        while (levels.size() > ProgressReport.MOST_LEVELS) {
+            Revision smallest = levels.tailMap(levels.firstKey(), false).entrySet().stream()
+                    .min(Map.Entry.comparingByValue()).orElseThrow().getKey();
+            long controllers = levels.remove(smallest);
+            levels.merge(levels.lowerKey(smallest), controllers, Long::sum);
+        }
+    }
+}
--- /dev/null
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberIndex.java
@@ -0,0 +1,43 @@
+package pathlane.discovery;
+
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/** Which sessions watch a service, so that a change costs those sessions and no others. */
+final class SubscriberIndex {
+
+    private final Map<String, Set<SubscriberSession>> byService = new HashMap<>();
+    private final Set<SubscriberSession> everything = new LinkedHashSet<>();
+
+    void add(String service, SubscriberSession session) {
+        byService.computeIfAbsent(service, key -> new LinkedHashSet<>()).add(session);
+    }
+
+    void remove(String service, SubscriberSession session) {
+        Set<SubscriberSession> sessions = byService.get(service);
+        if (sessions != null && sessions.remove(session) && sessions.isEmpty()) {
+            byService.remove(service);
+        }
+    }
+
+    /** A session that watches everything is not kept by service as well. */
+    void addEverything(SubscriberSession session) {
+        everything.add(session);
+    }
+
+    void removeEverything(SubscriberSession session) {
+        everything.remove(session);
+    }
+
+    /** Calls each session that watches a service. */
+    void forEach(String service, Consumer<SubscriberSession> action) {
+        everything.forEach(action);
+        Set<SubscriberSession> sessions = byService.get(service);
+        if (sessions != null) {
+            sessions.forEach(action);
+        }
+    }
+}
