--- a/discovery/src/main/java/pathlane/discovery/Catalogue.java
+++ b/discovery/src/main/java/pathlane/discovery/Catalogue.java
@@ -1,6 +1,5 @@
 package pathlane.discovery;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -18,9 +17,6 @@
  */
 public final class Catalogue {
 
-    /** Bytes of UTF-8 in a service's name. */
-    public static final int LONGEST_NAME = 64;
-
     /** Services that have gone whose revision of removal is kept; older ones are absent at the catalogue's revision. */
     private static final int MOST_REMOVED = 8_192;
 
@@ -61,14 +57,18 @@
      * @param upserted endpoints that are new or differ; one that is gone counts as removed
      * @param configuration the new configuration, or empty to leave it as it is
      * @return the service's revision; that from before where nothing differs
-     * @throws IllegalArgumentException where the name is empty or too long
+     * @throws IllegalArgumentException where something is beyond {@link CatalogueLimits}; nothing has changed then
      */
     public Revision update(String service, List<ServerLine> upserted, List<Long> removedIds,
                            Optional<String> configuration) {
         CatalogueEntry entry = entries.get(service);
         boolean isNew = entry == null;
         if (isNew) {
-            entry = add(service);
+            entry = new CatalogueEntry(service);
+        }
+        CatalogueLimits.check(service, entry.sizeAfter(upserted, removedIds), upserted, configuration);
+        if (isNew) {
+            add(entry);
         }
         CatalogueEntry.Difference difference = entry.change(upserted, removedIds,
                 configuration.orElse(entry.configuration()));
@@ -107,7 +107,8 @@
         }
         CatalogueEntry entry = entries.get(service);
         if (entry == null) {
-            entry = add(service);
+            entry = new CatalogueEntry(service);
+            add(entry);
         }
         CatalogueEntry.Difference difference;
         if (change instanceof ServiceChange.Delta delta && delta.from().equals(entry.revision())) {
@@ -192,15 +193,9 @@
                 configuration);
     }
 
-    private CatalogueEntry add(String service) {
-        int length = service.getBytes(StandardCharsets.UTF_8).length;
-        if (length == 0 || length > LONGEST_NAME) {
-            throw new IllegalArgumentException("a service's name of " + length + " bytes");
-        }
-        removed.remove(service);
-        CatalogueEntry entry = new CatalogueEntry(service);
-        entries.put(service, entry);
-        return entry;
+    private void add(CatalogueEntry entry) {
+        removed.remove(entry.service());
+        entries.put(entry.service(), entry);
     }
 
     /** The ids that a service has and a new list of its endpoints has not. */
--- a/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
@@ -56,6 +56,23 @@
         return configuration;
     }
 
+    /** How many endpoints there would be after a change. */
+    int sizeAfter(List<ServerLine> upserted, List<Long> removed) {
+        Set<Long> added = new HashSet<>();
+        for (ServerLine endpoint : upserted) {
+            if (!endpoints.containsKey(endpoint.id())) {
+                added.add(endpoint.id());
+            }
+        }
+        int size = endpoints.size() + added.size();
+        for (long id : new HashSet<>(removed)) {
+            if (endpoints.containsKey(id) || added.contains(id)) {
+                size--;
+            }
+        }
+        return size;
+    }
+
     List<Long> ids() {
         return new ArrayList<>(endpoints.keySet());
     }
--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Optional;
@@ -114,13 +113,13 @@
 
     private void tellStatus() {
         byte[] message = statusMessage();
-        accepted.forEach(session -> session.sendStatus(message));
+        List.copyOf(accepted).forEach(session -> session.sendStatus(message));
     }
 
     private void tick() {
         Instant now = scheduler.now();
         Duration heartbeatEvery = terms.bookmarkEvery().minus(tickEvery);
-        new ArrayList<>(sessions).forEach(session -> session.tick(now, heartbeatEvery));
+        List.copyOf(sessions).forEach(session -> session.tick(now, heartbeatEvery));
         isTicking = !sessions.isEmpty();
         if (isTicking) {
             scheduler.after(tickEvery, this::tick);
@@ -204,11 +203,11 @@
         unresolved.add(session);
     }
 
-    void progress(SubscriberSession session, String name, Revision inForce) {
+    void recordProgress(SubscriberSession session, String name, Revision inForce) {
         progress.putController(session, name, inForce);
     }
 
-    void progress(SubscriberSession session, ProgressReport report) {
+    void recordProgress(SubscriberSession session, ProgressReport report) {
         progress.putRelay(session, report);
     }
 
--- a/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
@@ -169,7 +169,7 @@
     }
 
     private static double weight(double weight) {
-        if (!Double.isFinite(weight) || weight < 0) {
+        if (!CatalogueLimits.isWeight(weight)) {
             throw new BadInput("a weight of " + weight);
         }
         return weight;
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -42,9 +42,9 @@
     private boolean isSubscriptionWhole;
     private boolean isRelay;
     private Revision bookmarked = Revision.NONE;
-    private Instant bookmarkedAt = Instant.EPOCH;
+    private Instant bookmarkedAt = Instant.MIN;
     /** When the last bookmark or status was sent. */
-    private Instant heartbeatAt = Instant.EPOCH;
+    private Instant heartbeatAt = Instant.MIN;
 
     SubscriberSession(Publisher publisher, UpdateEncoder encoder, PublisherMetrics metrics, PublisherTerms terms,
                       SubscriberPort port, Instant now) {
@@ -73,7 +73,7 @@
             acknowledged(acknowledge);
         } else if (message instanceof Progress progress) {
             isRelay = true;
-            publisher.progress(this, progress.report());
+            publisher.recordProgress(this, progress.report());
         } else {
             throw new BadInput("a publisher's message from a subscriber");
         }
@@ -114,11 +114,11 @@
         }
         phase = Phase.WATCHING;
         metrics.watches++;
+        heartbeatAt = publisher.now();
         publisher.accepted(this);
+        publisher.recordProgress(this, port.name(), Revision.NONE);
         send(WatchCodec.bytes(new WatchMessage.Accepted(publisher.status())));
-        heartbeatAt = publisher.now();
-        publisher.progress(this, port.name(), Revision.NONE);
-        return true;
+        return phase == Phase.WATCHING;   // a connection that can't take more may end within the call
     }
 
     private void watch(Interest interest) {
@@ -155,7 +155,7 @@
     private void acknowledged(Acknowledge message) {
         window.acknowledged(message.batch(), publisher.now());
         if (!isRelay) {
-            publisher.progress(this, port.name(), message.inForce());
+            publisher.recordProgress(this, port.name(), message.inForce());
         }
         if (!queue.isEmpty()) {
             publisher.schedule(this);
@@ -187,10 +187,6 @@
         }
     }
 
-    boolean hasUnresolved() {
-        return queue.hasUnresolved();
-    }
-
     // ---- to the subscriber
 
     /** Sends what waits, as far as there is room. */
@@ -216,16 +212,26 @@
                 continue;
             }
             int larger = size + change.get().size();
-            if (!window.hasRoom(larger) || size > 0 && larger > Math.min(terms.updateBytes(), window.room())) {
+            boolean fits = batch.isEmpty() ? window.hasRoom(larger)
+                    : larger <= Math.min(terms.updateBytes(), window.room());
+            if (!fits) {
                 break;
             }
             size = larger;
             batch.add(change.get());
-            queue.sent(service, change.get().held());
+            taken(service, change.get());
         }
         return batch;
     }
 
+    private void taken(String service, EncodedChange change) {
+        if (everything && change.kind() == EncodedChange.Kind.ABSENT) {
+            queue.unwatch(service);   // guards memory against names that come and go
+        } else {
+            queue.sent(service, change.held());
+        }
+    }
+
     /** Nothing can or need be sent of a service now. */
     private void settle(String service, Held held) {
         if (encoder.isUnresolved(service, held)) {
@@ -263,13 +269,14 @@
     }
 
     private void heartbeat(Instant now, Duration every) {
-        boolean isNews = isSynchronized() && publisher.revision().isAfter(bookmarked);
+        boolean isSynchronized = isSynchronized();
         boolean isSilent = isOver(heartbeatAt, every, now);
-        if (isNews && isOver(bookmarkedAt, every, now)) {
-            sendBookmark(now);
-        } else if (isSilent && (!isSynchronized() || publisher.isStale())) {
+        boolean isNews = publisher.revision().isAfter(bookmarked) && isOver(bookmarkedAt, every, now);
+        if (isSilent && (publisher.isStale() || !isSynchronized)) {
             sendStatus(publisher.statusMessage());
-        } else if (isSilent) {
+        }
+        // Also while it says nothing new: a subscriber that is gone is found by its acknowledgements.
+        if (isSynchronized && (isSilent || isNews)) {
             sendBookmark(now);
         }
     }
@@ -312,10 +319,6 @@
         port.close(why);
     }
 
-    boolean isWatchingEverything() {
-        return everything;
-    }
-
     Iterable<String> services() {
         return queue.services();
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchFields.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchFields.java
@@ -63,15 +63,20 @@
 
     /** A number that is not negative. */
     static long count(MessageUnpacker unpacker) throws IOException {
+        return count(unpacker, Long.MAX_VALUE);
+    }
+
+    /** A number from 0 to a bound. */
+    static long count(MessageUnpacker unpacker, long most) throws IOException {
         long count = unpacker.unpackLong();
-        if (count < 0) {
-            throw new BadInput("a negative number");
+        if (count < 0 || count > most) {
+            throw new BadInput("the number " + count);
         }
         return count;
     }
 
     static String service(MessageUnpacker unpacker) throws IOException {
-        return text(unpacker, Catalogue.LONGEST_NAME);
+        return text(unpacker, CatalogueLimits.LONGEST_NAME);
     }
 
     /** A subscriber's name. */
