--- a/discovery/src/main/java/pathlane/discovery/WatchListener.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchListener.java
@@ -11,4 +11,10 @@
 
     /** What the current publisher says of itself; unconnected clients keep the last state in force. */
     void status(PublisherStatus status);
+
+    /** Everything that the watch concerns up to this revision is in force now. */
+    default void inForce(Revision revision) { }
+
+    /** The connection to the publisher that had accepted the watch is lost; the last state stays in force. */
+    default void disconnected() { }
 }
--- /dev/null
+++ b/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
@@ -0,0 +1,97 @@
+package pathlane.discovery;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import pathlane.core.ConnectionEnd;
+import pathlane.discovery.WatchMessage.Acknowledge;
+import pathlane.discovery.WatchMessage.Subscribe;
+import pathlane.group.SealedLink;
+import pathlane.link.Protocol;
+
+/** A publisher that says what a test has it say, and keeps what it heard. */
+final class ScriptedPublisher implements SealedLink.Upper {
+
+    final List<Subscribe> subscribed = new ArrayList<>();
+    final List<Acknowledge> acknowledged = new ArrayList<>();
+    final InetSocketAddress address;
+    private final VirtualNetwork network;
+    private final String name;
+    private SealedLink link;
+    private int open;
+    private boolean isWelcomed;
+    /** What it answers to the first message of each connection; null for nothing. */
+    WatchMessage.Response welcome = new WatchMessage.Accepted(new PublisherStatus(true, new Revision(1, 1), Duration.ZERO));
+
+    ScriptedPublisher(VirtualNetwork network, String name, int port) {
+        this.network = network;
+        this.name = name;
+        this.address = new InetSocketAddress("127.0.0.1", port);
+        network.listen(address, this::accept);
+    }
+
+    private Protocol accept() {
+        SealedLink accepted = new SealedLink(network.common(name), false, this);
+        link = accepted;
+        open++;
+        isWelcomed = false;
+        return accepted;
+    }
+
+    boolean isConnected() {
+        return open > 0;
+    }
+
+    void accepts(boolean complete, Revision revision, Duration staleFor) {
+        welcome = new WatchMessage.Accepted(new PublisherStatus(complete, revision, staleFor));
+    }
+
+    void send(WatchMessage message) {
+        link.write(WatchCodec.bytes(message));
+        network.pass(Duration.ofMillis(5));
+    }
+
+    void sendIfConnected(WatchMessage message) {
+        if (isWelcomed && isConnected()) {
+            send(message);
+        }
+    }
+
+    void update(long batch, ServiceChange... changes) {
+        send(new WatchMessage.Update(batch, List.of(changes)));
+    }
+
+    void dies() {
+        network.stopListening(address);
+        if (link != null) {
+            link.end(ConnectionEnd.ENDED);
+        }
+    }
+
+    void returns() {
+        network.listen(address, this::accept);
+    }
+
+    @Override
+    public void up(SealedLink up, String subscriber) { }
+
+    @Override
+    public void message(byte[] payload) {
+        WatchMessage message = WatchCodec.message(payload);
+        if (message instanceof Subscribe subscribe) {
+            subscribed.add(subscribe);
+            if (welcome != null && !isWelcomed) {
+                isWelcomed = true;
+                link.write(WatchCodec.bytes(welcome));
+            }
+        } else if (message instanceof Acknowledge acknowledge) {
+            acknowledged.add(acknowledge);
+        }
+    }
+
+    @Override
+    public void down(ConnectionEnd end) {
+        open--;
+    }
+}
--- /dev/null
+++ b/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
@@ -0,0 +1,102 @@
+package pathlane.discovery;
+
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.Supplier;
+import pathlane.core.ConnectionEnd;
+import pathlane.group.Keys;
+import pathlane.group.SealedLink;
+import pathlane.link.Connection;
+import pathlane.link.Dialer;
+import pathlane.link.LimitedLog;
+import pathlane.link.Protocol;
+import pathlane.standin.VirtualTime;
+
+/** Connections in one process and in virtual time; bytes take a millisecond. Listeners can be taken away and put back. */
+final class VirtualNetwork implements Dialer {
+
+    private static final Duration LATENCY = Duration.ofMillis(1);
+    private static final Keys KEYS = Keys.read("test 000102030405060708090a0b0c0d0e0f");
+
+    final VirtualTime time = new VirtualTime();
+    private final Map<InetSocketAddress, Supplier<Protocol>> listeners = new HashMap<>();
+    private final AtomicLong nonces = new AtomicLong();
+
+    SealedLink.Common common(String name) {
+        return new SealedLink.Common(name, () -> KEYS,
+                () -> ByteBuffer.allocate(16).putLong(nonces.incrementAndGet()).array(), time, new LimitedLog("test", time));
+    }
+
+    void listen(InetSocketAddress address, Supplier<Protocol> accept) {
+        listeners.put(address, accept);
+    }
+
+    void stopListening(InetSocketAddress address) {
+        listeners.remove(address);
+    }
+
+    void pass(Duration span) {
+        time.pass(span);
+    }
+
+    @Override
+    public void dial(InetSocketAddress address, Duration timeout, Protocol protocol) {
+        time.after(LATENCY, () -> {
+            Supplier<Protocol> accept = listeners.get(address);
+            if (accept == null) {
+                protocol.closed(ConnectionEnd.REFUSED);
+                return;
+            }
+            End near = new End(protocol);
+            End far = new End(accept.get());
+            near.other = far;
+            far.other = near;
+            List.of(near, far).forEach(end -> end.protocol.opened(end));
+        });
+    }
+
+    private final class End implements Connection {
+
+        private final Protocol protocol;
+        private End other;
+        private boolean open = true;
+
+        End(Protocol protocol) {
+            this.protocol = protocol;
+        }
+
+        @Override
+        public void write(byte[] bytes) {
+            if (open) {
+                time.after(LATENCY, () -> {
+                    if (other.open) {
+                        other.protocol.received(ByteBuffer.wrap(bytes));
+                    }
+                });
+            }
+        }
+
+        @Override
+        public void close(ConnectionEnd why) {
+            ended(why);
+            time.after(LATENCY, () -> other.ended(ConnectionEnd.CLOSED_BY_PEER));
+        }
+
+        private void ended(ConnectionEnd why) {
+            if (open) {
+                open = false;
+                time.after(Duration.ZERO, () -> protocol.closed(why));
+            }
+        }
+
+        @Override
+        public String remote() {
+            return "test";
+        }
+    }
+}
