--- a/core/src/main/java/pathlane/core/CallController.java
+++ b/core/src/main/java/pathlane/core/CallController.java
@@ -8,6 +8,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -33,10 +34,14 @@
 
     /** Added to the rule's wait after a give-up: the give-up may reach its server later than the resend. */
     private static final Duration CLEAR_MARGIN = Duration.ofMillis(15);
+    /** A call that waits for its service's servers is answered so long before its deadline. */
+    private static final Duration ANSWER_MARGIN = Duration.ofMillis(5);
     private final Settings settings;
     private final Scheduler scheduler;
     private final ServerPorts ports;
-    private final Gateway module;
+    private final long seed;
+    private final ServiceDirectory directory;
+    private final Map<String, Service> services = new HashMap<>();
     private final Counters counters = new Counters();
     private final Map<String, Call> calls = new HashMap<>();
     private final Map<Long, Server> servers = new TreeMap<>();
@@ -46,19 +51,34 @@
     private final Departed gone = new Departed();
     private static final byte[] NOTHING = {};
 
+    /** Calls and servers that belong together, with a decision module of their own. */
+    private static final class Service {
+        final String name;
+        Gateway module;
+        /** Calls of it, open or standing. */
+        int calls;
+
+        Service(String name) {
+            this.name = name;
+        }
+    }
+
     private static final class Server {
+        final Service service;
         final ServerPort port;
         ServerLine line;
         /** Calls that stand there. */
         int standing;
 
-        Server(ServerLine line, ServerPort port) {
+        Server(Service service, ServerLine line, ServerPort port) {
+            this.service = service;
             this.line = line;
             this.port = port;
         }
     }
 
     private static final class Call {
+        final Service service;
         final SetUp asked;
         final Instant deadline;
         CallerPort caller;
@@ -74,7 +94,8 @@
         /** Set up by another controller: the module never heard of it. */
         boolean adopted;
 
-        Call(SetUp asked, Instant deadline, CallerPort caller) {
+        Call(Service service, SetUp asked, Instant deadline, CallerPort caller) {
+            this.service = service;
             this.asked = asked;
             this.deadline = deadline;
             this.caller = caller;
@@ -88,13 +109,32 @@
 
     /** {@code cover} keeps what another controller would need. */
     public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports, Cover cover) {
+        this(settings, seed, scheduler, ports, cover, ServiceDirectory.ONE);
+    }
+
+    /** The same, with calls and servers of several services. */
+    public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports, Cover cover,
+                          ServiceDirectory directory) {
         this.cover = cover;
+        this.seed = seed;
+        this.directory = directory;
         this.callers = new Callers(scheduler);
         this.turns = new Turns(scheduler);
         this.settings = settings.withClearWait(settings.rules().clearWait().plus(CLEAR_MARGIN));
         this.scheduler = scheduler;
         this.ports = ports;
-        this.module = new Logic(this.settings, seed, new ModuleActions());
+        if (directory == ServiceDirectory.ONE) {
+            service(ServiceDirectory.ONLY_SERVICE);   // at the start, not at the first call
+        }
+    }
+
+    private Service service(String name) {
+        return services.computeIfAbsent(name, one -> {
+            Service service = new Service(one);
+            // Each service has its own chances; for the only service it is the seed itself.
+            service.module = new Logic(settings, seed ^ one.hashCode(), new ModuleActions(service));
+            return service;
+        });
     }
 
     public Counters counters() {
@@ -163,7 +203,15 @@
         Instant now = scheduler.now();
         // The caller's wait runs from when it sent the set-up: what an own stall held up came earlier.
         Duration left = setUp.patience().minus(scheduler.lag());
-        Call call = new Call(setUp, now.plus(left), caller);
+        Optional<String> service = directory.serviceOf(setUp);
+        if (service.isEmpty()) {
+            counters.count(Name.FAILED);
+            CallTrace.step(setUp.id(), "failed: of no known service");
+            caller.fail(setUp.id());
+            return true;
+        }
+        Call call = new Call(service(service.get()), setUp, now.plus(left), caller);
+        call.service.calls++;
         calls.put(setUp.id(), call);
         CallTrace.step(setUp.id(), "taken, answer due in {0} ms, lag {1} ms", left, scheduler.lag());
         callers.held(caller).open++;
@@ -179,9 +227,32 @@
     }
 
     private void arrived(Call call) {
+        if (calls.get(call.asked.id()) != call) {
+            return;
+        }
+        if (directory.use(call.service.name)) {
+            decide(call);
+        } else {
+            Duration left = Duration.between(scheduler.now(), call.deadline).minus(ANSWER_MARGIN);
+            directory.await(call.service.name, left, () -> decide(call), comeBackAfter -> refuseUndecided(call, comeBackAfter));
+        }
+    }
+
+    /** The servers of a call's service did not become known in time. */
+    private void refuseUndecided(Call call, Duration comeBackAfter) {
+        if (calls.get(call.asked.id()) == call) {
+            counters.count(Name.REFUSED);
+            CallTrace.step(call.asked.id(), "refused: the servers of {0} are not known yet", call.service.name);
+            call.guard.cancel();
+            remove(call);
+            call.caller.refuse(call.asked.id(), comeBackAfter);
+        }
+    }
+
+    private void decide(Call call) {
         SetUp asked = call.asked;
         if (calls.get(asked.id()) == call) {
-            turns.tell(at -> module.arrived(at, new Gateway.Call(asked.id(), asked.callClass(), asked.number(),
+            turns.tell(at -> call.service.module.arrived(at, new Gateway.Call(asked.id(), asked.callClass(), asked.number(),
                     Millis.of(Duration.between(scheduler.now(), call.deadline)), asked.firstChoice(), false)));
         }
     }
@@ -288,7 +359,7 @@
         counters.count(Name.GIVEN_UP_BY_CALLER);
         call.guard.cancel();
         remove(call);
-        turns.tell(at -> module.left(at, call.asked.id()));
+        turns.tell(at -> call.service.module.left(at, call.asked.id()));
         if (call.server != null) {
             giveUpAttempt(call);
             report(call, Ending.CANCELLED, true);
@@ -323,7 +394,7 @@
         cover.stands(id, serverId, call.caller);
         cover.answer(id, call.asked.callClass(), () -> call.caller.answer(id, description));
         double waited = Millis.of(Duration.between(call.sentAt, scheduler.now()));
-        turns.tell(at -> module.stands(at, id, call.attempts - 1, serverId, waited));
+        turns.tell(at -> call.service.module.stands(at, id, call.attempts - 1, serverId, waited));
     }
 
     /** A server released a call, before or after its answer; or its connection ended under a set-up. */
@@ -373,10 +444,11 @@
         if (calls.containsKey(id) || server == null || server.line.mode() == Mode.GONE) {
             return calls.containsKey(id);
         }
-        Call call = new Call(new SetUp(id, -1, "", Duration.ZERO, -1, NOTHING), scheduler.now(), caller);
+        Call call = new Call(server.service, new SetUp(id, -1, "", Duration.ZERO, -1, NOTHING), scheduler.now(), caller);
         call.adopted = true;
         call.standing = true;
         call.server = server;
+        call.service.calls++;
         server.standing++;
         calls.put(id, call);
         counters.count(Name.ADOPTED);
@@ -419,8 +491,9 @@
 
     /** A server told of its free lines and of all its lines. */
     public void linesTold(long serverId, double free, double size) {
-        if (servers.containsKey(serverId)) {
-            turns.tell(at -> module.reported(at, serverId, new Gateway.Report(free, size, Double.NaN, Double.NaN,
+        Server server = servers.get(serverId);
+        if (server != null) {
+            turns.tell(at -> server.service.module.reported(at, serverId, new Gateway.Report(free, size, Double.NaN, Double.NaN,
                     Double.NaN, Double.NaN)));
         }
     }
@@ -478,25 +551,63 @@
 
     /** The list arrived: the whole of it, or the changed lines alone. */
     public void listed(boolean whole, List<ServerLine> lines) {
+        listed(ServiceDirectory.ONLY_SERVICE, whole, lines);
+    }
+
+    /**
+     * The servers of a service: all of them, or the changed lines alone. A server belongs to the service that named it first,
+     * until that has let it go.
+     */
+    public void listed(String serviceName, boolean whole, List<ServerLine> all) {
+        Service service = service(serviceName);
+        // Guards a service's calls against another's servers, where two name the same.
+        List<ServerLine> lines = all.stream().filter(line -> !isOfAnother(line.id(), service)).toList();
         // The module hears of the change before anything comes back from it, or it would choose the same again.
         List<Runnable> consequences = new ArrayList<>();
         if (whole) {
             Set<Long> named = new HashSet<>();
             lines.forEach(line -> named.add(line.id()));
-            servers.values().stream().filter(s -> !named.contains(s.line.id()))
+            servers.values().stream().filter(s -> s.service == service && !named.contains(s.line.id()))
                     .forEach(server -> goneFromList(server, consequences));
         }
         List<Gateway.Listed> told = new ArrayList<>();
         for (ServerLine line : lines) {
             told.add(new Gateway.Listed(line.id(), line.cell(), line.mode(),
                     line.startedAt().equals(Instant.EPOCH) ? 0 : Millis.of(line.startedAt()), line.weight()));
-            change(line, consequences);
+            change(service, line, consequences);
         }
-        turns.tellFirst(at -> module.listed(at, whole, told));
+        turns.tellFirst(at -> service.module.listed(at, whole, told));
         consequences.forEach(Runnable::run);
     }
 
-    private void change(ServerLine line, List<Runnable> consequences) {
+    private boolean isOfAnother(long serverId, Service service) {
+        Server server = servers.get(serverId);
+        return server != null && server.service != service;
+    }
+
+    /**
+     * Forgets a service and its servers, which have not gone but are not followed any more.
+     *
+     * @return false where calls of it are open or stand: it is kept
+     */
+    public boolean forget(String serviceName) {
+        Service service = services.get(serviceName);
+        if (service == null) {
+            return true;
+        }
+        if (service.calls > 0) {
+            return false;
+        }
+        List<Server> left = servers.values().stream().filter(server -> server.service == service).toList();
+        left.forEach(server -> {
+            servers.remove(server.line.id());
+            server.port.close();
+        });
+        services.remove(serviceName);
+        return true;
+    }
+
+    private void change(Service service, ServerLine line, List<Runnable> consequences) {
         Server server = servers.get(line.id());
         boolean moved = server != null && !server.line.address().equals(line.address());
         if (server != null && line.startedAt().isAfter(server.line.startedAt())) {
@@ -512,7 +623,7 @@
             if (line.mode() == Mode.GONE) {
                 return;
             }
-            server = new Server(line, ports.apply(line));
+            server = new Server(service, line, ports.apply(line));
             servers.put(line.id(), server);
         }
         server.line = line;
@@ -563,7 +674,7 @@
         }
         double waited = Millis.of(Duration.between(call.sentAt, scheduler.now()));
         int attempt = call.attempts - 1;
-        turns.tell(at -> module.ended(at, new Gateway.Ended(call.asked.id(), attempt, server.line.id(), how, closed,
+        turns.tell(at -> call.service.module.ended(at, new Gateway.Ended(call.asked.id(), attempt, server.line.id(), how, closed,
                 waited, Millis.of(statedWait), null)));
     }
 
@@ -581,6 +692,7 @@
 
     private void takeOff(Call call) {
         calls.remove(call.asked.id());
+        call.service.calls--;
         Callers.Held held = callers.held(call.caller);
         held.open -= call.standing ? 0 : 1;
         held.standing -= call.standing ? 1 : 0;
@@ -597,6 +709,12 @@
     /** Carries out what the module asks for. */
     private final class ModuleActions implements Gateway.Actions {
 
+        private final Service service;
+
+        ModuleActions(Service service) {
+            this.service = service;
+        }
+
         @Override
         public void send(String id, long serverId, double giveUpAfterMs) {
             Call call = calls.get(id);
@@ -607,12 +725,12 @@
             Instant now = scheduler.now();
             int attempt = call.attempts++;
             // Guards the rules whatever the module does: one attempt at a time, none too soon, none too many,
-            // none to a server that drains or is gone.
+            // none to a server that drains, is gone, or is another service's.
             if (call.standing || call.server != null || now.isBefore(call.notBefore)
                     || attempt >= settings.maxAttempts() || server == null
-                    || server.line.mode() != Mode.RUNNING) {
+                    || server.line.mode() != Mode.RUNNING || server.service != service) {
                 counters.count(Name.GUARD_NOT_SENT);
-                turns.tell(at -> module.ended(at, new Gateway.Ended(id, attempt, serverId, Ending.NOT_SENT, false, 0,
+                turns.tell(at -> service.module.ended(at, new Gateway.Ended(id, attempt, serverId, Ending.NOT_SENT, false, 0,
                         0, null)));
                 return;
             }
@@ -671,7 +789,7 @@
 
         @Override
         public void wakeAfter(double delayMs) {
-            turns.wake(delayMs, module::woken);
+            turns.wake(delayMs, service.module::woken);
         }
 
         @Override
--- /dev/null
+++ b/core/src/main/java/pathlane/core/ServiceDirectory.java
@@ -0,0 +1,39 @@
+package pathlane.core;
+
+import java.time.Duration;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/**
+ * Which service each call belongs to, and whether the servers of that service are known yet. Calls of a service go to its
+ * servers alone. On the loop's thread.
+ */
+public interface ServiceDirectory {
+
+    /** The service of all calls and servers where services are not told apart. */
+    String ONLY_SERVICE = "";
+
+    /** All calls and servers are of {@link #ONLY_SERVICE}, whose servers count as known from the start. */
+    ServiceDirectory ONE = new ServiceDirectory() { };
+
+    /** The service whose servers may take a call; empty where there is none. */
+    default Optional<String> serviceOf(SetUp setUp) {
+        return Optional.of(ONLY_SERVICE);
+    }
+
+    /** A call of this service has come. Says whether its servers are known. */
+    default boolean use(String service) {
+        return true;
+    }
+
+    /**
+     * Has the servers of a service be known that are not.
+     *
+     * @param atMost how long the call can wait
+     * @param known run once they are known
+     * @param unknown told, where they are not known in time, after how long it makes sense to come back
+     */
+    default void await(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
+        known.run();
+    }
+}
