--- /dev/null
+++ b/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
@@ -0,0 +1,62 @@
+package pathlane.relay;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.time.Instant;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import pathlane.bus.ServerList;
+import pathlane.core.ServerLine;
+import pathlane.decision.Gateway.Mode;
+import pathlane.relay.ServerDirectory.EndpointChange;
+
+class ServerDirectoryTest {
+
+    private final ServerDirectory directory = new ServerDirectory(Map.of("a", Set.of(1, 2), "b", Set.of(3)));
+
+    private static ServerLine line(long id, int cell, Mode mode) {
+        return new ServerLine(id, new InetSocketAddress("127.0.0.1", 7000), mode, cell, 1, Instant.EPOCH);
+    }
+
+    private Map<String, EndpointChange> apply(boolean whole, ServerLine... lines) {
+        return directory.apply(new ServerList(whole, List.of(lines)));
+    }
+
+    @Test
+    void aServerBelongsToTheServiceOfItsCell() {
+        apply(true, line(5, 2, Mode.RUNNING), line(4, 1, Mode.RUNNING), line(6, 3, Mode.DRAINING), line(7, 9, Mode.RUNNING));
+        assertEquals(List.of(4L, 5L), directory.endpoints("a").stream().map(ServerLine::id).toList());
+        assertEquals(List.of(6L), directory.endpoints("b").stream().map(ServerLine::id).toList());
+        assertEquals(1, directory.unassigned());
+    }
+
+    @Test
+    void anEventTellsWhatItChangedAndNothingElse() {
+        apply(true, line(4, 1, Mode.RUNNING), line(6, 3, Mode.RUNNING));
+        assertTrue(apply(false, line(4, 1, Mode.RUNNING)).isEmpty());
+        assertEquals(Map.of("a", new EndpointChange(List.of(line(4, 1, Mode.DRAINING)), List.of())),
+                apply(false, line(4, 1, Mode.DRAINING)));
+        assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L))), apply(false, line(4, 1, Mode.GONE)));
+        assertTrue(apply(false, line(4, 1, Mode.GONE)).isEmpty());
+    }
+
+    @Test
+    void aWholeListTakesAwayWhatItLacks() {
+        apply(true, line(4, 1, Mode.RUNNING), line(6, 3, Mode.RUNNING), line(7, 9, Mode.RUNNING));
+        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(6L))), apply(true, line(4, 1, Mode.RUNNING)));
+        assertEquals(0, directory.unassigned());
+    }
+
+    @Test
+    void aServerThatMovesToAnotherCellLeavesItsFormerService() {
+        apply(true, line(4, 1, Mode.RUNNING));
+        assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L)),
+                "b", new EndpointChange(List.of(line(4, 3, Mode.RUNNING)), List.of())), apply(false, line(4, 3, Mode.RUNNING)));
+        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(4L))), apply(false, line(4, 9, Mode.RUNNING)));
+        assertEquals(1, directory.unassigned());
+    }
+}
--- a/wire/src/main/java/pathlane/bus/BusFeed.java
+++ b/wire/src/main/java/pathlane/bus/BusFeed.java
@@ -64,6 +64,7 @@
     /** The one connection that is followed or dialled; whatever another one still does concerns nobody. */
     private Session session;
     private final CompletableFuture<Void> current = new CompletableFuture<>();
+    private final CompletableFuture<Void> caughtUp = new CompletableFuture<>();
 
     /**
      * Starts to follow nothing yet.
@@ -101,6 +102,14 @@
         return current;
     }
 
+    /**
+     * Done, on the loop, once the bus itself has said that it has nothing newer than what it told. Unlike {@link #current}
+     * it never takes time for an answer: a bus that stalls in the middle of its list has not told it.
+     */
+    public CompletableFuture<Void> caughtUp() {
+        return caughtUp;
+    }
+
     /** Whether the bus was heard so lately that it would have told of a change; always where none is followed. */
     public boolean isCurrent() {
         return bus == null || !heard.plus(CURRENT).isBefore(scheduler.now());
@@ -175,6 +184,7 @@
             int kind = frame.get() & 0xff;
             if (kind == NOTHING_NEW) {
                 current.complete(null);
+                caughtUp.complete(null);
                 return;
             }
             if (kind != WHOLE && kind != CHANGES) {
