--- a/daemon/src/main/java/pathlane/Main.java
+++ b/daemon/src/main/java/pathlane/Main.java
@@ -22,24 +22,28 @@
     /**
      * Runs one of the three.
      *
-     * @param args {@code serve}, {@code diameter} and a file, either with {@code --group} and a file behind, or
-     *             {@code simhost}
+     * @param args {@code serve}, {@code diameter} and a file, either with {@code --group} and a file behind, the first also
+     *             with {@code --discovery} and a file instead; or {@code simhost}
      */
     public static void main(String[] args) {
-        // A group's file may follow: --group FILE.
-        int own = args.length >= 3 && args[args.length - 2].equals("--group") ? args.length - 2 : args.length;
-        Optional<Path> group = own < args.length ? Optional.of(Path.of(args[own + 1])) : Optional.empty();
+        // An operator's file may follow: --group FILE, or --discovery FILE.
+        String option = args.length >= 3 ? args[args.length - 2] : "";
+        boolean isDiscovery = option.equals("--discovery");
+        int own = isDiscovery || option.equals("--group") ? args.length - 2 : args.length;
+        Optional<Path> operators = own < args.length ? Optional.of(Path.of(args[own + 1])) : Optional.empty();
         String what = own == 2 ? args[0] + " FILE" : own == 1 ? args[0] : "";
         try {
-            switch (group.isPresent() && what.equals("simhost") ? "" : what) {
-                case "serve" -> serve(group, HangUp.minded());
+            boolean hasNoSuchOption = operators.isPresent() && what.equals("simhost") || isDiscovery && !what.equals("serve");
+            switch (hasNoSuchOption ? "" : what) {
+                case "serve" -> serve(operators, isDiscovery, HangUp.minded());
                 case "diameter FILE" -> {
                     logPlainly();
-                    Node.startDiameter(Path.of(args[1]), group, HangUp.minded());
+                    Node.startDiameter(Path.of(args[1]), operators, HangUp.minded());
                 }
                 case "simhost" -> simulate();
                 default -> {
-                    System.err.println("usage: java -jar pathlane.jar serve [--group FILE] | diameter FILE [--group FILE] | simhost");
+                    System.err.println("usage: java -jar pathlane.jar serve [--group FILE | --discovery FILE]"
+                            + " | diameter FILE [--group FILE] | simhost");
                     System.exit(2);
                 }
             }
@@ -62,13 +66,17 @@
         }
     }
 
-    private static void serve(Optional<Path> group, HangUp hangUp) {
+    private static void serve(Optional<Path> operators, boolean isDiscovery, HangUp hangUp) {
         logPlainly();
         String file = System.getenv("RELAY_CONFIG");
         if (file == null) {
             throw new IllegalArgumentException("RELAY_CONFIG does not name a configuration");
         }
-        Node.startPlatform(Path.of(file), group, hangUp);
+        if (isDiscovery) {
+            Node.startWithDiscovery(Path.of(file), operators.orElseThrow(), hangUp);
+        } else {
+            Node.startPlatform(Path.of(file), operators, hangUp);
+        }
     }
 
     private static void simulate() throws IOException {
--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -25,6 +25,8 @@
 import pathlane.core.Counters;
 import pathlane.core.Cover;
 import pathlane.diameter.DiameterFront;
+import pathlane.directory.DirectoryNode;
+import pathlane.directory.DiscoveryFile;
 import pathlane.link.Protocol;
 import pathlane.metrics.CollectdReporter;
 import pathlane.metrics.GraphiteReporter;
@@ -75,6 +77,24 @@
         });
     }
 
+    /**
+     * The same with the servers of its calls' services from discovery, in place of the event bus. A method of its own, so that
+     * without an operator's file none of discovery is loaded.
+     */
+    static void startWithDiscovery(Path file, Path discoveryFile, HangUp hangUp) {
+        NodeConfig config = new ConfigFile(file).read();
+        DiscoveryFile discovery = DiscoveryFile.read(discoveryFile, config.name());
+        Node node = new Node();
+        node.serve(config.name(), config.listen(), hangUp, () -> {
+            DirectoryNode directory = new DirectoryNode(discovery, node.network, node.loop);
+            PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.ending,
+                    Optional::empty, Cover.NONE, Optional.of(directory));
+            directory.start(platform.controller());
+            return new Front(platform.controller(), platform::accept, config.callers(), directory::stop,
+                    directory::reload, platform.current(), Optional.empty());
+        });
+    }
+
     /** Starts a call controller for Diameter peers; it serves until the process is asked to end. */
     static void startDiameter(Path file, Optional<Path> groupFile, HangUp hangUp) {
         DiameterConfig config = DiameterConfig.read(file);
--- /dev/null
+++ b/daemon/src/main/java/pathlane/directory/DirectoryNode.java
@@ -0,0 +1,119 @@
+package pathlane.directory;
+
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.security.SecureRandom;
+import java.time.Duration;
+import java.util.Optional;
+import java.util.function.Consumer;
+import pathlane.core.CallController;
+import pathlane.core.Scheduler;
+import pathlane.core.SetUp;
+import pathlane.discovery.OnDemandWatches;
+import pathlane.discovery.PublisherStatus;
+import pathlane.discovery.WatchClient;
+import pathlane.group.Keys;
+import pathlane.group.SealedLink;
+import pathlane.link.Dialer;
+import pathlane.link.LimitedLog;
+import pathlane.platform.ServerDiscovery;
+
+/** This controller as a subscriber: its watch of the services that its calls need. On the loop's thread. */
+public final class DirectoryNode implements ServerDiscovery {
+
+    private static final Logger LOG = System.getLogger("discovery");
+    private static final int NONCE_BYTES = 16;
+
+    private final DiscoveryFile file;
+    private final Dialer dialer;
+    private final Scheduler scheduler;
+    private final SecureRandom random = new SecureRandom();
+    private final OnDemandWatches watches;
+    private Keys keys;
+    private CallController controller;
+    private ServerListFeed feed;
+    private WatchClient client;
+
+    /**
+     * Dials nothing yet.
+     *
+     * @throws IllegalArgumentException with a sentence where the keys can't be used
+     */
+    public DirectoryNode(DiscoveryFile file, Dialer dialer, Scheduler scheduler) {
+        this.file = file;
+        this.dialer = dialer;
+        this.scheduler = scheduler;
+        this.keys = file.readKeys();
+        this.watches = new OnDemandWatches(scheduler, new Watches());
+    }
+
+    /** Begins, for this controller; before its first call. */
+    public void start(CallController started) {
+        controller = started;
+        feed = new ServerListFeed(controller, watches);
+        SealedLink.Common common = new SealedLink.Common(file.watch().name(), () -> keys, this::nonce, scheduler,
+                new LimitedLog("discovery", scheduler));
+        client = new WatchClient(file.watch(), dialer, common, scheduler, random, feed);
+        client.start();
+    }
+
+    private byte[] nonce() {
+        byte[] nonce = new byte[NONCE_BYTES];
+        random.nextBytes(nonce);
+        return nonce;
+    }
+
+    /** Ends the watch; the servers that are known stay. */
+    public void stop() {
+        client.stop();
+    }
+
+    /** Reads the keys again; those that can't be used change nothing. */
+    public void reload() {
+        try {
+            keys = file.readKeys();
+            LOG.log(Level.INFO, "keys read again: {0}", Integer.toString(keys.keys().size()));
+        } catch (IllegalArgumentException e) {
+            LOG.log(Level.WARNING, "keys not read again, the old ones stay: {0}", e.getMessage());
+        }
+    }
+
+    @Override
+    public boolean isCurrent() {
+        return client.status().filter(PublisherStatus::complete).filter(status -> status.staleFor().isZero()).isPresent();
+    }
+
+    @Override
+    public Optional<String> serviceOf(SetUp setUp) {
+        return file.serviceOf(setUp.firstChoice());
+    }
+
+    @Override
+    public boolean use(String service) {
+        return watches.use(service);
+    }
+
+    @Override
+    public void await(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
+        watches.await(service, atMost, known, unknown);
+    }
+
+    private final class Watches implements OnDemandWatches.Actions {
+
+        @Override
+        public void watch(String service) {
+            client.watch(service);
+        }
+
+        @Override
+        public boolean unwatch(String service) {
+            if (!controller.forget(service)) {
+                return false;   // calls of it are open or stand
+            }
+            feed.forget(service);
+            client.unwatch(service);
+            LOG.log(Level.INFO, "{0} is not in use, and not watched any more", service);
+            return true;
+        }
+    }
+}
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -15,6 +15,7 @@
 import pathlane.core.CallController;
 import pathlane.core.Cover;
 import pathlane.core.Scheduler;
+import pathlane.core.ServiceDirectory;
 import pathlane.link.Admission;
 import pathlane.link.Dialer;
 import pathlane.link.LimitedLog;
@@ -28,6 +29,7 @@
     private final CallController controller;
     private final BooleanSupplier ready;
     private final BusFeed feed;
+    private final Optional<ServerDiscovery> discovery;
     private final CallerLimits limits;
     private final Scheduler scheduler;
     private final LimitedLog callerLog;
@@ -48,6 +50,13 @@
     /** The same with what keeps calls elsewhere. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
                          Supplier<Optional<NodeConfig>> changed, Cover cover) {
+        this(config, dialer, scheduler, ready, changed, cover, Optional.empty());
+    }
+
+    /** The same with discovery, where there is any: the event bus and the events in the configuration are then of no account. */
+    public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
+                         Supplier<Optional<NodeConfig>> changed, Cover cover, Optional<ServerDiscovery> discovery) {
+        this.discovery = discovery;
         this.ready = ready;
         this.changed = changed;
         this.limits = config.callers();
@@ -60,11 +69,14 @@
                 this::isListCurrent, dialer, scheduler, servers,
                 new LinesPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
         controller = new CallController(config.settings(), config.seed(), scheduler,
-                line -> new ServerLink(line, common), cover);
-        KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
+                line -> new ServerLink(line, common), cover,
+                discovery.<ServiceDirectory>map(one -> one).orElse(ServiceDirectory.ONE));
+        if (discovery.isEmpty()) {
+            KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
+        }
         feed = new BusFeed(config.knownOffset(), dialer, scheduler, random.split(),
                 event -> controller.listed(event.whole(), event.lines()), this::busUnreachable);
-        if (config.bus() != null) {
+        if (config.bus() != null && discovery.isEmpty()) {
             feed.follow(config.bus());
         } else {
             feed.current().complete(null);
@@ -102,7 +114,7 @@
 
     /** Whether a server that drains would be known by now; where there is no bus, the list never changes. */
     private boolean isListCurrent() {
-        return feed.isCurrent();
+        return discovery.isPresent() ? discovery.get().isCurrent() : feed.isCurrent();
     }
 
     /** Done once the list is what the event bus had at the start, or where there is no bus. */
--- a/daemon/src/test/java/pathlane/crossings/Program.java
+++ b/daemon/src/test/java/pathlane/crossings/Program.java
@@ -38,13 +38,22 @@
         address = Addresses.parse(line.substring(line.indexOf(SERVES) + SERVES.length()));
     }
 
-    private Program(Path folder, String config, String before) throws IOException {
+    /** Starts it with an operator's file of discovery, and waits until it serves. */
+    static Program discovering(Path folder, String config, Path discovery) throws IOException {
+        Program program = new Program(folder, config, "exec ", "--discovery", discovery.toString());
+        program.awaitServes();
+        return program;
+    }
+
+    private Program(Path folder, String config, String before, String... options) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", before + "\"$0\" \"$@\"", java, "-XX:+UseSerialGC",
+        List<String> command = new ArrayList<>(List.of("sh", "-c", before + "\"$0\" \"$@\"", java, "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Djava.net.preferIPv4Stack=true", "-cp",
-                System.getProperty("java.class.path"), "pathlane.Main", "serve").redirectErrorStream(true);
+                System.getProperty("java.class.path"), "pathlane.Main", "serve"));
+        command.addAll(List.of(options));
+        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("RELAY_CONFIG", file.toString());
         process = builder.start();
         log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
--- /dev/null
+++ b/daemon/src/test/java/pathlane/directory/ServicesTest.java
@@ -0,0 +1,244 @@
+package pathlane.directory;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import pathlane.config.Settings;
+import pathlane.core.CallController;
+import pathlane.core.CallerPort;
+import pathlane.core.Counters;
+import pathlane.core.Cover;
+import pathlane.core.ServerLine;
+import pathlane.core.ServerPort;
+import pathlane.core.ServiceDirectory;
+import pathlane.core.SetUp;
+import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Gateway.Mode;
+import pathlane.discovery.OnDemandWatches;
+import pathlane.discovery.Revision;
+import pathlane.discovery.ServiceChange;
+import pathlane.discovery.ServiceState;
+import pathlane.standin.VirtualTime;
+
+/** Calls of two services, billing by cell 0 and mail by cell 1, at one controller that hears of servers on demand. */
+class ServicesTest {
+
+    private static final Duration PATIENCE = Duration.ofSeconds(9);
+    private static final Duration SHORT = Duration.ofMillis(50);
+    private static final Settings SETTINGS = new Settings(List.of(new Settings.CallClass("plain", Duration.ofMillis(1500),
+            PATIENCE, 1, 0, 1, true, List.of())), new Settings.Rules(0.28, Duration.ofSeconds(13), 3,
+            Duration.ofMillis(1500), Duration.ofMillis(200)), 1, 6, Duration.ofMillis(5), Duration.ZERO, true, false, -1,
+            Duration.ofMillis(500), Duration.ofMinutes(10), Duration.ZERO, Optional.empty());
+
+    private final VirtualTime time = new VirtualTime();
+    private final List<String> log = new ArrayList<>();
+    private final OnDemandWatches watches = new OnDemandWatches(time, new Watches());
+    private final CallController controller = new CallController(SETTINGS, 7, time, Port::new, Cover.NONE,
+            new Directory());
+    private final ServerListFeed feed = new ServerListFeed(controller, watches);
+    private final CallerPort caller = new Caller();
+    private int revisions;
+
+    private final class Watches implements OnDemandWatches.Actions {
+        @Override
+        public void watch(String service) {
+            log.add("watch " + service);
+        }
+
+        @Override
+        public boolean unwatch(String service) {
+            boolean ended = controller.forget(service);
+            log.add((ended ? "unwatch " : "keep ") + service);
+            return ended;
+        }
+    }
+
+    private final class Directory implements ServiceDirectory {
+        @Override
+        public Optional<String> serviceOf(SetUp setUp) {
+            return setUp.firstChoice() > 1 ? Optional.empty() : Optional.of(setUp.firstChoice() == 0 ? "billing" : "mail");
+        }
+
+        @Override
+        public boolean use(String service) {
+            return watches.use(service);
+        }
+
+        @Override
+        public void await(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
+            watches.await(service, atMost, known, unknown);
+        }
+    }
+
+    private final class Port implements ServerPort {
+        private final long id;
+
+        Port(ServerLine line) {
+            id = line.id();
+        }
+
+        @Override
+        public void setUp(SetUp setUp, Duration patience, boolean mayHaveRun) {
+            log.add(setUp.id() + " at " + id);
+            time.after(Duration.ofMillis(1), () -> controller.answered(id, setUp.id(), new byte[0]));
+        }
+
+        @Override
+        public void giveUp(String call) { }
+
+        @Override
+        public void release(String call, Ending how, byte[] content) { }
+
+        @Override
+        public void drain() { }
+
+        @Override
+        public void close() {
+            log.add("closed " + id);
+        }
+    }
+
+    private final class Caller implements CallerPort {
+        @Override
+        public void answer(String call, byte[] description) {
+            log.add(call + " stands");
+        }
+
+        @Override
+        public void refuse(String call, Duration comeBackAfter) {
+            log.add(call + " refused " + comeBackAfter.toMillis());
+        }
+
+        @Override
+        public void fail(String call) {
+            log.add(call + " failed");
+        }
+
+        @Override
+        public void release(String call, Ending how) {
+            log.add(call + " over");
+        }
+    }
+
+    @BeforeEach
+    void aCallerIsConnected() {
+        controller.callerOpened(caller);
+    }
+
+    private void call(String id, int cell, Duration patience) {
+        controller.setUp(new SetUp(id, 0, "n" + id, patience, cell, new byte[0]), caller);
+        time.pass(SHORT);
+    }
+
+    private ServiceState state(String service, long... servers) {
+        List<ServerLine> lines = new ArrayList<>();
+        for (long id : servers) {
+            lines.add(new ServerLine(id, new InetSocketAddress("127.0.0.1", (int) id), Mode.RUNNING, 0, 1, Instant.EPOCH));
+        }
+        return new ServiceState(service, new Revision(1, ++revisions), 0, lines, "");
+    }
+
+    private void listed(String service, long... servers) {
+        ServiceState state = state(service, servers);
+        feed.changed(state, new ServiceChange.Snapshot(state));
+    }
+
+    private long count(String line) {
+        return log.stream().filter(line::equals).count();
+    }
+
+    @Test
+    void aCallOfAServiceThatIsNotWatchedYetWaitsForItsServers() {
+        call("a", 0, PATIENCE);
+        assertEquals(List.of("watch billing"), log);
+        listed("billing", 1);
+        time.pass(SHORT);
+        call("b", 0, PATIENCE);
+        assertEquals(List.of("watch billing", "a at 1", "a stands", "b at 1", "b stands"), log);
+    }
+
+    @Test
+    void theWaitIsBoundedByItsOwnLimitAndByTheDeadline() {
+        call("short", 0, Duration.ofMillis(300));
+        call("long", 0, PATIENCE);
+        time.pass(Duration.ofMillis(200));
+        assertEquals(List.of("watch billing", "short refused 1000"), log);
+        time.pass(OnDemandWatches.MOST_WAIT);
+        assertEquals("long refused 1000", log.get(2));
+        listed("billing", 1);
+        time.pass(SHORT);
+        assertEquals(3, log.size());
+        assertEquals(0, controller.openCalls());
+    }
+
+    @Test
+    void aCallGoesToNoServerOfAnotherService() {
+        call("a", 0, PATIENCE);
+        call("b", 1, PATIENCE);
+        listed("billing", 1);
+        listed("mail", 2, 1);   // 1 is billing's
+        for (int i = 0; i < 20; i++) {
+            call("m" + i, 1, PATIENCE);
+        }
+        assertTrue(log.contains("a at 1"));
+        assertTrue(log.contains("b at 2"));
+        assertEquals(21, log.stream().filter(line -> line.endsWith(" at 2")).count());
+        feed.absent("mail", new Revision(1, ++revisions));
+        time.pass(SHORT);
+        assertEquals(21, log.stream().filter(line -> line.endsWith(" over")).count());
+        assertEquals(0, count("a over"));
+        assertEquals(0, controller.counters().value(Counters.Name.GUARD_NOT_SENT));
+    }
+
+    @Test
+    void aServerThatIsRemovedOrDrainsGetsNothingFromThatMomentOn() {
+        call("a", 0, PATIENCE);
+        ServiceState before = state("billing", 1, 2, 3);
+        feed.changed(before, new ServiceChange.Snapshot(before));
+        ServerLine drains = before.endpoints().get(1);
+        ServiceState after = state("billing", 3);
+        feed.changed(after, new ServiceChange.Delta("billing", before.revision(), after.revision(), 0,
+                List.of(new ServerLine(2, drains.address(), Mode.DRAINING, 0, 1, Instant.EPOCH)), List.of(1L),
+                Optional.empty()));
+        assertTrue(log.contains("closed 1"));
+        int told = log.size();
+        for (int i = 0; i < 20; i++) {
+            call("b" + i, 0, PATIENCE);
+        }
+        List<String> since = log.subList(told, log.size());
+        assertEquals(20, since.stream().filter(line -> line.endsWith(" at 3")).count());
+    }
+
+    @Test
+    void aCellOfNoServiceFailsAtOnce() {
+        call("a", 7, PATIENCE);
+        assertEquals(List.of("a failed"), log);
+    }
+
+    @Test
+    void aServiceIsUnwatchedOnceItIsUnusedButNotWhileCallsStand() {
+        call("a", 0, PATIENCE);
+        listed("billing", 1);
+        time.pass(OnDemandWatches.UNUSED_AFTER.plusMinutes(2));
+        assertTrue(count("keep billing") > 0);
+        assertEquals(0, count("closed 1"));
+        controller.callerReleased("a", new byte[0], caller);
+        time.pass(Duration.ofMinutes(2));
+        assertEquals(1, count("unwatch billing"));
+        assertEquals(1, count("closed 1"));
+        call("b", 0, PATIENCE);
+        assertEquals(2, count("watch billing"));
+        listed("billing", 1);
+        time.pass(SHORT);
+        assertEquals(1, count("b stands"));
+    }
+}
--- a/relay/src/main/java/pathlane/relay/TomlFile.java
+++ b/files/src/main/java/pathlane/files/TomlFile.java
@@ -1,4 +1,4 @@
-package pathlane.relay;
+package pathlane.files;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,7 +22,7 @@
  * One table of a TOML file, read key by key. Whatever can't be used ends in an {@link IllegalArgumentException} with one
  * sentence that names the file, the line and what would be right.
  */
-final class TomlFile {
+public final class TomlFile {
 
     private final Path file;
     private final TomlTable table;
@@ -38,7 +38,7 @@
     }
 
     /** Reads and parses the file. */
-    static TomlFile parse(Path file) {
+    public static TomlFile parse(Path file) {
         TomlParseResult toml;
         try {
             toml = Toml.parse(Files.readString(file));
@@ -53,20 +53,22 @@
     }
 
     /** The file that is named by a path in this one, relative to it. */
-    Path beside(String name) {
+    public Path beside(String name) {
         return file.toAbsolutePath().resolveSibling(name);
     }
 
-    Set<String> keys() {
+    /** The keys of this table. */
+    public Set<String> keys() {
         return table.keySet();
     }
 
-    boolean has(String key) {
+    /** Whether the key is there. */
+    public boolean has(String key) {
         return table.get(List.of(key)) != null;
     }
 
     /** Refuses a key that is none of these: a misspelt one would be passed over in silence. */
-    void onlyKeys(Set<String> known) {
+    public void onlyKeys(Set<String> known) {
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
                 throw error(key, "'" + prefix + key + "' is no key here; there are "
@@ -76,7 +78,7 @@
     }
 
     /** The sentence about a key of this table. */
-    IllegalArgumentException error(String key, String sentence) {
+    public IllegalArgumentException error(String key, String sentence) {
         TomlPosition position = table.inputPositionOf(List.of(key));
         int at = position == null ? line : position.line();
         return new IllegalArgumentException(file + (at == 0 ? "" : " line " + at) + ": " + sentence);
@@ -94,7 +96,8 @@
         return value;
     }
 
-    String text(String key) {
+    /** A text that must be there. */
+    public String text(String key) {
         Object value = required(key);
         if (!(value instanceof String text)) {
             throw wrong(key, value, "text in quotes");
@@ -102,11 +105,13 @@
         return text;
     }
 
-    String text(String key, String usual) {
+    /** A text, or the usual one where the key is absent. */
+    public String text(String key, String usual) {
         return has(key) ? text(key) : usual;
     }
 
-    InetSocketAddress address(String key) {
+    /** An address with a port; it must be there. */
+    public InetSocketAddress address(String key) {
         String text = text(key);
         try {
             return Addresses.parse(text);
@@ -115,7 +120,8 @@
         }
     }
 
-    long whole(String key, long usual, long least, long most) {
+    /** A whole number within bounds, or the usual one where the key is absent. */
+    public long whole(String key, long usual, long least, long most) {
         Object value = table.get(List.of(key));
         if (value == null) {
             return usual;
@@ -126,7 +132,8 @@
         return number;
     }
 
-    double number(String key, double usual, double least, double most) {
+    /** A number within bounds, or the usual one where the key is absent. */
+    public double number(String key, double usual, double least, double most) {
         Object value = table.get(List.of(key));
         if (value == null) {
             return usual;
@@ -137,12 +144,13 @@
         return number.doubleValue();
     }
 
-    Duration millis(String key, Duration usual, Duration least, Duration most) {
+    /** A time in milliseconds within bounds, or the usual one where the key is absent. */
+    public Duration millis(String key, Duration usual, Duration least, Duration most) {
         return Duration.ofMillis(whole(key, usual.toMillis(), least.toMillis(), most.toMillis()));
     }
 
     /** A list of whole numbers. */
-    List<Long> wholes(String key, long least, long most) {
+    public List<Long> wholes(String key, long least, long most) {
         Object value = required(key);
         if (!(value instanceof TomlArray array) || !array.toList().stream()
                 .allMatch(one -> one instanceof Long number && number >= least && number <= most)) {
@@ -153,7 +161,7 @@
     }
 
     /** A table within this one; an empty one where the key is absent. */
-    TomlFile table(String key) {
+    public TomlFile table(String key) {
         Object value = table.get(List.of(key));
         if (value == null) {
             return new TomlFile(file, Toml.parse(""), prefix + key + ".", 0);
@@ -165,12 +173,12 @@
     }
 
     /** Whether the value of the key is a table. */
-    boolean isTable(String key) {
+    public boolean isTable(String key) {
         return table.get(List.of(key)) instanceof TomlTable;
     }
 
     /** The tables of a list, {@code [[key]]}; none where the key is absent. */
-    List<TomlFile> tables(String key) {
+    public List<TomlFile> tables(String key) {
         Object value = table.get(List.of(key));
         if (value == null) {
             return List.of();
@@ -186,7 +194,7 @@
     }
 
     /** The constant of that name among others. */
-    <T> T choice(String key, Map<String, T> choices) {
+    public <T> T choice(String key, Map<String, T> choices) {
         String text = text(key);
         T chosen = choices.get(text);
         if (chosen == null) {
--- a/relay/src/main/java/pathlane/relay/ProgramFile.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFile.java
@@ -9,6 +9,8 @@
 import java.util.Set;
 import pathlane.discovery.PublisherTerms;
 import pathlane.discovery.WatchTerms;
+import pathlane.files.TomlFile;
+import pathlane.files.WatchTables;
 import pathlane.group.Keys;
 
 /** The file of a source or a relay, in TOML. */
@@ -29,13 +31,7 @@
 
         /** Reads the keys that the file names. */
         Keys readKeys() {
-            try {
-                return Keys.read(Files.readString(keys));
-            } catch (IOException e) {
-                throw new IllegalArgumentException("the keys' file " + keys + " can't be read", e);
-            } catch (IllegalArgumentException e) {
-                throw new IllegalArgumentException(keys + ": " + e.getMessage(), e);
-            }
+            return WatchTables.keys(keys);
         }
     }
 
