--- a/discovery/src/main/java/pathlane/discovery/ProgressTable.java
+++ b/discovery/src/main/java/pathlane/discovery/ProgressTable.java
@@ -46,13 +46,26 @@
                 behind.stream().sorted(SLOWEST_FIRST).limit(ProgressReport.MOST_SLOWEST).toList());
     }
 
-    /** Counts the smallest levels at the next lower one. The lowest stays exact: it says what is in force everywhere. */
+    /** Counts neighbours that are few together at the lower one. The lowest stays exact: it says what all have in force. */
     private static void reduce(TreeMap<Revision, Long> levels) {
         while (levels.size() > ProgressReport.MOST_LEVELS) {
-            Revision smallest = levels.tailMap(levels.firstKey(), false).entrySet().stream()
-                    .min(Map.Entry.comparingByValue()).orElseThrow().getKey();
-            long controllers = levels.remove(smallest);
-            levels.merge(levels.lowerKey(smallest), controllers, Long::sum);
+            Revision upper = upperOfSmallestNeighbours(levels);
+            long controllers = levels.remove(upper);
+            levels.merge(levels.lowerKey(upper), controllers, Long::sum);
         }
     }
+
+    private static Revision upperOfSmallestNeighbours(TreeMap<Revision, Long> levels) {
+        Revision upper = null;
+        long fewest = Long.MAX_VALUE;
+        Long below = null;
+        for (Map.Entry<Revision, Long> level : levels.tailMap(levels.firstKey(), false).entrySet()) {
+            if (below != null && below + level.getValue() < fewest) {
+                fewest = below + level.getValue();
+                upper = level.getKey();
+            }
+            below = level.getValue();
+        }
+        return upper;
+    }
 }
--- /dev/null
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -0,0 +1,349 @@
+package pathlane.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static pathlane.discovery.PublisherHarness.endpoint;
+import static pathlane.discovery.PublisherHarness.endpoints;
+import static pathlane.discovery.PublisherHarness.nothingOf;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import pathlane.core.ConnectionEnd;
+import pathlane.decision.Gateway.Mode;
+import pathlane.discovery.PublisherHarness.Subscriber;
+import pathlane.discovery.ServiceChange.Absent;
+import pathlane.discovery.ServiceChange.Delta;
+import pathlane.discovery.ServiceChange.Snapshot;
+import pathlane.discovery.WatchMessage.Accepted;
+import pathlane.discovery.WatchMessage.Acknowledge;
+import pathlane.discovery.WatchMessage.Bookmark;
+import pathlane.discovery.WatchMessage.Interest;
+import pathlane.discovery.WatchMessage.Progress;
+import pathlane.discovery.WatchMessage.Refused;
+import pathlane.discovery.WatchMessage.Status;
+import pathlane.discovery.WatchMessage.Subscribe;
+import pathlane.discovery.WatchMessage.Update;
+import pathlane.wire.BadInput;
+
+class PublisherTest {
+
+    private static final String BIG = "x".repeat(1_000);
+
+    @Test
+    void aWatchIsAcceptedThenServedThenBookmarked() {
+        PublisherHarness harness = PublisherHarness.complete("a", "b");
+        Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
+        harness.time.pass(Duration.ofMillis(200));
+        assertInstanceOf(Accepted.class, subscriber.messages.get(0));
+        assertEquals(List.of(new Snapshot(harness.catalogue.state("a").orElseThrow())), subscriber.changes());
+        assertEquals(List.of(new Bookmark(harness.catalogue.revision())), subscriber.all(Bookmark.class));
+    }
+
+    @Test
+    void aChangeReachesWhoWatchesItsServiceAndNobodyElse() {
+        PublisherHarness harness = PublisherHarness.complete("a", "b");
+        Subscriber one = harness.subscriber("c1").watch("a").acknowledging();
+        Subscriber other = harness.subscriber("c2").watch("b").acknowledging();
+        Subscriber relay = harness.subscriber("r").subscribe(true).acknowledging();
+        List.of(one, other, relay).forEach(Subscriber::clear);
+        Revision before = harness.catalogue.state("a").orElseThrow().revision();
+        harness.catalogue.update("a", List.of(endpoint(4)), List.of(1L), Optional.empty());
+        harness.endTurn();
+        ServiceState now = harness.catalogue.state("a").orElseThrow();
+        List<ServiceChange> delta = List.of(new Delta("a", before, now.revision(), now.digest(), List.of(endpoint(4)),
+                List.of(1L), Optional.empty()));
+        assertEquals(delta, one.changes());
+        assertEquals(delta, relay.changes());
+        assertEquals(List.of(), other.messages);
+    }
+
+    @Test
+    void snapshotsAndDeltasAreEncodedOnceForAllWhoHoldTheSame() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        for (int i = 0; i < 3; i++) {
+            harness.subscriber("c" + i).watch("a").acknowledging();
+        }
+        harness.catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
+        harness.endTurn();
+        PublisherCounters counters = harness.publisher.counters();
+        assertEquals(List.of(3L, 1L, 3L, 1L), List.of(counters.snapshotsSent(), counters.snapshotsEncoded(),
+                counters.deltasSent(), counters.deltasEncoded()));
+    }
+
+    @Test
+    void oneBookmarkASecondIsEncodedForAllSessions() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber one = harness.subscriber("c1").watch("a").acknowledging();
+        Subscriber other = harness.subscriber("c2").watch("a").acknowledging();
+        harness.time.pass(Duration.ofMillis(200));
+        one.clear();
+        other.clear();
+        harness.time.pass(Duration.ofSeconds(10));
+        assertEquals(one.messages, one.all(Bookmark.class));
+        assertTrue(one.bytes.size() >= 10 && one.bytes.size() <= 11, one.bytes.size() + " bookmarks in 10 s");
+        assertSame(one.bytes.get(0), other.bytes.get(0));
+    }
+
+    @Test
+    void removalsAndDrainsLeaveAheadOfAllElse() {
+        PublisherHarness harness = PublisherHarness.complete("a", "b", "c", "d");
+        Subscriber subscriber = harness.subscriber("c").watch("a", "b", "c", "d").acknowledging();
+        subscriber.clear();
+        harness.catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
+        harness.catalogue.update("b", List.of(endpoint(4)), List.of(), Optional.empty());
+        harness.catalogue.update("c", List.of(endpoint(1, Mode.DRAINING)), List.of(), Optional.empty());
+        harness.catalogue.update("d", List.of(), List.of(1L), Optional.empty());
+        harness.catalogue.update("b", List.of(), List.of(2L), Optional.empty());
+        harness.endTurn();
+        assertEquals(List.of("c", "d", "b", "a"), subscriber.changes().stream().map(ServiceChange::service).toList());
+    }
+
+    @Test
+    void aResumedWatchIsToldOfRemovalsFirst() {
+        PublisherHarness harness = PublisherHarness.complete("a", "b", "c");
+        Interest a = harness.held("a");
+        Interest c = harness.held("c");
+        harness.catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
+        harness.catalogue.update("c", List.of(), List.of(1L), Optional.empty());
+        Subscriber subscriber = harness.subscriber("c").subscribe(false, a, nothingOf("b"), c);
+        assertEquals(List.of("c", "a", "b"), subscriber.changes().stream().map(ServiceChange::service).toList());
+    }
+
+    @Test
+    void whatIsUnderWayIsBoundedAndWhatComesMeanwhileIsCoalesced() {
+        PublisherHarness harness = PublisherHarness.complete();
+        for (int i = 0; i < 10; i++) {
+            harness.catalogue.replace("s" + i, endpoints(1, 2), BIG);
+        }
+        Subscriber slow = harness.subscriber("c").subscribe(true);
+        int sent = slow.changes().size();
+        assertEquals(3, sent, "of 1 KB each, with 4,000 bytes at most under way");
+        for (int i = 0; i < 50; i++) {
+            harness.catalogue.update("s0", List.of(), List.of(), Optional.of(BIG + i));
+            harness.endTurn();
+        }
+        assertEquals(sent, slow.changes().size());
+        assertEquals(49, harness.publisher.counters().coalesced());
+        slow.acknowledging();
+        harness.time.pass(Duration.ofMillis(500));
+        assertEquals(11, slow.changes().size());
+        assertEquals(List.of(new Bookmark(harness.catalogue.revision())), slow.all(Bookmark.class));
+        assertTrue(slow.all(Update.class).stream().allMatch(update -> WatchCodec.bytes(update).length < 1_600));
+    }
+
+    @Test
+    void aChangeLargerThanTheWindowLeavesAlone() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        harness.catalogue.replace("b", endpoints(1, 2), "y".repeat(10_000));
+        Subscriber subscriber = harness.subscriber("c").watch("a", "b");
+        assertEquals(1, subscriber.changes().size());
+        subscriber.acknowledging();
+        assertEquals(2, subscriber.changes().size());
+    }
+
+    @Test
+    void nothingIsSentWhileTheConnectionIsStuck() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
+        subscriber.clear();
+        subscriber.stuck = true;
+        harness.catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
+        harness.time.pass(Duration.ofSeconds(2));
+        assertEquals(List.of(), subscriber.messages);
+        subscriber.stuck = false;
+        harness.time.pass(Duration.ofMillis(200));
+        assertEquals(1, subscriber.changes().size());
+    }
+
+    @Test
+    void whoHoldsTheContentAlreadyIsSentNoneOfIt() {
+        PublisherHarness former = PublisherHarness.complete("a");
+        Interest held = former.held("a");
+        PublisherHarness harness = new PublisherHarness();
+        harness.catalogue.begin(2);
+        harness.catalogue.replace("z", endpoints(1, 1), "");
+        harness.catalogue.replace("a", endpoints(1, 3), "");
+        harness.catalogue.complete();
+        Subscriber resumed = harness.subscriber("c").subscribe(false, held);
+        assertEquals(List.of(new Delta("a", held.have(), new Revision(2, 2), held.digest(), List.of(), List.of(),
+                Optional.empty())), resumed.changes());
+        Subscriber same = harness.subscriber("d").subscribe(false, harness.held("a"));
+        assertEquals(List.of(), same.changes());
+    }
+
+    @Test
+    void anotherDigestAtTheSameRevisionIsMendedByASnapshot() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Interest held = harness.held("a");
+        Subscriber subscriber = harness.subscriber("c").subscribe(false, new Interest("a", held.have(), held.digest() + 1));
+        assertInstanceOf(Snapshot.class, subscriber.changes().get(0));
+    }
+
+    @Test
+    void whoIsAheadOfThePublisherIsSentNothingOlder() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Interest ahead = new Interest("a", new Revision(1, 9), 5);
+        Interest aheadOfNothing = new Interest("b", new Revision(1, 9), 5);
+        Subscriber subscriber = harness.subscriber("c").subscribe(false, ahead, aheadOfNothing).acknowledging();
+        harness.time.pass(Duration.ofSeconds(2));
+        assertEquals(List.of(), subscriber.changes());
+        assertEquals(List.of(), subscriber.all(Bookmark.class), "a bookmark would say that there is no b");
+        harness.catalogue.advance(new Revision(1, 10));
+        harness.time.pass(Duration.ofSeconds(1));
+        assertEquals(List.of(new Absent("b", new Revision(1, 10))), subscriber.changes());
+        assertEquals(new Bookmark(new Revision(1, 10)), subscriber.all(Bookmark.class).get(0));
+    }
+
+    @Test
+    void anIncompletePublisherSaysOfNothingThatItIsAbsent() {
+        PublisherHarness harness = new PublisherHarness();
+        harness.catalogue.begin(1);
+        Subscriber subscriber = harness.subscriber("c").watch("a", "b").acknowledging();
+        Subscriber relay = harness.subscriber("r").subscribe(true, new Interest("b", new Revision(1, 0), 1)).acknowledging();
+        harness.catalogue.replace("a", endpoints(1, 3), "");
+        harness.time.pass(Duration.ofMillis(2_050));
+        assertEquals(1, subscriber.changes().size());
+        assertEquals(2, subscriber.all(Status.class).size());
+        assertEquals(List.of(), subscriber.all(Bookmark.class));
+        harness.catalogue.complete();
+        harness.endTurn();
+        assertEquals(new Absent("b", new Revision(1, 1)), subscriber.changes().get(1));
+        assertEquals(new Absent("b", new Revision(1, 1)), relay.changes().get(1));
+        assertTrue(subscriber.all(Status.class).get(2).status().complete());
+    }
+
+    @Test
+    void aServiceThatGoesAndComesAgainIsToldOfAsAbsentThenWhole() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
+        subscriber.clear();
+        Revision gone = harness.catalogue.remove("a");
+        harness.endTurn();
+        harness.catalogue.replace("a", endpoints(1, 3), "");
+        harness.endTurn();
+        assertEquals(List.of(new Absent("a", gone), new Snapshot(harness.catalogue.state("a").orElseThrow())),
+                subscriber.changes());
+    }
+
+    @Test
+    void watchesBeyondTheRateAreRefusedWithTimesApart() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        for (int i = 0; i < 3; i++) {
+            harness.subscriber("c" + i).watch("a").disconnect();
+        }
+        Subscriber fourth = harness.subscriber("c4").watch("a");
+        Subscriber fifth = harness.subscriber("c5").watch("a");
+        Duration first = fourth.all(Refused.class).get(0).comeBackAfter();
+        Duration second = fifth.all(Refused.class).get(0).comeBackAfter();
+        assertTrue(first.toMillis() >= 100 && second.toMillis() >= 200 && second.toMillis() <= 250, first + " " + second);
+        assertEquals(ConnectionEnd.TURNED_AWAY, fourth.end);
+        harness.time.pass(first);
+        assertEquals(1, harness.subscriber("c4").watch("a").all(Accepted.class).size());
+        assertEquals(2, harness.publisher.counters().refused());
+    }
+
+    @Test
+    void subscribersBeyondTheLimitAreRefusedForLonger() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        for (int i = 0; i < 3; i++) {
+            harness.subscriber("c" + i).watch("a").acknowledging();
+        }
+        harness.time.pass(Duration.ofSeconds(3));
+        Subscriber fourth = harness.subscriber("c3").watch("a");
+        assertTrue(fourth.all(Refused.class).get(0).comeBackAfter().toSeconds() >= 10);
+        assertEquals(3, harness.publisher.counters().subscribers());
+    }
+
+    @Test
+    void whoAcknowledgesNothingInTimeIsDisconnected() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber silent = harness.subscriber("c1").watch("a");
+        Subscriber alive = harness.subscriber("c2").watch("a").acknowledging();
+        Subscriber unspoken = harness.subscriber("c3");
+        harness.time.pass(Duration.ofMillis(4_900));
+        assertNull(silent.end);
+        harness.time.pass(Duration.ofMillis(300));
+        assertEquals(ConnectionEnd.SILENT, silent.end);
+        assertEquals(ConnectionEnd.UNFINISHED, unspoken.end);
+        assertNull(alive.end);
+        assertEquals(1, harness.publisher.counters().unresponsive());
+        alive.disconnect();
+        harness.time.pass(Duration.ofSeconds(1));
+        assertEquals(0, harness.time.pending(), "no timer without a session");
+    }
+
+    @Test
+    void subscribersAreToldThatTheSourceIsLostAndForHowLong() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
+        harness.publisher.setStaleSince(Optional.of(harness.time.now()));
+        harness.time.pass(Duration.ofSeconds(3));
+        List<Status> statuses = subscriber.all(Status.class);
+        assertTrue(statuses.size() >= 3, statuses.toString());
+        assertTrue(statuses.get(statuses.size() - 1).status().staleFor().toMillis() >= 2_000, statuses.toString());
+        harness.publisher.setStaleSince(Optional.empty());
+        statuses = subscriber.all(Status.class);
+        assertEquals(Duration.ZERO, statuses.get(statuses.size() - 1).status().staleFor());
+    }
+
+    @Test
+    void aWatchInPartsIsServedWithoutWhatALaterPartHolds() {
+        PublisherHarness harness = PublisherHarness.complete("a", "b");
+        Interest held = harness.held("b");
+        Subscriber relay = harness.subscriber("r");
+        relay.say(new Subscribe(true, false, List.of(harness.held("a")), List.of()));
+        harness.catalogue.update("b", List.of(endpoint(4)), List.of(), Optional.empty());
+        harness.endTurn();
+        assertEquals(List.of(), relay.changes());
+        relay.say(new Subscribe(true, true, List.of(held), List.of()));
+        harness.endTurn();
+        assertEquals(1, relay.changes().size());
+        assertInstanceOf(Delta.class, relay.changes().get(0));
+    }
+
+    @Test
+    void anEndedWatchHearsNothingMoreAndOneAskedForAnewHearsAll() {
+        PublisherHarness harness = PublisherHarness.complete("a", "b");
+        Subscriber subscriber = harness.subscriber("c").watch("a", "b").acknowledging();
+        subscriber.clear();
+        subscriber.say(new Subscribe(false, true, List.of(nothingOf("b")), List.of("a")));
+        harness.catalogue.update("a", List.of(), List.of(1L), Optional.empty());
+        harness.endTurn();
+        assertEquals(List.of(new Snapshot(harness.catalogue.state("b").orElseThrow())), subscriber.changes());
+    }
+
+    @Test
+    void progressAddsUpControllersAndRelaysReports() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Revision behind = new Revision(1, 0);
+        Subscriber controller = harness.subscriber("c").watch("a");
+        controller.say(new Acknowledge(1, harness.catalogue.revision()));
+        Subscriber relay = harness.subscriber("r").subscribe(true);
+        relay.say(new Progress(new ProgressReport(List.of(new ProgressReport.Level(behind, 1),
+                new ProgressReport.Level(harness.catalogue.revision(), 7)),
+                List.of(new ProgressReport.Slow("c9", behind)))));
+        relay.say(new Acknowledge(1, harness.catalogue.revision()));
+        assertEquals(new ProgressReport(List.of(new ProgressReport.Level(behind, 1),
+                new ProgressReport.Level(harness.catalogue.revision(), 8)),
+                List.of(new ProgressReport.Slow("c9", behind))), harness.publisher.progress());
+        relay.disconnect();
+        assertEquals(List.of(new ProgressReport.Level(harness.catalogue.revision(), 1)),
+                harness.publisher.progress().levels());
+    }
+
+    @Test
+    void whatBreaksTheProtocolIsBadInput() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber subscriber = harness.subscriber("c");
+        assertThrows(BadInput.class, () -> subscriber.say(new Acknowledge(0, Revision.NONE)));
+        subscriber.watch("a");
+        assertThrows(BadInput.class, () -> subscriber.say(new Acknowledge(2, Revision.NONE)));
+        assertThrows(BadInput.class, () -> subscriber.say(new Bookmark(Revision.NONE)));
+    }
+}
