--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import java.util.Set;
 import pathlane.core.ConnectionEnd;
 import pathlane.discovery.WatchMessage.Acknowledge;
 import pathlane.discovery.WatchMessage.Interest;
@@ -319,7 +320,7 @@
         port.close(why);
     }
 
-    Iterable<String> services() {
+    Set<String> services() {
         return queue.services();
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
+++ b/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pathlane.discovery.PublisherHarness.endpoint;
-import static pathlane.discovery.PublisherHarness.endpoints;
+import static pathlane.discovery.Samples.endpoint;
+import static pathlane.discovery.Samples.endpoints;
 
 import java.net.InetSocketAddress;
 import java.time.Instant;
@@ -16,6 +16,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Random;
+import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 import pathlane.core.ServerLine;
 import pathlane.decision.Gateway.Mode;
@@ -188,7 +189,9 @@
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("", List.of(), ""));
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("x".repeat(65), List.of(), ""));
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("a", List.of(weightless), ""));
-        assertThrows(IllegalArgumentException.class, () -> catalogue.replace("a", endpoints(0, 50_000 + 16_000), ""));
+        List<ServerLine> many = LongStream.range(0, 65_537).mapToObj(id -> new ServerLine(id, endpoint(1).address(),
+                Mode.RUNNING, 0, 1, Instant.EPOCH)).toList();
+        assertThrows(IllegalArgumentException.class, () -> catalogue.replace("a", many, ""));
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("a", List.of(), "x".repeat(70_000)));
         assertEquals(List.of(), catalogue.services());
         assertEquals(new Revision(1, 0), catalogue.revision());
--- a/discovery/src/test/java/pathlane/discovery/ProgressTest.java
+++ b/discovery/src/test/java/pathlane/discovery/ProgressTest.java
@@ -6,8 +6,10 @@
 
 import java.time.Duration;
 import java.time.Instant;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Optional;
+import java.util.Random;
 import org.junit.jupiter.api.Test;
 import pathlane.discovery.InForceTracker.InForce;
 import pathlane.discovery.PublisherHarness.Subscriber;
@@ -23,7 +25,7 @@
     }
 
     private static ProgressReport report(long... numbers) {
-        return new ProgressReport(java.util.Arrays.stream(numbers)
+        return new ProgressReport(Arrays.stream(numbers)
                 .mapToObj(number -> new ProgressReport.Level(revision(number), 1)).toList(), List.of());
     }
 
@@ -75,7 +77,7 @@
     @Test
     void theSourceMeasuresTheTimeToTheLastController() {
         PublisherHarness harness = PublisherHarness.complete();
-        Source source = new Source(1, PublisherHarness.TERMS, null, harness.time, new java.util.Random(1));
+        Source source = new Source(1, PublisherHarness.TERMS, null, harness.time, new Random(1));
         source.catalogue().complete();
         Subscriber[] controllers = {harness.subscriber("c1"), harness.subscriber("c2")};
         Publisher.Session[] sessions = new Publisher.Session[2];
@@ -83,7 +85,7 @@
             sessions[i] = source.publisher().open(controllers[i]);
             sessions[i].received(WatchCodec.bytes(new WatchMessage.Subscribe(true, true, List.of(), List.of())));
         }
-        Revision revision = source.catalogue().replace("a", PublisherHarness.endpoints(1, 1), "");
+        Revision revision = source.catalogue().replace("a", Samples.endpoints(1, 1), "");
         byte[] acknowledge = WatchCodec.bytes(new Acknowledge(1, revision));
         harness.time.pass(Duration.ofMillis(10));
         sessions[0].received(acknowledge);
--- a/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
@@ -1,15 +1,11 @@
 package pathlane.discovery;
 
-import java.net.InetSocketAddress;
 import java.time.Duration;
-import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import pathlane.core.ConnectionEnd;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
 import pathlane.discovery.WatchMessage.Interest;
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.standin.VirtualTime;
@@ -29,28 +25,12 @@
         PublisherHarness harness = new PublisherHarness();
         harness.catalogue.begin(1);
         for (String service : services) {
-            harness.catalogue.replace(service, endpoints(1, 3), "");
+            harness.catalogue.replace(service, Samples.endpoints(1, 3), "");
         }
         harness.catalogue.complete();
         return harness;
     }
 
-    static ServerLine endpoint(long id) {
-        return endpoint(id, Mode.RUNNING);
-    }
-
-    static ServerLine endpoint(long id, Mode mode) {
-        return new ServerLine(id, new InetSocketAddress("127.0.0.1", 7000 + (int) id), mode, 1, 1, Instant.EPOCH);
-    }
-
-    static List<ServerLine> endpoints(long first, long last) {
-        List<ServerLine> endpoints = new ArrayList<>();
-        for (long id = first; id <= last; id++) {
-            endpoints.add(endpoint(id));
-        }
-        return endpoints;
-    }
-
     Subscriber subscriber(String name) {
         return new Subscriber(name);
     }
@@ -77,6 +57,7 @@
         final List<byte[]> bytes = new ArrayList<>();
         boolean acknowledges;
         boolean stuck;
+        boolean closesWithinSend;
         ConnectionEnd end;
 
         private Subscriber(String name) {
@@ -107,6 +88,10 @@
             session.received(WatchCodec.bytes(message));
         }
 
+        int watchedServices() {
+            return ((SubscriberSession) session).services().size();
+        }
+
         void disconnect() {
             session.closed();
         }
@@ -143,7 +128,9 @@
         public void send(byte[] message) {
             bytes.add(message);
             messages.add(WatchCodec.message(message));
-            if (acknowledges) {
+            if (closesWithinSend) {
+                session.closed();
+            } else if (acknowledges) {
                 acknowledge(messages.get(messages.size() - 1));
             }
         }
--- a/discovery/src/test/java/pathlane/discovery/PublisherTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pathlane.discovery.PublisherHarness.endpoint;
-import static pathlane.discovery.PublisherHarness.endpoints;
 import static pathlane.discovery.PublisherHarness.nothingOf;
+import static pathlane.discovery.Samples.endpoint;
+import static pathlane.discovery.Samples.endpoints;
 
 import java.time.Duration;
 import java.util.List;
@@ -346,4 +346,32 @@
         assertThrows(BadInput.class, () -> subscriber.say(new Acknowledge(2, Revision.NONE)));
         assertThrows(BadInput.class, () -> subscriber.say(new Bookmark(Revision.NONE)));
     }
+
+    @Test
+    void aConnectionThatEndsWithinASendLeavesNothingBehind() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber subscriber = harness.subscriber("c");
+        subscriber.closesWithinSend = true;
+        subscriber.watch("a");
+        harness.catalogue.remove("a");
+        harness.endTurn();
+        assertEquals(1, subscriber.messages.size(), "the acceptance, and nothing after its end");
+        assertEquals(0, harness.publisher.counters().subscribers());
+        assertEquals(0, harness.publisher.counters().coalesced());
+        assertEquals(List.of(), harness.publisher.progress().levels());
+    }
+
+    @Test
+    void namesThatComeAndGoTakeNoMemoryOfWhoWatchesEverything() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber relay = harness.subscriber("r").subscribe(true).acknowledging();
+        for (int i = 0; i < 10; i++) {
+            harness.catalogue.replace("s" + i, List.of(), "");
+            harness.endTurn();
+            harness.catalogue.remove("s" + i);
+            harness.endTurn();
+        }
+        assertEquals(1, relay.watchedServices());
+        assertEquals(21, relay.changes().size());
+    }
 }
--- a/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
+++ b/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pathlane.discovery.PublisherHarness.endpoint;
+import static pathlane.discovery.Samples.endpoint;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
