--- /dev/null
+++ b/relay/src/main/java/pathlane/relay/RelayRole.java
@@ -0,0 +1,65 @@
+package pathlane.relay;
+
+import java.util.random.RandomGenerator;
+import pathlane.core.Scheduler;
+import pathlane.discovery.Catalogue;
+import pathlane.discovery.Publisher;
+import pathlane.discovery.Relay;
+import pathlane.discovery.WatchCounters;
+import pathlane.group.SealedLink;
+import pathlane.link.Dialer;
+import pathlane.link.Protocol;
+import pathlane.relay.ProgramFile.RelayFile;
+
+/** A relay: watches everything at one of its publishers, and publishes it. */
+final class RelayRole implements Role {
+
+    private final Relay relay;
+
+    RelayRole(RelayFile file, SealedLink.Common common, Dialer dialer, Scheduler scheduler, RandomGenerator random) {
+        relay = new Relay(file.upstream(), file.common().terms(), common, dialer, scheduler, random);
+    }
+
+    @Override
+    public String title() {
+        return "relay";
+    }
+
+    @Override
+    public Protocol accept() {
+        return relay.accept();
+    }
+
+    @Override
+    public Publisher publisher() {
+        return relay.publisher();
+    }
+
+    @Override
+    public Catalogue catalogue() {
+        return relay.catalogue();
+    }
+
+    @Override
+    public void start() {
+        relay.start();
+    }
+
+    @Override
+    public void reload() {
+        // Whom it watches and its limits are read at the start alone.
+    }
+
+    @Override
+    public void stop() {
+        relay.upstream().stop();
+    }
+
+    @Override
+    public String details() {
+        WatchCounters counters = relay.upstream().counters();
+        return "upstream=" + relay.upstream().publisher().orElse("-") + " connections=" + counters.connections()
+                + " received_snapshots=" + counters.snapshots() + " received_deltas=" + counters.deltas() + " gaps="
+                + counters.gaps() + " withheld=" + counters.withheld();
+    }
+}
