--- a/daemon/src/main/java/pathlane/Main.java
+++ b/daemon/src/main/java/pathlane/Main.java
@@ -33,7 +33,8 @@
         Optional<Path> operators = own < args.length ? Optional.of(Path.of(args[own + 1])) : Optional.empty();
         String what = own == 2 ? args[0] + " FILE" : own == 1 ? args[0] : "";
         try {
-            boolean hasNoSuchOption = operators.isPresent() && what.equals("simhost") || isDiscovery && !what.equals("serve");
+            boolean hasNoSuchOption = operators.isPresent() && what.equals("simhost")
+                    || isDiscovery && !what.equals("serve");
             switch (hasNoSuchOption ? "" : what) {
                 case "serve" -> serve(operators, isDiscovery, HangUp.minded());
                 case "diameter FILE" -> {
--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import pathlane.config.Settings;
 import pathlane.config.file.CallerLimits;
 import pathlane.config.file.ConfigFile;
 import pathlane.config.file.DiameterConfig;
 import pathlane.config.file.NodeConfig;
-import pathlane.config.Settings;
 import pathlane.core.CallController;
 import pathlane.core.Counters;
 import pathlane.core.Cover;
@@ -78,8 +78,8 @@
     }
 
     /**
-     * The same with the servers of its calls' services from discovery, in place of the event bus. A method of its own, so that
-     * without an operator's file none of discovery is loaded.
+     * The same with the servers of its calls' services from discovery, in place of the event bus. A method of its own, so
+     * that without an operator's file none of discovery is loaded.
      */
     static void startWithDiscovery(Path file, Path discoveryFile, HangUp hangUp) {
         NodeConfig config = new ConfigFile(file).read();
--- a/daemon/src/main/java/pathlane/directory/ServerListFeed.java
+++ b/daemon/src/main/java/pathlane/directory/ServerListFeed.java
@@ -17,8 +17,8 @@
 import pathlane.discovery.WatchListener;
 
 /**
- * Hands a call controller each change of a watched service within the call that tells it: a server that was removed or drains
- * gets nothing from then on. On the loop's thread.
+ * Hands a call controller each change of a watched service within the call that tells it: a server that was removed or
+ * drains gets nothing from then on. On the loop's thread.
  */
 final class ServerListFeed implements WatchListener {
 
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -53,7 +53,7 @@
         this(config, dialer, scheduler, ready, changed, cover, Optional.empty());
     }
 
-    /** The same with discovery, where there is any: the event bus and the events in the configuration are then of no account. */
+    /** The same with discovery, where there is any, in place of the event bus and of the events in the configuration. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
                          Supplier<Optional<NodeConfig>> changed, Cover cover, Optional<ServerDiscovery> discovery) {
         this.discovery = discovery;
@@ -65,11 +65,11 @@
         SplittableRandom random = new SplittableRandom(config.seed());
         Instant startedAt = scheduler.now();
         Admission servers = new Admission(config.descriptors().servers());
-        ServerLink.Common common = new ServerLink.Common(config.settings(), ServerLimits.USUAL, this::controller,
+        ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.USUAL, this::controller,
                 this::isListCurrent, dialer, scheduler, servers,
                 new LinesPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
         controller = new CallController(config.settings(), config.seed(), scheduler,
-                line -> new ServerLink(line, common), cover,
+                line -> new ServerLink(line, context), cover,
                 discovery.<ServiceDirectory>map(one -> one).orElse(ServiceDirectory.ONE));
         if (discovery.isEmpty()) {
             KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
--- a/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
@@ -124,8 +124,8 @@
     }
 
     /**
-     * The publisher to move to from the current one: one that comes before it in the order or, where the current one can't be
-     * relied on, any other. Each call counts as a try; of several, that which was tried longest ago is named.
+     * The publisher to move to from the current one: one that comes before it in the order or, where the current one can't
+     * be relied on, any other. Each call counts as a try; of several, that which was tried longest ago is named.
      */
     public Optional<PublisherAddress> better(String current, boolean currentIsReliable, Instant now) {
         int place = order.indexOf(byName.get(current));
