--- a/lab/src/main/java/pathlane/lab/EventBus.java
+++ b/lab/src/main/java/pathlane/lab/EventBus.java
@@ -19,6 +19,7 @@
     private static final int HEAD = 9;
     private static final int RECORD = 27;
     private static final int LENGTH = 4;
+    private static final byte WHOLE = 1;
     private static final byte CHANGES = 2;
     private static final int LOOPBACK = 0x7f000001;
     private static final int WEIGHT = 1000;
@@ -54,7 +55,10 @@
         time.after(EACH, this::beat);
     }
 
-    /** Event numbers begin with 2: the first is the whole list in each controller's configuration. */
+    /**
+     * Event numbers of changes begin with 2. The first is the whole list before them, which is empty: a controller has it in
+     * its configuration, and is told it where it knows no event.
+     */
     private final class Line implements Protocol {
         private final String from;
         private final ByteBuffer last = ByteBuffer.allocate(Long.BYTES);
@@ -75,7 +79,10 @@
                 last.put(bytes.get());
             }
             if (!last.hasRemaining() && lines.add(this)) {
-                for (int number = (int) last.getLong(0); number < changes.size() + 1; number++) {
+                if (last.getLong(0) == 0) {
+                    connection.write(ByteBuffer.allocate(LENGTH + HEAD).putInt(HEAD).putLong(1).put(WHOLE).array());
+                }
+                for (int number = Math.max(1, (int) last.getLong(0)); number < changes.size() + 1; number++) {
                     send(number);
                 }
                 beat();
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -0,0 +1,407 @@
+package pathlane.lab.rig;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.concurrent.Callable;
+import java.util.function.Predicate;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import pathlane.core.ServerLine;
+import pathlane.decision.Gateway.Mode;
+import pathlane.discovery.ServiceDigest;
+import pathlane.discovery.ServiceState;
+import pathlane.discovery.WatchClient;
+import pathlane.discovery.WatchTerms;
+import pathlane.discovery.WatchTerms.PublisherAddress;
+import pathlane.group.Keys;
+import pathlane.group.SealedLink;
+import pathlane.lab.Faults;
+import pathlane.lab.History;
+import pathlane.lab.Witness.What;
+import pathlane.link.Dialer;
+import pathlane.link.LimitedLog;
+
+/**
+ * Discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar, an event bus and
+ * watch clients of the rig's own, with a {@link Relay} on every link. Knows what the bus has told, and so what every client
+ * must end at. Everything it starts it ends, by its own ids. Used from one thread.
+ */
+public final class DiscoveryRig implements AutoCloseable {
+
+    /** The source's name among the parties. */
+    public static final String SOURCE = "s";
+    /** The event bus's name among the parties. */
+    public static final String BUS = "bus";
+
+    /** A relay, and whom it watches. */
+    public record RelayShape(String name, String zone, String region, List<String> upstreams) { }
+
+    /** A watch client, whom it may watch, and which services. */
+    public record ClientShape(String name, String zone, String region, List<String> publishers, List<String> services) { }
+
+    /**
+     * What there is.
+     *
+     * @param services the services by the cells 0, 1, ...
+     * @param limits lines of the publishers' {@code [limits]}
+     */
+    public record Shape(List<String> services, List<RelayShape> relays, List<ClientShape> clients, String limits) { }
+
+    private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
+    private static final long LOOK_MILLIS = 10;
+    private static final String HOST = "127.0.0.1";
+    private static final String KEYS = "k1 " + "5a".repeat(32) + "\n";
+    private static final String WATCH = "[watch]\nbackoff-first-ms = 50\nbackoff-most-ms = 400\nsilent-after-ms = 2000\n"
+            + "return-within-ms = 200\n";
+    private static final Duration SILENT_AFTER = Duration.ofSeconds(2);
+    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xmx128m",
+            "-Xss512k", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true");
+
+    private final Shape shape;
+    private final Path folder;
+    private final SplittableRandom random;
+    private final RigLoop loop = new RigLoop();
+    private final History history = new History(System::nanoTime);
+    private final Faults faults = new Faults();
+    private final Relay relay = new Relay(loop, faults);
+    private final ToldServers told;
+    private final Map<String, RigProcess> processes = new LinkedHashMap<>();
+    private final Map<String, Integer> ports = new HashMap<>();
+    /** Ports that one party alone comes to, by from and to. */
+    private final Map<String, RigLoop.Listener> links = new HashMap<>();
+    private final Map<String, WatchClient> clients = new LinkedHashMap<>();
+    private final Map<String, WatchWitness> witnesses = new LinkedHashMap<>();
+    private final Set<String> stopped = new HashSet<>();
+
+    /**
+     * Writes the processes' files and starts nothing yet.
+     *
+     * @param home where the project was built: the relay's jar is there
+     * @param folder for files and logs; empty
+     * @param seed decides the clients' draws
+     */
+    public DiscoveryRig(Shape shape, Path home, Path folder, long seed) throws IOException, InterruptedException {
+        this.shape = shape;
+        this.folder = folder;
+        this.random = new SplittableRandom(seed);
+        Files.writeString(folder.resolve("discovery.keys"), KEYS);
+        told = new ToldServers(loop, shape.services);
+        Path jar = home.resolve("relay/target/pathlane-relay.jar");
+        ports.put(SOURCE, Ports.free());
+        for (RelayShape one : shape.relays) {
+            ports.put(one.name, Ports.free());
+        }
+        add(SOURCE, jar, source());
+        for (RelayShape one : shape.relays) {
+            add(one.name, jar, relayText(one));
+        }
+        for (ClientShape one : shape.clients) {
+            addClient(one);
+        }
+    }
+
+    private String common(String role, String name) {
+        return "role = '" + role + "'\nname = '" + name + "'\nlisten = '" + HOST + ":" + ports.get(name)
+                + "'\nkeys = 'discovery.keys'\n";
+    }
+
+    private String limits() {
+        return "[limits]\n" + shape.limits;
+    }
+
+    private String source() throws InterruptedException {
+        int port = Ports.free();
+        links.put(SOURCE + ">" + BUS, loop.listen(port, () -> relay.into(SOURCE, BUS, told.accept(SOURCE))));
+        StringBuilder services = new StringBuilder("[services]\n");
+        for (int cell = 0; cell < shape.services.size(); cell++) {
+            services.append(shape.services.get(cell)).append(" = [").append(cell).append("]\n");
+        }
+        return common("source", SOURCE) + "epoch-file = 's.epoch'\nbus = '" + HOST + ":" + port + "'\n" + services + limits();
+    }
+
+    private String relayText(RelayShape one) throws InterruptedException {
+        StringBuilder text = new StringBuilder(common("relay", one.name)).append("zone = '").append(one.zone)
+                .append("'\nregion = '").append(one.region).append("'\n");
+        for (String upstream : one.upstreams) {
+            int port = Ports.free();
+            InetSocketAddress target = new InetSocketAddress(HOST, ports.get(upstream));
+            links.put(one.name + ">" + upstream, loop.listen(port, () -> relay.between(one.name, upstream, target)));
+            PublisherAddress place = place(upstream);
+            text.append("[[publishers]]\nname = '").append(upstream).append("'\naddress = '").append(HOST).append(':')
+                    .append(port).append("'\nzone = '").append(place.zone()).append("'\nregion = '").append(place.region())
+                    .append("'\n");
+        }
+        return text.append(WATCH).append(limits()).toString();
+    }
+
+    /** A publisher as clients reach it: at its own port, by way of the rig's relay in the rig's own process. */
+    private PublisherAddress place(String publisher) {
+        InetSocketAddress address = new InetSocketAddress(HOST, ports.get(publisher));
+        return shape.relays.stream().filter(one -> one.name.equals(publisher)).findFirst()
+                .map(one -> new PublisherAddress(publisher, address, one.zone, one.region))
+                .orElse(new PublisherAddress(publisher, address, "", ""));
+    }
+
+    private void add(String name, Path jar, String text) throws IOException {
+        if (!Files.isReadable(jar)) {
+            throw new IllegalArgumentException(jar + " is not there: build the project first (mvn -q -DskipTests package)");
+        }
+        Path file = folder.resolve(name + ".toml");
+        Files.writeString(file, text);
+        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        command.addAll(JVM);
+        command.addAll(List.of("-jar", jar.toString(), file.toString()));
+        processes.put(name, new RigProcess(name, command, Map.of(), folder.resolve(name + ".log"), history));
+    }
+
+    private void addClient(ClientShape one) {
+        Map<InetSocketAddress, String> names = new HashMap<>();
+        List<PublisherAddress> publishers = one.publishers.stream().map(this::place).toList();
+        publishers.forEach(publisher -> names.put(publisher.address(), publisher.name()));
+        Dialer dialer = (address, timeout, protocol) -> relay.out(one.name, protocol, names.get(address), address);
+        Keys keys = Keys.read(KEYS);
+        SplittableRandom nonces = random.split();
+        SealedLink.Common common = new SealedLink.Common(one.name, () -> keys, () -> {
+            byte[] nonce = new byte[16];
+            nonces.nextBytes(nonce);
+            return nonce;
+        }, loop, new LimitedLog("rig", loop));
+        WatchTerms terms = new WatchTerms(one.name, one.zone, one.region, publishers, Duration.ofMillis(50),
+                Duration.ofMillis(400), SILENT_AFTER, Duration.ofMillis(200));
+        WatchWitness witness = new WatchWitness(one.name, told::hasGone);
+        WatchClient client = new WatchClient(terms, dialer, common, loop, random.split(), witness);
+        one.services.forEach(client::watch);
+        witnesses.put(one.name, witness);
+        clients.put(one.name, client);
+    }
+
+    /** Starts all processes and clients, and waits until every client has what the bus has told. */
+    public void start() throws InterruptedException {
+        for (String name : processes.keySet()) {
+            start(name);
+        }
+        loop.run(() -> clients.values().forEach(WatchClient::start));
+        awaitAgreement();
+    }
+
+    // ---- the bus
+
+    /** So many servers come to a service. Returns their ids. */
+    public List<Long> serversCome(String service, int count) throws InterruptedException {
+        return loop.call(() -> told.come(service, count));
+    }
+
+    /** These servers of a service begin to drain. */
+    public void serversDrain(String service, List<Long> ids) throws InterruptedException {
+        loop.run(() -> ids.forEach(id -> told.tell(id, service, Mode.DRAINING)));
+    }
+
+    /** These servers of a service have gone for good. */
+    public void serversGo(String service, List<Long> ids) throws InterruptedException {
+        loop.run(() -> ids.forEach(id -> told.tell(id, service, Mode.GONE)));
+    }
+
+    // ---- processes and links
+
+    RigProcess process(String name) {
+        return processes.get(name);
+    }
+
+    /** Starts a process, and waits until it takes subscribers. */
+    public void start(String name) throws InterruptedException {
+        int from = history.size();
+        process(name).start();
+        awaitLog(name, "serves on", from);
+    }
+
+    /** SIGKILL. */
+    public void kill(String name) throws InterruptedException {
+        process(name).kill();
+    }
+
+    /** SIGSTOP. */
+    public void stop(String name) throws InterruptedException {
+        process(name).stop();
+        stopped.add(name);
+    }
+
+    /** SIGCONT. */
+    public void goOn(String name) throws InterruptedException {
+        stopped.remove(name);
+        process(name).goOn();
+    }
+
+    /** Nothing goes between the two any more, in either direction, and no connection comes up. */
+    public void cut(String one, String other) throws InterruptedException {
+        loop.run(() -> {
+            faults.cut(one, other);
+            faults.cut(other, one);
+            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::shut);
+            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::shut);
+        });
+    }
+
+    /** All goes there and back again, with what was held. */
+    public void restore(String one, String other) throws InterruptedException {
+        loop.run(() -> {
+            faults.restore(one, other);
+            faults.restore(other, one);
+            faults.delay(one, other, Duration.ZERO);
+            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::reopen);
+            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::reopen);
+        });
+    }
+
+    /** The first is told that its connections with the other have ended, and the other is not. */
+    public void halfOpen(String toldSide, String other) throws InterruptedException {
+        loop.run(() -> faults.halfClose(toldSide, other));
+    }
+
+    /** Everything takes so much longer that way. */
+    public void delay(String from, String to, Duration delay) throws InterruptedException {
+        loop.run(() -> faults.delay(from, to, delay));
+    }
+
+    // ---- waiting and judging
+
+    /** How many events the history has: where an {@link #awaitLog} may begin to look. */
+    public int eventsSoFar() {
+        return history.size();
+    }
+
+    /** Waits for a line of a process's log that contains a match of this expression, from an event of the history on. */
+    public void awaitLog(String name, String expression, int from) throws InterruptedException {
+        Predicate<String> matches = Pattern.compile(expression).asPredicate();
+        history.await("'" + expression + "' in the log of " + name, from, 1, MOST_MILLIS,
+                event -> event.what() == What.LOGGED && event.who().equals(name) && matches.test(event.text()));
+    }
+
+    /** Waits until every one of these clients has exactly what the bus has told; with none named, until all have. */
+    public void awaitAgreement(String... names) throws InterruptedException {
+        List<String> who = names.length == 0 ? List.copyOf(clients.keySet()) : List.of(names);
+        await("agreement of " + who, () -> who.stream().allMatch(this::agrees));
+    }
+
+    private boolean agrees(String client) {
+        return difference(client).isEmpty();
+    }
+
+    /** In what a client differs from what the bus has told. */
+    private Optional<String> difference(String name) {
+        for (String service : shapeOf(name).services) {
+            List<ServerLine> expected = told.endpoints(service);
+            Optional<ServiceState> state = clients.get(name).state(service);
+            if (state.isEmpty() || !state.get().endpoints().equals(expected)
+                    || state.get().digest() != ServiceDigest.of(expected, "")) {
+                return Optional.of(name + " has " + state.map(one -> one.revision() + " with " + one.endpoints().size())
+                        .orElse("nothing") + " of " + service + ", which has " + expected.size());
+            }
+        }
+        return Optional.empty();
+    }
+
+    private ClientShape shapeOf(String client) {
+        return shape.clients.stream().filter(one -> one.name.equals(client)).findFirst().orElseThrow();
+    }
+
+    /** Waits until a client is connected to this publisher. */
+    public void awaitPublisher(String client, String publisher) throws InterruptedException {
+        await(client + " at " + publisher, () -> clients.get(client).publisher().equals(Optional.of(publisher)));
+    }
+
+    /** Waits until a client has heard that its publisher has lost its way to the source. */
+    public void awaitStale(String client) throws InterruptedException {
+        await(client + " hears that it is stale", () -> witnesses.get(client).status()
+                .filter(status -> !status.staleFor().isZero()).isPresent());
+    }
+
+    /** Waits until a client has been sent so many more messages, whatever they say. */
+    public void awaitMessages(String client, int more) throws InterruptedException {
+        long wanted = loop.call(() -> clients.get(client).counters().messagesReceived()) + more;
+        await(more + " messages at " + client, () -> clients.get(client).counters().messagesReceived() >= wanted);
+    }
+
+    /** Waits until so many more bytes have gone from one party to another, over whatever connections. */
+    public void awaitBytes(String from, String to, long more) throws InterruptedException {
+        long wanted = loop.call(() -> faults.bytes(from, to)) + more;
+        await(more + " bytes from " + from + " to " + to, () -> faults.bytes(from, to) >= wanted);
+    }
+
+    /** A client's own figures. */
+    public WatchClient client(String name) {
+        return clients.get(name);
+    }
+
+    /** Asks something on the rig's loop. */
+    public <T> T ask(Callable<T> question) throws InterruptedException {
+        return loop.call(question);
+    }
+
+    private void await(String what, Callable<Boolean> holds) throws InterruptedException {
+        for (int looks = 0; !loop.call(holds); looks++) {
+            if (looks * LOOK_MILLIS > MOST_MILLIS) {
+                throw new IllegalStateException("never came: " + what + "; " + loop.call(this::differences));
+            }
+            Thread.sleep(LOOK_MILLIS);   // how often is looked; what is waited for is the event
+        }
+    }
+
+    private String differences() {
+        return clients.keySet().stream().map(name -> difference(name).orElse(name + " agrees") + " by "
+                + clients.get(name).publisher().orElse("nobody")).collect(Collectors.joining(", "));
+    }
+
+    /**
+     * Makes everything well, waits until every client has what the bus has told, and judges: the rules that any client has
+     * seen broken, in their order.
+     */
+    public List<String> judge() throws InterruptedException {
+        for (String name : List.copyOf(stopped)) {
+            goOn(name);
+        }
+        loop.run(() -> {
+            faults.restoreAll();
+            links.values().forEach(RigLoop.Listener::reopen);
+        });
+        for (String name : processes.keySet()) {
+            if (!process(name).isUp()) {
+                start(name);
+            }
+        }
+        awaitAgreement();
+        return broken();
+    }
+
+    /** The rules that were broken so far. */
+    public List<String> broken() throws InterruptedException {
+        return loop.call(() -> witnesses.values().stream().flatMap(witness -> witness.broken().stream()).toList());
+    }
+
+    /** Writes what happened beside the logs. */
+    public void keepHistory() throws IOException {
+        Files.write(folder.resolve("history.txt"), history.events().stream().map(History.Event::toString).toList());
+    }
+
+    /** Ends every process that was started, and the rig. */
+    @Override
+    public void close() throws InterruptedException {
+        for (RigProcess process : processes.values()) {
+            if (process.isUp()) {
+                process.kill();
+            }
+        }
+        loop.close();
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/rig/ToldServers.java
@@ -0,0 +1,73 @@
+package pathlane.lab.rig;
+
+import java.net.InetSocketAddress;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import pathlane.core.ServerLine;
+import pathlane.decision.Gateway.Mode;
+import pathlane.lab.EventBus;
+import pathlane.link.Protocol;
+
+/** The event bus and what it has told of each service's servers: what every watch client must end at. On the rig's loop. */
+final class ToldServers {
+
+    private static final String HOST = "127.0.0.1";
+    private static final int FIRST_PORT = 20_000;
+
+    private final List<String> services;
+    private final EventBus bus;
+    private final Map<String, TreeMap<Long, ServerLine>> servers = new HashMap<>();
+    private final Set<Long> gone = new HashSet<>();
+    private long lastId;
+
+    /** The services have the cells 0, 1, ... in their order. */
+    ToldServers(RigLoop loop, List<String> services) {
+        this.services = services;
+        this.bus = new EventBus(loop, (follower, cell) -> FIRST_PORT + cell);
+        services.forEach(service -> servers.put(service, new TreeMap<>()));
+    }
+
+    /** The bus's side of a follower's connection. */
+    Protocol accept(String follower) {
+        return bus.accept(follower);
+    }
+
+    /** So many new servers run for a service. Returns their ids. */
+    List<Long> come(String service, int count) {
+        List<Long> ids = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            ids.add(++lastId);
+            tell(lastId, service, Mode.RUNNING);
+        }
+        return ids;
+    }
+
+    /** Tells a server's state. */
+    void tell(long id, String service, Mode mode) {
+        int cell = services.indexOf(service);
+        if (mode == Mode.GONE) {
+            gone.add(id);
+            servers.get(service).remove(id);
+        } else {
+            servers.get(service).put(id, new ServerLine(id, new InetSocketAddress(HOST, FIRST_PORT + cell), mode, cell, 1,
+                    Instant.EPOCH));
+        }
+        bus.tell(id, cell, mode.ordinal(), 0);
+    }
+
+    /** The servers that a service has by now, in ascending order of their ids. */
+    List<ServerLine> endpoints(String service) {
+        return List.copyOf(servers.get(service).values());
+    }
+
+    /** Whether the bus has told that this server is gone. */
+    boolean hasGone(long id) {
+        return gone.contains(id);
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/rig/WatchWitness.java
@@ -0,0 +1,93 @@
+package pathlane.lab.rig;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.LongPredicate;
+import pathlane.core.ServerLine;
+import pathlane.discovery.PublisherStatus;
+import pathlane.discovery.Revision;
+import pathlane.discovery.ServiceChange;
+import pathlane.discovery.ServiceDigest;
+import pathlane.discovery.ServiceState;
+import pathlane.discovery.WatchListener;
+
+/**
+ * Judges what one watch client is told: no service's revision goes backwards, each state has its digest, and no endpoint is
+ * taken away that the bus has not told to be gone. On the rig's loop.
+ */
+final class WatchWitness implements WatchListener {
+
+    private final String client;
+    private final LongPredicate hasGone;
+    private final Map<String, ServiceState> states = new HashMap<>();
+    private final Map<String, Revision> revisions = new HashMap<>();
+    private final List<String> broken = new ArrayList<>();
+    private Optional<PublisherStatus> status = Optional.empty();
+
+    /** {@code hasGone} says of an endpoint's id whether the bus has told that it is gone. */
+    WatchWitness(String client, LongPredicate hasGone) {
+        this.client = client;
+        this.hasGone = hasGone;
+    }
+
+    /** The rules that were broken, in their order. */
+    List<String> broken() {
+        return broken;
+    }
+
+    /** What the publisher last said of itself; empty while none is connected. */
+    Optional<PublisherStatus> status() {
+        return status;
+    }
+
+    @Override
+    public void changed(ServiceState state, ServiceChange change) {
+        follows(state.service(), state.revision());
+        if (ServiceDigest.of(state.endpoints(), state.configuration()) != state.digest()) {
+            broken.add(client + ": " + state.service() + " at " + state.revision() + " differs from its digest");
+        }
+        Set<Long> kept = new HashSet<>();
+        state.endpoints().forEach(endpoint -> kept.add(endpoint.id()));
+        takenAway(states.put(state.service(), state), kept, state.revision());
+    }
+
+    @Override
+    public void absent(String service, Revision revision) {
+        follows(service, revision);
+        takenAway(states.remove(service), Set.of(), revision);
+    }
+
+    @Override
+    public void status(PublisherStatus fresh) {
+        status = Optional.of(fresh);
+    }
+
+    @Override
+    public void disconnected() {
+        status = Optional.empty();
+    }
+
+    private void follows(String service, Revision revision) {
+        Revision before = revisions.put(service, revision);
+        if (before != null && before.isAfter(revision)) {
+            broken.add(client + ": " + service + " went back from " + before + " to " + revision);
+        }
+    }
+
+    private void takenAway(ServiceState before, Set<Long> kept, Revision revision) {
+        if (before == null) {
+            return;
+        }
+        for (ServerLine endpoint : before.endpoints()) {
+            if (!kept.contains(endpoint.id()) && !hasGone.test(endpoint.id())) {
+                broken.add(client + ": endpoint " + endpoint.id() + " of " + before.service() + " was taken away at "
+                        + revision + " and is not gone");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
@@ -0,0 +1,216 @@
+package pathlane.lab.rig;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.ConcurrentSkipListMap;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import pathlane.lab.rig.DiscoveryRig.ClientShape;
+import pathlane.lab.rig.DiscoveryRig.RelayShape;
+import pathlane.lab.rig.DiscoveryRig.Shape;
+
+/**
+ * Discovery with real processes and faults between them. Each scenario waits for events, never for a time; at its end every
+ * client must hold what the bus has told, digest for digest, and must have seen no revision go backwards and no endpoint
+ * taken away that is not gone. {@code -Dscenario=NAME} plays one alone, {@code -Dseed=N} with another seed.
+ */
+class DiscoveryScenarioTest {
+
+    private static final int AT_ONCE = 3;
+    private static final String ACCOUNTS = "accounts";
+    private static final String PAYMENTS = "payments";
+    private static final List<String> SERVICES = List.of(ACCOUNTS, PAYMENTS);
+    private static final String BRISK = "bookmark-ms = 100\n";
+    /** So little that a subscriber which reads slowly is behind at once. */
+    private static final String SMALL_WINDOW = BRISK + "unacknowledged-bytes = 4096\nupdate-bytes = 4096\n";
+
+    /** What a publisher sends to a client that connects, finds it empty and leaves, a few times over. */
+    private static final long SOME_TRIES = 600;
+
+    @TempDir
+    Path folder;
+
+    /** What is done to a rig that has started. */
+    private interface Story {
+        void play(DiscoveryRig rig) throws InterruptedException;
+    }
+
+    private record Scenario(Shape shape, Story story) { }
+
+    private static ClientShape client(String name, String zone, String region, String... publishers) {
+        return new ClientShape(name, zone, region, List.of(publishers), SERVICES);
+    }
+
+    private static RelayShape relay(String name, String zone, String region, String... upstreams) {
+        return new RelayShape(name, zone, region, List.of(upstreams));
+    }
+
+    /** Two relays in two zones of a region, and three clients in each zone that may use both. */
+    private static Shape twoRelays(String limits) {
+        List<ClientShape> clients = new ArrayList<>();
+        for (int i = 1; i <= 3; i++) {
+            clients.add(client("a" + i, "za", "r", "ra", "rb"));
+            clients.add(client("b" + i, "zb", "r", "ra", "rb"));
+        }
+        return new Shape(SERVICES, List.of(relay("ra", "za", "r", "s"), relay("rb", "zb", "r", "s")), clients, limits);
+    }
+
+    /** A region with a relay of its own below the first region's. */
+    private static Shape twoRegions() {
+        return new Shape(SERVICES, List.of(relay("ra", "za", "near", "s"), relay("rf", "zf", "far", "ra")),
+                List.of(client("a1", "za", "near", "ra"), client("f1", "zf", "far", "rf"), client("f2", "zf", "far", "rf")),
+                BRISK);
+    }
+
+    private static final Map<String, Scenario> SCENARIOS = new TreeMap<>(Map.of(
+            "a relay is killed, and comes back", new Scenario(twoRelays(BRISK), rig -> {
+                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+                rig.awaitAgreement();
+                rig.awaitPublisher("a1", "ra");
+                rig.kill("ra");
+                rig.serversGo(ACCOUNTS, servers.subList(0, 5));
+                rig.awaitPublisher("a1", "rb");
+                rig.serversDrain(ACCOUNTS, servers.subList(5, 8));
+                rig.awaitAgreement();
+                rig.start("ra");
+                rig.serversCome(PAYMENTS, 3);
+                rig.awaitPublisher("a1", "ra");
+            }),
+            "a relay is stalled, and goes on", new Scenario(twoRelays(BRISK), rig -> {
+                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+                rig.awaitAgreement();
+                rig.awaitPublisher("a1", "ra");
+                rig.stop("ra");
+                rig.serversGo(ACCOUNTS, servers.subList(0, 5));
+                rig.awaitPublisher("a1", "rb");
+                rig.awaitAgreement();
+                rig.serversCome(PAYMENTS, 3);
+                rig.goOn("ra");
+                rig.awaitPublisher("a1", "ra");
+            }),
+            "links are half open", new Scenario(twoRelays(BRISK), rig -> {
+                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+                rig.awaitAgreement();
+                rig.awaitPublisher("a1", "ra");
+                int from = rig.eventsSoFar();
+                rig.halfOpen("s", "ra");
+                rig.halfOpen("rb", "b1");
+                rig.serversGo(ACCOUNTS, servers.subList(0, 5));
+                rig.awaitLog("ra", "publisher s is lost: SILENT", from);
+                rig.awaitAgreement("a1", "a2", "a3", "b1");
+            }),
+            "the source is started anew", new Scenario(twoRelays(BRISK), rig -> {
+                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+                rig.awaitAgreement();
+                rig.kill("s");
+                rig.awaitStale("a1");
+                rig.serversGo(ACCOUNTS, servers.subList(0, 5));
+                rig.serversCome(PAYMENTS, 3);
+                rig.start("s");
+                rig.awaitAgreement();
+                assertEquals(2, rig.ask(() -> rig.client("a1").state(ACCOUNTS).orElseThrow().revision().epoch()));
+            }),
+            "the source is started anew before its bus can be reached", new Scenario(twoRelays(BRISK), rig -> {
+                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+                rig.awaitAgreement();
+                rig.kill("s");
+                rig.awaitStale("a1");
+                rig.cut("s", "bus");
+                int from = rig.eventsSoFar();
+                rig.start("s");
+                rig.awaitLog("ra", "services are watched at s, which is at revision 2.0", from);
+                rig.awaitMessages("a1", 5);
+                assertEquals(20, rig.ask(() -> rig.client("a1").state(ACCOUNTS).orElseThrow().endpoints().size()));
+                rig.serversGo(ACCOUNTS, servers.subList(0, 15));
+                rig.restore("s", "bus");
+            }),
+            "a region is cut off, and comes back", new Scenario(twoRegions(), rig -> {
+                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+                rig.awaitAgreement();
+                rig.cut("rf", "ra");
+                rig.awaitStale("f1");
+                rig.serversGo(ACCOUNTS, servers.subList(0, 15));
+                rig.awaitAgreement("a1");
+                assertEquals(20, rig.ask(() -> rig.client("f1").state(ACCOUNTS).orElseThrow().endpoints().size()));
+                rig.restore("rf", "ra");
+                rig.awaitAgreement("f1", "f2");
+            }),
+            "a subscriber reads slowly", new Scenario(twoRelays(SMALL_WINDOW), rig -> {
+                List<Long> servers = rig.serversCome(ACCOUNTS, 50);
+                rig.awaitAgreement();
+                rig.awaitPublisher("a1", "ra");
+                int from = rig.eventsSoFar();
+                rig.delay("ra", "a1", Duration.ofMillis(500));
+                for (Long server : servers.subList(0, 20)) {
+                    rig.serversGo(ACCOUNTS, List.of(server));
+                    rig.serversCome(ACCOUNTS, 60);
+                    rig.awaitAgreement("a2", "b1");
+                }
+                rig.awaitLog("ra", "coalesced=[1-9]", from);
+                rig.restore("ra", "a1");
+            }),
+            "a relay starts empty", new Scenario(twoRelays(BRISK), rig -> {
+                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+                rig.awaitAgreement();
+                rig.kill("rb");
+                rig.cut("rb", "s");
+                rig.start("rb");
+                rig.awaitPublisher("a1", "ra");
+                rig.kill("ra");
+                rig.awaitBytes("rb", "a1", SOME_TRIES);
+                assertEquals(20, rig.ask(() -> rig.client("a1").state(ACCOUNTS).orElseThrow().endpoints().size()));
+                rig.serversGo(ACCOUNTS, servers.subList(0, 15));
+                rig.restore("rb", "s");
+            })));
+
+    @Test
+    void everyClientEndsAtTheSourcesContentAndSeesNothingWrong() throws Exception {
+        String only = System.getProperty("scenario", "");
+        long seed = Long.getLong("seed", 1);
+        Map<String, Scenario> chosen = new TreeMap<>(SCENARIOS);
+        chosen.keySet().removeIf(name -> !name.startsWith(only));
+        assertTrue(!chosen.isEmpty(), "no scenario is called " + only);
+        Map<String, String> broken = new ConcurrentSkipListMap<>();
+        ExecutorService players = Executors.newFixedThreadPool(AT_ONCE);
+        List<Future<?>> plays = new ArrayList<>();
+        chosen.forEach((name, scenario) -> plays.add(players.submit(() -> {
+            List<String> verdict = play(name, scenario, seed);
+            if (!verdict.isEmpty()) {
+                broken.put(name + ", seed " + seed, String.join("\n", verdict));
+            }
+            return null;
+        })));
+        for (Future<?> play : plays) {
+            play.get();
+        }
+        players.shutdown();
+        assertEquals(Map.of(), new TreeMap<>(broken));
+    }
+
+    private List<String> play(String name, Scenario scenario, long seed) throws Exception {
+        Path own = Files.createDirectory(folder.resolve(name.replace(' ', '-')));
+        try (DiscoveryRig rig = new DiscoveryRig(scenario.shape(), Path.of("..").toRealPath(), own, seed)) {
+            try {
+                rig.start();
+                scenario.story().play(rig);
+                return rig.judge();
+            } catch (IllegalStateException | AssertionError e) {
+                List<String> verdict = new ArrayList<>(List.of(String.valueOf(e.getMessage())));
+                verdict.addAll(rig.broken());
+                rig.keepHistory();
+                return verdict;
+            }
+        }
+    }
+}
