--- /dev/null
+++ b/core/src/main/java/pathlane/core/Service.java
@@ -0,0 +1,17 @@
+package pathlane.core;
+
+import pathlane.decision.Gateway;
+
+/** Calls and servers that belong together, with a decision module of their own. On the loop's thread. */
+final class Service {
+
+    final String name;
+    final Gateway module;
+    /** Calls of it, open or standing. */
+    int calls;
+
+    Service(String name, Gateway module) {
+        this.name = name;
+        this.module = module;
+    }
+}
