--- a/discovery/src/main/java/pathlane/discovery/Catalogue.java
+++ b/discovery/src/main/java/pathlane/discovery/Catalogue.java
@@ -167,6 +167,12 @@
         return removed.getOrDefault(service, revision);
     }
 
+    /** Services that are known to have gone after the revision up to which everything is held. */
+    List<String> removedSinceRevision() {
+        return removed.entrySet().stream().filter(service -> service.getValue().isAfter(revision))
+                .map(Map.Entry::getKey).toList();
+    }
+
     /** The entry of a service, or null where there is none. */
     CatalogueEntry entry(String service) {
         return entries.get(service);
--- a/discovery/src/main/java/pathlane/discovery/ProgressTable.java
+++ b/discovery/src/main/java/pathlane/discovery/ProgressTable.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,19 +17,41 @@
     /** By subscriber: itself as a report of one controller, or a relay's report. */
     private final Map<SubscriberSession, ProgressReport> reports = new LinkedHashMap<>();
 
+    /** The latest connection of each subscriber. */
+    private final Map<String, SubscriberSession> latest = new HashMap<>();
+
+    /**
+     * A watch is accepted. A former connection of the same subscriber, whose end has not been seen yet, counts no more:
+     * nobody is counted twice.
+     */
+    void begin(SubscriberSession subscriber, String name) {
+        SubscriberSession former = latest.put(name, subscriber);
+        if (former != null) {
+            reports.remove(former);
+        }
+    }
+
     /** A subscriber that is a controller has everything up to this revision in force. */
     void putController(SubscriberSession subscriber, String name, Revision inForce) {
-        reports.put(subscriber, new ProgressReport(List.of(new ProgressReport.Level(inForce, 1)),
+        put(subscriber, name, new ProgressReport(List.of(new ProgressReport.Level(inForce, 1)),
                 List.of(new ProgressReport.Slow(name, inForce))));
     }
 
     /** A subscriber that is a relay reports the controllers below it. */
-    void putRelay(SubscriberSession subscriber, ProgressReport report) {
-        reports.put(subscriber, report);
+    void putRelay(SubscriberSession subscriber, String name, ProgressReport report) {
+        put(subscriber, name, report);
+    }
+
+    private void put(SubscriberSession subscriber, String name, ProgressReport report) {
+        if (latest.getOrDefault(name, subscriber) == subscriber) {
+            reports.put(subscriber, report);
+        }
     }
 
-    void remove(SubscriberSession subscriber) {
+    /** A connection has ended. */
+    void remove(SubscriberSession subscriber, String name) {
         reports.remove(subscriber);
+        latest.remove(name, subscriber);
     }
 
     /** All of them together; who has the newest revision in force is not slow. */
--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -175,6 +175,7 @@
 
     void accepted(SubscriberSession session) {
         accepted.add(session);
+        progress.begin(session, session.name());
     }
 
     /** Has a session send at the end of this turn, so that changes of one turn leave together. */
@@ -203,12 +204,12 @@
         unresolved.add(session);
     }
 
-    void recordProgress(SubscriberSession session, String name, Revision inForce) {
-        progress.putController(session, name, inForce);
+    void recordProgress(SubscriberSession session, Revision inForce) {
+        progress.putController(session, session.name(), inForce);
     }
 
     void recordProgress(SubscriberSession session, ProgressReport report) {
-        progress.putRelay(session, report);
+        progress.putRelay(session, session.name(), report);
     }
 
     void ended(SubscriberSession session) {
@@ -216,7 +217,7 @@
         accepted.remove(session);
         unresolved.remove(session);
         scheduled.remove(session);
-        progress.remove(session);
+        progress.remove(session, session.name());
         index.removeEverything(session);
         session.services().forEach(service -> index.remove(service, session));
     }
@@ -225,6 +226,11 @@
         return catalogue.services();
     }
 
+    /** Services whose removal the revision of a bookmark does not cover yet. */
+    List<String> removedSinceRevision() {
+        return catalogue.removedSinceRevision();
+    }
+
     /** The catalogue's own copy of a name, so that each subscriber does not keep one. */
     String sharedName(String service) {
         CatalogueEntry entry = catalogue.entry(service);
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -100,6 +100,8 @@
         isSubscriptionWhole = message.last();
         if (everything && isSubscriptionWhole) {
             publisher.services().forEach(this::watchFound);
+            // Guards a new relay against calling a service absent at a revision at which it was there.
+            publisher.removedSinceRevision().forEach(this::watchFound);
         }
         publisher.schedule(this);
     }
@@ -116,7 +118,7 @@
         metrics.watches++;
         heartbeatAt = publisher.now();
         publisher.accepted(this);
-        publisher.recordProgress(this, port.name(), Revision.NONE);
+        publisher.recordProgress(this, Revision.NONE);
         send(WatchCodec.bytes(new WatchMessage.Accepted(publisher.status())));
         return phase == Phase.WATCHING;   // a connection that can't take more may end within the call
     }
@@ -155,7 +157,7 @@
     private void acknowledged(Acknowledge message) {
         window.acknowledged(message.batch(), publisher.now());
         if (!isRelay) {
-            publisher.recordProgress(this, port.name(), message.inForce());
+            publisher.recordProgress(this, message.inForce());
         }
         if (!queue.isEmpty()) {
             publisher.schedule(this);
@@ -319,6 +321,11 @@
         port.close(why);
     }
 
+    /** The subscriber's name. */
+    String name() {
+        return port.name();
+    }
+
     Iterable<String> services() {
         return queue.services();
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchClient.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchClient.java
@@ -199,6 +199,8 @@
                     List.of()));
             from = to;
         } while (from < held.size());
+        // At once, so that a relay is never counted as a controller.
+        report.ifPresent(known -> session.send(new WatchMessage.Progress(known)));
     }
 
     private void accepted(WatchSession session, PublisherStatus fresh) {
--- a/discovery/src/main/java/pathlane/discovery/WatchedServices.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchedServices.java
@@ -169,7 +169,8 @@
         epoch = Math.max(epoch, revision.epoch());
         if (everything) {
             // What is absent at the revision in force needs no replica of its own any more.
-            services.values().removeIf(watched -> watched.replica.state().isEmpty());
+            services.values().removeIf(watched -> watched.replica.state().isEmpty()
+                    && !watched.replica.revision().isAfter(revision));
         }
         listener.inForce(revision);
     }
