--- a/lab/src/main/java/pathlane/lab/Faults.java
+++ b/lab/src/main/java/pathlane/lab/Faults.java
@@ -48,6 +48,11 @@
                 .mapToLong(one -> one.getValue().bytes).sum();
     }
 
+    /** Whether nothing goes this way now. */
+    public boolean isCut(String from, String to) {
+        return way(from, to).cut;
+    }
+
     /** Nothing goes this way any more; what is written waits, as TCP has it, until it is restored or given up. */
     public void cut(String from, String to) {
         way(from, to).cut = true;
--- a/lab/src/main/java/pathlane/lab/ProcessTime.java
+++ b/lab/src/main/java/pathlane/lab/ProcessTime.java
@@ -14,7 +14,7 @@
  * Time as one process of the virtual fleet sees it: stopped and gone on, or killed, with a monotonic clock of its own that
  * is fast or slow. What is due, and what comes over its connections, waits while it is stopped.
  */
-final class ProcessTime implements Scheduler {
+public final class ProcessTime implements Scheduler {
 
     private final Scheduler world;
     private final Instant startedAt;
@@ -26,33 +26,37 @@
     private Duration lag = Duration.ZERO;
 
     /** {@code speed} is how fast its monotonic clock runs, 1 for right. */
-    ProcessTime(Scheduler world, double speed) {
+    public ProcessTime(Scheduler world, double speed) {
         this.world = world;
         this.speed = speed;
         this.startedAt = world.now();
     }
 
     /** The monotonic clock. */
-    long nanos() {
+    public long nanos() {
         return (long) (Duration.between(startedAt, world.now()).toNanos() * speed);
     }
 
-    boolean isDead() {
+    /** Whether it was killed. */
+    public boolean isDead() {
         return dead;
     }
 
-    boolean isStopped() {
+    /** Whether it is stopped now. */
+    public boolean isStopped() {
         return stopped;
     }
 
-    void stop() {
+    /** Stops it, as SIGSTOP does. */
+    public void stop() {
         if (!stopped) {
             stopped = true;
             stoppedAt = world.now();
         }
     }
 
-    void goOn() {
+    /** Continues it, as SIGCONT does: what waited is run, in its order. */
+    public void goOn() {
         if (stopped) {
             stopped = false;
             lag = Duration.between(stoppedAt, world.now());
@@ -65,13 +69,14 @@
         }
     }
 
-    void kill() {
+    /** Ends it for good. */
+    public void kill() {
         dead = true;
         waiting.clear();
     }
 
     /** Runs something as this process: now, or once it goes on, or never. */
-    void run(Runnable what) {
+    public void run(Runnable what) {
         if (dead) {
             return;
         }
@@ -83,7 +88,7 @@
     }
 
     /** A state machine of this process, which hears nothing while it is stopped and no more once it is dead. */
-    Protocol own(Protocol protocol) {
+    public Protocol own(Protocol protocol) {
         return new Protocol() {
             @Override
             public void opened(Connection connection) {
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
@@ -0,0 +1,149 @@
+package pathlane.lab.discovery;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import pathlane.core.ServerLine;
+import pathlane.decision.Gateway.Mode;
+import pathlane.discovery.PublisherStatus;
+import pathlane.discovery.Revision;
+import pathlane.discovery.ServiceChange;
+import pathlane.discovery.ServiceState;
+import pathlane.discovery.WatchClient;
+import pathlane.discovery.WatchListener;
+import pathlane.group.SealedLink;
+import pathlane.link.Protocol;
+
+/**
+ * A call controller's process, as far as discovery goes: a watch client, and the servers that calls would be sent to, kept
+ * by the changes alone that the client tells of.
+ */
+final class ControllerProcess extends FleetProcess {
+
+    private final List<RelayProcess> relays;
+    private final ControllerInvariants invariants;
+    private final Set<String> watched = new TreeSet<>();
+    private final Map<String, TreeMap<Long, ServerLine>> servers = new HashMap<>();
+    private final Map<String, Revision> revisions = new HashMap<>();
+    private WatchClient client;
+    private Optional<PublisherStatus> lastStatus = Optional.empty();
+    private Revision greatestInForce = Revision.NONE;
+
+    ControllerProcess(DiscoveryFleet fleet, String name, String zone, String region, int port, List<RelayProcess> relays,
+                      ControllerInvariants invariants) {
+        super(fleet, name, zone, region, port);
+        this.relays = relays;
+        this.invariants = invariants;
+    }
+
+    @Override
+    void begin(SealedLink.Common common) {
+        servers.clear();
+        revisions.clear();
+        lastStatus = Optional.empty();
+        client = new WatchClient(fleet().watchTerms(this, relays), fleet().dialer(this), common, time(),
+                fleet().newRandom(), new Listener());
+        watched.forEach(client::watch);
+        client.start();
+    }
+
+    @Override
+    Optional<Protocol> accept() {
+        return Optional.empty();
+    }
+
+    WatchClient client() {
+        return client;
+    }
+
+    Set<String> watched() {
+        return watched;
+    }
+
+    void watch(String service) {
+        if (watched.add(service) && isUp()) {
+            time().run(() -> client.watch(service));
+        }
+    }
+
+    void unwatch(String service) {
+        if (watched.remove(service) && isUp()) {
+            time().run(() -> {
+                client.unwatch(service);
+                servers.remove(service);
+                revisions.remove(service);
+            });
+        }
+    }
+
+    /** The revision of a service's servers here. */
+    Revision revision(String service) {
+        return revisions.getOrDefault(service, Revision.NONE);
+    }
+
+    /** The greatest revision that was ever in force here, in any life. */
+    Revision greatestInForce() {
+        if (isUp() && client.inForce().isAfter(greatestInForce)) {
+            greatestInForce = client.inForce();
+        }
+        return greatestInForce;
+    }
+
+    Optional<PublisherStatus> lastStatus() {
+        return lastStatus;
+    }
+
+    /** Whether a call of the service could be sent to the server now. */
+    boolean wouldSendTo(String service, long server) {
+        ServerLine line = servers.getOrDefault(service, new TreeMap<>()).get(server);
+        return line != null && line.mode() == Mode.RUNNING;
+    }
+
+    /** The servers of a service by the changes that were told. */
+    List<ServerLine> servers(String service) {
+        return List.copyOf(servers.getOrDefault(service, new TreeMap<>()).values());
+    }
+
+    private final class Listener implements WatchListener {
+
+        @Override
+        public void changed(ServiceState state, ServiceChange change) {
+            fleet().trace().note(name(), "has " + state.service() + " in force at " + state.revision());
+            String service = state.service();
+            Revision before = revision(service);
+            int sizeBefore = servers(service).size();
+            take(service, change);
+            revisions.put(service, state.revision());
+            invariants.changed(ControllerProcess.this, state, before, sizeBefore);
+        }
+
+        @Override
+        public void absent(String service, Revision revision) {
+            fleet().trace().note(name(), "has no " + service + " at " + revision);
+            Revision before = revision(service);
+            servers.remove(service);
+            revisions.put(service, revision);
+            invariants.absent(ControllerProcess.this, service, revision, before);
+        }
+
+        @Override
+        public void status(PublisherStatus status) {
+            lastStatus = Optional.of(status);
+        }
+
+        private void take(String service, ServiceChange change) {
+            TreeMap<Long, ServerLine> lines = servers.computeIfAbsent(service, any -> new TreeMap<>());
+            if (change instanceof ServiceChange.Snapshot snapshot) {
+                lines.clear();
+                snapshot.state().endpoints().forEach(line -> lines.put(line.id(), line));
+            } else if (change instanceof ServiceChange.Delta delta) {
+                delta.removed().forEach(lines::remove);
+                delta.upserted().forEach(line -> lines.put(line.id(), line));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
@@ -0,0 +1,308 @@
+package pathlane.lab.discovery;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import java.util.function.Function;
+import java.util.random.RandomGenerator;
+import java.util.stream.Stream;
+import pathlane.core.ConnectionEnd;
+import pathlane.discovery.ServiceState;
+import pathlane.discovery.WatchTerms;
+import pathlane.group.Keys;
+import pathlane.lab.Faults;
+import pathlane.lab.Path;
+import pathlane.lab.ProcessTime;
+import pathlane.link.Dialer;
+import pathlane.link.Protocol;
+import pathlane.standin.VirtualTime;
+
+/**
+ * Discovery's state machines as a fleet in virtual time and one thread: a source, a relay for each region, relays for each
+ * zone, and controllers, each a process of its own, over sealed links with faults. The same seed gives the same play.
+ */
+final class DiscoveryFleet {
+
+    static final Duration LATENCY = Duration.ofMillis(1);
+    static final Duration BACKOFF_FIRST = Duration.ofMillis(50);
+    static final Duration BACKOFF_MOST = Duration.ofSeconds(2);
+    static final Duration SILENT_AFTER = Duration.ofSeconds(3);
+    static final Duration RETURN_WITHIN = Duration.ofSeconds(2);
+    private static final Duration CHECK_EVERY = Duration.ofMillis(50);
+    private static final int SOURCE_PORT = 9_000;
+    private static final int RELAY_PORT = 9_100;
+    private static final int CONTROLLER_PORT = 9_500;
+    private static final int NONCE_BYTES = 16;
+    private static final Keys KEYS = Keys.read("k1 000102030405060708090a0b0c0d0e0f\n");
+
+    private final FleetShape shape;
+    private final VirtualTime world = new VirtualTime();
+    private final Faults faults = new Faults();
+    private final SplittableRandom random;
+    private final EventTrace trace;
+    private final Violations violations;
+    private final SourceHistory history = new SourceHistory();
+    private final ServiceContents contents;
+    private final FleetObserver observer;
+    private final ProgressInvariants progress;
+    private final SourceProcess source;
+    private final List<RelayProcess> regionRelays = new ArrayList<>();
+    private final List<RelayProcess> zoneRelays = new ArrayList<>();
+    private final List<ControllerProcess> controllers = new ArrayList<>();
+    private final Map<Integer, FleetProcess> listeners = new HashMap<>();
+    private final Map<String, List<ObservedLink>> links = new HashMap<>();
+
+    /** A fleet of which nothing has started. */
+    DiscoveryFleet(FleetShape shape, long seed) {
+        this(shape, seed, Optional.empty());
+    }
+
+    /** The same, with a reader of the trace's lines. */
+    DiscoveryFleet(FleetShape shape, long seed, Optional<Consumer<String>> reader) {
+        this.shape = shape;
+        this.random = new SplittableRandom(seed);
+        this.trace = reader.map(lines -> new EventTrace(world, lines)).orElseGet(() -> new EventTrace(world));
+        this.violations = new Violations(trace);
+        this.contents = new ServiceContents(random.split(), shape.services(), shape.servers());
+        ControllerInvariants controllerInvariants = new ControllerInvariants(history, violations);
+        this.observer = new FleetObserver(new PublisherInvariants(shape.terms(), history, violations),
+                controllerInvariants);
+        this.progress = new ProgressInvariants(this, violations);
+        this.source = new SourceProcess(this, zone(0, 0), region(0), SOURCE_PORT, contents, history);
+        listeners.put(SOURCE_PORT, source);
+        for (int i = 0; i < shape.regions(); i++) {
+            addRelay(regionRelays, "relay-" + region(i), zone(i, 0), region(i), List.of(source));
+        }
+        for (int i = 0; i < shape.regions(); i++) {
+            addZoneRelays(i);
+        }
+        for (int i = 0; i < shape.controllers(); i++) {
+            addController(i, controllerInvariants);
+        }
+    }
+
+    private void addZoneRelays(int region) {
+        for (int zone = 0; zone < shape.zones(); zone++) {
+            for (int i = 0; i < shape.relaysOfZone(); i++) {
+                addRelay(zoneRelays, "relay-" + zone(region, zone) + "-" + (i + 1), zone(region, zone), region(region),
+                        regionRelays);
+            }
+        }
+    }
+
+    private void addRelay(List<RelayProcess> tier, String name, String zone, String region,
+                          List<? extends FleetProcess> upstreams) {
+        int port = RELAY_PORT + regionRelays.size() + zoneRelays.size();
+        RelayProcess relay = new RelayProcess(this, name, zone, region, port, upstreams);
+        tier.add(relay);
+        listeners.put(port, relay);
+    }
+
+    private void addController(int place, ControllerInvariants invariants) {
+        int region = place % shape.regions();
+        int zone = place / shape.regions() % shape.zones();
+        ControllerProcess controller = new ControllerProcess(this, "controller-" + (place + 1), zone(region, zone),
+                region(region), CONTROLLER_PORT + place, zoneRelays, invariants);
+        controllers.add(controller);
+        List<String> services = List.copyOf(contents.services().keySet());
+        for (int i = 1 + random.nextInt(services.size()); i > 0; i--) {
+            controller.watch(services.get(random.nextInt(services.size())));
+        }
+    }
+
+    private static String region(int region) {
+        return "r" + (region + 1);
+    }
+
+    private static String zone(int region, int zone) {
+        return region(region) + "z" + (zone + 1);
+    }
+
+    // ---- what the processes are given
+
+    FleetShape shape() {
+        return shape;
+    }
+
+    Keys keys() {
+        return KEYS;
+    }
+
+    byte[] nonce() {
+        byte[] bytes = new byte[NONCE_BYTES];
+        random.nextBytes(bytes);
+        return bytes;
+    }
+
+    RandomGenerator newRandom() {
+        return random.split();
+    }
+
+    WatchTerms watchTerms(FleetProcess subscriber, List<? extends FleetProcess> publishers) {
+        List<WatchTerms.PublisherAddress> addresses = publishers.stream().map(one ->
+                new WatchTerms.PublisherAddress(one.name(), one.address(), one.zone(), one.region())).toList();
+        return new WatchTerms(subscriber.name(), subscriber.zone(), subscriber.region(), addresses, BACKOFF_FIRST,
+                BACKOFF_MOST, SILENT_AFTER, RETURN_WITHIN);
+    }
+
+    /** Dials as the present life of a process. */
+    Dialer dialer(FleetProcess subscriber) {
+        ProcessTime life = subscriber.time();
+        return (address, timeout, protocol) -> dial(subscriber, life, address, timeout, protocol);
+    }
+
+    private void dial(FleetProcess subscriber, ProcessTime life, InetSocketAddress address, Duration timeout,
+                      Protocol protocol) {
+        FleetProcess publisher = listeners.get(address.getPort());
+        String from = subscriber.name();
+        String to = publisher.name();
+        Protocol own = life.own(protocol);
+        world.after(LATENCY, () -> {
+            if (life.isDead()) {
+                return;
+            }
+            if (faults.isCut(from, to) || faults.isCut(to, from)) {
+                world.after(timeout, () -> own.closed(ConnectionEnd.DIAL_TIMED_OUT));
+                return;
+            }
+            Optional<Protocol> accepted = publisher.isUp() ? publisher.accept() : Optional.empty();
+            if (accepted.isEmpty()) {
+                own.closed(ConnectionEnd.REFUSED);
+                return;
+            }
+            ObservedLink link = new ObservedLink(subscriber, publisher, trace, observer);
+            links.computeIfAbsent(to + "#" + publisher.life(), any -> new ArrayList<>()).add(link);
+            trace.note(from, "connects to " + to);
+            new Path(world, faults, LATENCY, from, life.own(link.atSubscriber(protocol)), to,
+                    publisher.time().own(link.atPublisher(accepted.get())));
+        });
+    }
+
+    // ---- what a schedule does with it
+
+    VirtualTime world() {
+        return world;
+    }
+
+    Faults faults() {
+        return faults;
+    }
+
+    EventTrace trace() {
+        return trace;
+    }
+
+    Violations violations() {
+        return violations;
+    }
+
+    ServiceContents contents() {
+        return contents;
+    }
+
+    SourceHistory history() {
+        return history;
+    }
+
+    ProgressInvariants progress() {
+        return progress;
+    }
+
+    SourceProcess source() {
+        return source;
+    }
+
+    List<RelayProcess> regionRelays() {
+        return regionRelays;
+    }
+
+    List<RelayProcess> zoneRelays() {
+        return zoneRelays;
+    }
+
+    List<ControllerProcess> controllers() {
+        return controllers;
+    }
+
+    /** All processes, the source first. */
+    List<FleetProcess> processes() {
+        return Stream.of(List.of(source), regionRelays, zoneRelays, controllers).flatMap(List::stream)
+                .map(one -> (FleetProcess) one).toList();
+    }
+
+    /** Connections that came in at a life of a publisher, in their order. */
+    List<ObservedLink> links(FleetProcess publisher, int life) {
+        return links.getOrDefault(publisher.name() + "#" + life, List.of());
+    }
+
+    /** Starts every process that is not there. */
+    void startAll() {
+        processes().forEach(FleetProcess::start);
+    }
+
+    /** Makes a drawn change of the contents, and has the source publish it where it is there. */
+    void change(Function<ServiceContents, ServiceContents.Change> draw) {
+        ServiceContents.Change change = draw.apply(contents);
+        boolean isEmpty = !change.removesService() && change.upserted().isEmpty() && change.removed().isEmpty()
+                && change.configuration().isEmpty();
+        if (!isEmpty && source.isUp()) {
+            source.publish(change);
+        }
+    }
+
+    /** Passes time, with the progress checked on the way; ends early at a violation. */
+    void pass(Duration time) {
+        for (Duration left = time; !left.isZero() && violations.isEmpty(); ) {
+            Duration step = left.compareTo(CHECK_EVERY) < 0 ? left : CHECK_EVERY;
+            world.pass(step);
+            progress.check();
+            left = left.minus(step);
+        }
+    }
+
+    /** Passes time until this holds; false where it did not in so long. */
+    boolean until(Duration most, BooleanSupplier holds) {
+        for (Duration left = most; !left.isNegative() && violations.isEmpty() && !holds.getAsBoolean();
+                left = left.minus(CHECK_EVERY)) {
+            pass(CHECK_EVERY);
+        }
+        return holds.getAsBoolean();
+    }
+
+    /** What keeps the fleet from being in step with its source; empty where it is. */
+    Optional<String> lag() {
+        if (!source.catalogue().isComplete()) {
+            return Optional.of("the source is not complete");
+        }
+        for (ControllerProcess controller : controllers) {
+            for (String service : controller.watched()) {
+                Optional<ServiceState> published = source.catalogue().state(service);
+                Optional<ServiceState> held = controller.client().state(service);
+                if (!published.equals(held)) {
+                    return Optional.of(controller + " has " + held + " in force, the source " + published);
+                }
+            }
+        }
+        return progressLag();
+    }
+
+    private Optional<String> progressLag() {
+        var levels = source.source().publisher().progress().levels();
+        boolean isCounted = levels.size() == 1 && levels.get(0).controllers() == controllers.size()
+                && levels.get(0).inForce().equals(source.catalogue().revision());
+        return isCounted ? Optional.empty() : Optional.of("the source is at " + source.catalogue().revision()
+                + " with " + controllers.size() + " controllers, and counts "
+                + source.source().publisher().progress());
+    }
+
+    boolean isInStep() {
+        return lag().isEmpty();
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/discovery/ObservedLink.java
@@ -0,0 +1,208 @@
+package pathlane.lab.discovery;
+
+import java.nio.ByteBuffer;
+import java.time.Instant;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import pathlane.core.ConnectionEnd;
+import pathlane.discovery.PublisherStatus;
+import pathlane.discovery.Revision;
+import pathlane.discovery.WatchCodec;
+import pathlane.discovery.WatchMessage;
+import pathlane.link.Connection;
+import pathlane.link.Protocol;
+
+/**
+ * One connection between a subscriber and a publisher, with the messages on it read along at both ends. The frames are
+ * those of {@link pathlane.group.SealedLink}, one write each: length:4 payload mac:16, after an opening without a mac.
+ */
+final class ObservedLink {
+
+    private static final int LENGTH_BYTES = 4;
+    private static final int MAC_BYTES = 16;
+
+    /** Who reads along. */
+    interface Observer {
+        /** A publisher hands a message to its connection. */
+        void sent(ObservedLink link, WatchMessage.Response message, int bytes);
+
+        /** A request is about to reach the publisher. */
+        void requested(ObservedLink link, WatchMessage.Request message);
+
+        /** A response is about to reach the subscriber. */
+        void arriving(ObservedLink link, WatchMessage.Response message);
+
+        /** The subscriber has handled a response. */
+        void handled(ObservedLink link, WatchMessage.Response message);
+    }
+
+    /** Bytes of updates that were sent and not acknowledged, by batch. */
+    final Map<Long, Integer> unacknowledged = new HashMap<>();
+    final FleetProcess subscriber;
+    final int subscriberLife;
+    final FleetProcess publisher;
+    final int publisherLife;
+    private final EventTrace trace;
+    private final Observer observer;
+    private boolean accepted;
+    private Instant publisherClosedAt = Instant.MAX;
+    private PublisherStatus lastStatus;
+    private Map<String, Revision> revisionsAtLastUpdate = Map.of();
+    private String lastUpdateWithoutRemoval;
+
+    ObservedLink(FleetProcess subscriber, FleetProcess publisher, EventTrace trace, Observer observer) {
+        this.subscriber = subscriber;
+        this.subscriberLife = subscriber.life();
+        this.publisher = publisher;
+        this.publisherLife = publisher.life();
+        this.trace = trace;
+        this.observer = observer;
+    }
+
+    /** Whether the publisher has accepted the watch. */
+    boolean isAccepted() {
+        return accepted;
+    }
+
+    /** When the publisher saw its end; far in the future while it has not. */
+    Instant publisherClosedAt() {
+        return publisherClosedAt;
+    }
+
+    /** What the publisher last said of itself here, as far as the subscriber has heard. */
+    Optional<PublisherStatus> lastStatus() {
+        return Optional.ofNullable(lastStatus);
+    }
+
+    int unacknowledgedBytes() {
+        return unacknowledged.values().stream().mapToInt(Integer::intValue).sum();
+    }
+
+    /** The publisher's services at the last update that had changes besides removals; empty where there was none. */
+    Map<String, Revision> revisionsAtLastUpdate() {
+        return revisionsAtLastUpdate;
+    }
+
+    /** A service whose change in that update was no removal. */
+    String lastUpdateWithoutRemoval() {
+        return lastUpdateWithoutRemoval;
+    }
+
+    void noteOrdinaryUpdate(String service, Map<String, Revision> revisions) {
+        lastUpdateWithoutRemoval = service;
+        revisionsAtLastUpdate = revisions;
+    }
+
+    /** The watch has changed: what is sent next may not have been asked for before. */
+    void forgetOrdinaryUpdate() {
+        revisionsAtLastUpdate = Map.of();
+    }
+
+    void noteAccepted() {
+        accepted = true;
+    }
+
+    void noteStatus(PublisherStatus status) {
+        lastStatus = status;
+    }
+
+    /** The subscriber's protocol, with what reaches it read along. */
+    Protocol atSubscriber(Protocol protocol) {
+        return new Protocol() {
+            @Override
+            public void opened(Connection connection) {
+                protocol.opened(connection);
+            }
+
+            @Override
+            public void received(ByteBuffer bytes) {
+                Optional<byte[]> payload = payload(copy(bytes));
+                Optional<WatchMessage.Response> response = payload.map(WatchCodec::message)
+                        .map(WatchMessage.Response.class::cast);
+                response.ifPresent(message -> {
+                    trace.message(publisher.name(), subscriber.name(), payload.get(), message);
+                    observer.arriving(ObservedLink.this, message);
+                });
+                protocol.received(bytes);
+                response.ifPresent(message -> observer.handled(ObservedLink.this, message));
+            }
+
+            @Override
+            public void closed(ConnectionEnd end) {
+                trace.note(subscriber.name(), "closed to " + publisher.name() + " " + end);
+                protocol.closed(end);
+            }
+        };
+    }
+
+    /** The publisher's protocol, with what it writes and what reaches it read along. */
+    Protocol atPublisher(Protocol protocol) {
+        return new Protocol() {
+            @Override
+            public void opened(Connection connection) {
+                protocol.opened(readAlong(connection));
+            }
+
+            @Override
+            public void received(ByteBuffer bytes) {
+                payload(copy(bytes)).ifPresent(payload -> {
+                    WatchMessage.Request request = (WatchMessage.Request) WatchCodec.message(payload);
+                    trace.message(subscriber.name(), publisher.name(), payload, request);
+                    observer.requested(ObservedLink.this, request);
+                });
+                protocol.received(bytes);
+            }
+
+            @Override
+            public void closed(ConnectionEnd end) {
+                publisherClosedAt = publisher.time().now();
+                trace.note(publisher.name(), "closed to " + subscriber.name() + " " + end);
+                protocol.closed(end);
+            }
+        };
+    }
+
+    private Connection readAlong(Connection connection) {
+        return new Connection() {
+            @Override
+            public void write(byte[] frame) {
+                payload(frame).ifPresent(payload -> observer.sent(ObservedLink.this,
+                        (WatchMessage.Response) WatchCodec.message(payload), payload.length));
+                connection.write(frame);
+            }
+
+            @Override
+            public boolean isStuck() {
+                return connection.isStuck();
+            }
+
+            @Override
+            public void close(ConnectionEnd why) {
+                connection.close(why);
+            }
+
+            @Override
+            public String remote() {
+                return connection.remote();
+            }
+        };
+    }
+
+    private static byte[] copy(ByteBuffer bytes) {
+        byte[] copy = new byte[bytes.remaining()];
+        bytes.duplicate().get(copy);
+        return copy;
+    }
+
+    /** A message's payload; nothing where the frame belongs to the opening. */
+    private static Optional<byte[]> payload(byte[] frame) {
+        boolean isOpening = frame[LENGTH_BYTES] == 'P' && frame[LENGTH_BYTES + 1] == 'L'
+                && frame[LENGTH_BYTES + 2] == 'G' && frame[LENGTH_BYTES + 3] == '1';
+        if (isOpening || frame.length <= LENGTH_BYTES + MAC_BYTES) {
+            return Optional.empty();
+        }
+        return Optional.of(Arrays.copyOfRange(frame, LENGTH_BYTES, frame.length - MAC_BYTES));
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/discovery/ServiceContents.java
@@ -0,0 +1,149 @@
+package pathlane.lab.discovery;
+
+import java.net.InetSocketAddress;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import pathlane.core.ServerLine;
+import pathlane.decision.Gateway.Mode;
+
+/** What the world outside would have the source publish; drawn changes of it. It outlives the source's processes. */
+final class ServiceContents {
+
+    private static final int SERVER_PORT = 20_000;
+    private static final int MOST_SERVERS_OF_SERVICE = 12;
+
+    /** A change of one service, as the source is told of it; a removed service has nothing else. */
+    record Change(String service, boolean removesService, List<ServerLine> upserted, List<Long> removed,
+                  Optional<String> configuration) { }
+
+    /** One service. */
+    static final class Content {
+        final TreeMap<Long, ServerLine> servers = new TreeMap<>();
+        String configuration = "";
+
+        List<ServerLine> endpoints() {
+            return List.copyOf(servers.values());
+        }
+    }
+
+    private final TreeMap<String, Content> services = new TreeMap<>();
+    private final SplittableRandom random;
+    private long lastServer;
+    private int lastService;
+    private int lastConfiguration;
+
+    ServiceContents(SplittableRandom random, int services, int servers) {
+        this.random = random;
+        for (int i = 0; i < services; i++) {
+            addService(servers);
+        }
+    }
+
+    Map<String, Content> services() {
+        return services;
+    }
+
+    /** Draws one change and makes it. */
+    Change change() {
+        if (services.size() < 2) {
+            return addService(1 + random.nextInt(4));
+        }
+        String service = List.copyOf(services.keySet()).get(random.nextInt(services.size()));
+        return switch (random.nextInt(20)) {
+            case 0 -> removeService(service);
+            case 1 -> addService(1 + random.nextInt(4));
+            case 2 -> removeMost(service);
+            case 3, 4, 5 -> configure(service);
+            case 6, 7, 8, 9, 10 -> removeServer(service);
+            case 11, 12, 13, 14 -> drainServer(service);
+            default -> addServers(service, 1 + random.nextInt(3));
+        };
+    }
+
+    /** A restarted source may find less than it had, or something else. */
+    void loseSome() {
+        for (String service : List.copyOf(services.keySet())) {
+            switch (random.nextInt(6)) {
+                case 0 -> removeServer(service);
+                case 1 -> configure(service);
+                case 2 -> {
+                    if (random.nextInt(4) == 0 && services.size() > 2) {
+                        removeService(service);
+                    }
+                }
+                default -> { }
+            }
+        }
+    }
+
+    /** Adds a service under a new name. */
+    Change addService(int servers) {
+        String service = "service-" + ++lastService;
+        services.put(service, new Content());
+        Change servered = addServers(service, servers);
+        Change configured = configure(service);
+        return new Change(service, false, servered.upserted(), List.of(), configured.configuration());
+    }
+
+    Change removeService(String service) {
+        services.remove(service);
+        return new Change(service, true, List.of(), List.of(), Optional.empty());
+    }
+
+    Change configure(String service) {
+        services.get(service).configuration = "retries = " + ++lastConfiguration;
+        return new Change(service, false, List.of(), List.of(), Optional.of(services.get(service).configuration));
+    }
+
+    Change addServers(String service, int number) {
+        Content content = services.get(service);
+        List<ServerLine> added = new ArrayList<>();
+        for (int i = 0; i < number && content.servers.size() < MOST_SERVERS_OF_SERVICE; i++) {
+            ServerLine line = line(++lastServer, Mode.RUNNING);
+            content.servers.put(line.id(), line);
+            added.add(line);
+        }
+        return new Change(service, false, added, List.of(), Optional.empty());
+    }
+
+    Change removeServer(String service) {
+        Content content = services.get(service);
+        List<Long> removed = content.servers.isEmpty() ? List.of() : List.of(anyServer(content));
+        removed.forEach(content.servers::remove);
+        return new Change(service, false, List.of(), removed, Optional.empty());
+    }
+
+    /** Removes all servers but one: a true change that looks like a partial list. */
+    Change removeMost(String service) {
+        Content content = services.get(service);
+        List<Long> removed = content.servers.isEmpty() ? List.of()
+                : List.copyOf(content.servers.headMap(content.servers.lastKey()).keySet());
+        removed.forEach(content.servers::remove);
+        return new Change(service, false, List.of(), removed, Optional.empty());
+    }
+
+    Change drainServer(String service) {
+        Content content = services.get(service);
+        List<ServerLine> drained = new ArrayList<>();
+        if (!content.servers.isEmpty()) {
+            ServerLine line = line(anyServer(content), Mode.DRAINING);
+            content.servers.put(line.id(), line);
+            drained.add(line);
+        }
+        return new Change(service, false, drained, List.of(), Optional.empty());
+    }
+
+    private long anyServer(Content content) {
+        return List.copyOf(content.servers.keySet()).get(random.nextInt(content.servers.size()));
+    }
+
+    private static ServerLine line(long id, Mode mode) {
+        return new ServerLine(id, new InetSocketAddress("127.0.0.1", SERVER_PORT + (int) id), mode, (int) id, 1,
+                Instant.EPOCH);
+    }
+}
--- /dev/null
+++ b/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
@@ -0,0 +1,132 @@
+package pathlane.lab.discovery;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import pathlane.core.ConnectionEnd;
+import pathlane.core.ServerLine;
+import pathlane.discovery.PublisherStatus;
+import pathlane.discovery.Revision;
+import pathlane.discovery.ServiceChange;
+import pathlane.discovery.ServiceDigest;
+import pathlane.discovery.ServiceState;
+import pathlane.discovery.WatchClient;
+import pathlane.discovery.WatchCodec;
+import pathlane.discovery.WatchListener;
+import pathlane.discovery.WatchMessage;
+import pathlane.discovery.WatchTerms;
+import pathlane.group.Keys;
+import pathlane.group.SealedLink;
+import pathlane.lab.Faults;
+import pathlane.lab.Path;
+import pathlane.link.LimitedLog;
+import pathlane.standin.VirtualTime;
+
+/** A publisher that sends what a test tells it to, right or wrong, and the watch client that is connected to it. */
+final class ScriptedPublisher {
+
+    static final String SERVICE = "service-1";
+    private static final Keys KEYS = Keys.read("k1 000102030405060708090a0b0c0d0e0f\n");
+    private static final Duration LATENCY = Duration.ofMillis(1);
+
+    final VirtualTime world = new VirtualTime();
+    final List<WatchMessage.Request> requests = new ArrayList<>();
+    final List<ServiceState> inForce = new ArrayList<>();
+    final List<String> absent = new ArrayList<>();
+    final WatchClient client;
+    private final SplittableRandom random = new SplittableRandom(1);
+    private SealedLink link;
+    private long batch;
+
+    /** A client that watches one service, and has been accepted. */
+    ScriptedPublisher(PublisherStatus status) {
+        Faults faults = new Faults();
+        WatchTerms terms = new WatchTerms("controller", "z1", "r1", List.of(new WatchTerms.PublisherAddress("relay",
+                new InetSocketAddress("127.0.0.1", 9_000), "z1", "r1")), Duration.ofMillis(50), Duration.ofSeconds(1),
+                Duration.ofSeconds(60), Duration.ofSeconds(1));
+        client = new WatchClient(terms, (address, timeout, protocol) -> world.after(LATENCY, () ->
+                new Path(world, faults, LATENCY, "controller", protocol, "relay", accept(status))),
+                common("controller"), world, random.split(), new Recorder());
+        client.watch(SERVICE);
+        client.start();
+        pass();
+    }
+
+    private SealedLink.Common common(String name) {
+        return new SealedLink.Common(name, () -> KEYS, () -> {
+            byte[] bytes = new byte[16];
+            random.nextBytes(bytes);
+            return bytes;
+        }, world, new LimitedLog("discovery", world));
+    }
+
+    private SealedLink accept(PublisherStatus status) {
+        batch = 0;
+        link = new SealedLink(common("relay"), false, new SealedLink.Upper() {
+            @Override
+            public void up(SealedLink up, String name) { }
+
+            @Override
+            public void message(byte[] payload) {
+                WatchMessage.Request request = (WatchMessage.Request) WatchCodec.message(payload);
+                if (request instanceof WatchMessage.Subscribe subscribe && subscribe.last() && batch == 0) {
+                    send(new WatchMessage.Accepted(status));
+                }
+                requests.add(request);
+            }
+
+            @Override
+            public void down(ConnectionEnd end) { }
+        });
+        return link;
+    }
+
+    void pass() {
+        world.pass(Duration.ofMillis(200));
+    }
+
+    void send(WatchMessage.Response message) {
+        link.write(WatchCodec.bytes(message));
+    }
+
+    /** Sends changes in one update, and has them handled. */
+    void update(ServiceChange... changes) {
+        send(new WatchMessage.Update(++batch, List.of(changes)));
+        pass();
+    }
+
+    /** The interests that the client has asked for since the requests were last cleared. */
+    List<WatchMessage.Interest> interests() {
+        return requests.stream().filter(one -> one instanceof WatchMessage.Subscribe)
+                .flatMap(one -> ((WatchMessage.Subscribe) one).interests().stream()).toList();
+    }
+
+    static ServiceChange.Snapshot snapshot(Revision revision, List<ServerLine> endpoints) {
+        return new ServiceChange.Snapshot(new ServiceState(SERVICE, revision, ServiceDigest.of(endpoints, ""), endpoints,
+                ""));
+    }
+
+    /** A removal whose digest is the right one for what is left. */
+    static ServiceChange.Delta removal(Revision from, Revision revision, long server, List<ServerLine> left) {
+        return new ServiceChange.Delta(SERVICE, from, revision, ServiceDigest.of(left, ""), List.of(), List.of(server),
+                Optional.empty());
+    }
+
+    private final class Recorder implements WatchListener {
+        @Override
+        public void changed(ServiceState state, ServiceChange change) {
+            inForce.add(state);
+        }
+
+        @Override
+        public void absent(String service, Revision revision) {
+            absent.add(service);
+        }
+
+        @Override
+        public void status(PublisherStatus status) { }
+    }
+}
--- /dev/null
+++ b/lab/src/test/java/pathlane/lab/discovery/WrongPublisherTest.java
@@ -0,0 +1,114 @@
+package pathlane.lab.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static pathlane.lab.discovery.ScriptedPublisher.SERVICE;
+import static pathlane.lab.discovery.ScriptedPublisher.removal;
+import static pathlane.lab.discovery.ScriptedPublisher.snapshot;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.Optional;
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+import pathlane.core.ServerLine;
+import pathlane.decision.Gateway.Mode;
+import pathlane.discovery.PublisherStatus;
+import pathlane.discovery.Revision;
+import pathlane.discovery.ServiceChange;
+import pathlane.discovery.WatchMessage;
+
+/** What a watch client does with a publisher that sends what it must not. */
+class WrongPublisherTest {
+
+    private static final Revision FIRST = new Revision(2, 10);
+    private static final Revision SECOND = new Revision(2, 11);
+    private static final Revision THIRD = new Revision(2, 12);
+    private static final List<ServerLine> FOUR = servers(4);
+
+    private static List<ServerLine> servers(int number) {
+        return LongStream.rangeClosed(1, number).mapToObj(id -> new ServerLine(id, new InetSocketAddress("127.0.0.1",
+                (int) (20_000 + id)), Mode.RUNNING, (int) id, 1, Instant.EPOCH)).toList();
+    }
+
+    private static PublisherStatus status(boolean complete) {
+        return new PublisherStatus(complete, FIRST, Duration.ZERO);
+    }
+
+    private static ScriptedPublisher withSnapshotInForce(boolean complete) {
+        ScriptedPublisher publisher = new ScriptedPublisher(status(complete));
+        publisher.update(snapshot(FIRST, FOUR));
+        assertEquals(List.of(snapshot(FIRST, FOUR).state()), publisher.inForce);
+        publisher.requests.clear();
+        return publisher;
+    }
+
+    private static void keepsTheFirst(ScriptedPublisher publisher) {
+        assertEquals(Optional.of(snapshot(FIRST, FOUR).state()), publisher.client.state(SERVICE));
+        assertEquals(1, publisher.inForce.size());
+        assertEquals(List.of(), publisher.absent);
+    }
+
+    @Test
+    void aDeltaThatDoesNotFollowIsNotAppliedAndASnapshotIsAskedFor() {
+        ScriptedPublisher publisher = withSnapshotInForce(true);
+        publisher.update(removal(SECOND, THIRD, 4, servers(3)));
+        keepsTheFirst(publisher);
+        assertEquals(1, publisher.client.counters().gaps());
+        assertEquals(1, publisher.interests().size());
+        publisher.update(snapshot(THIRD, servers(3)));
+        assertEquals(THIRD, publisher.client.state(SERVICE).orElseThrow().revision());
+    }
+
+    @Test
+    void aDeltaWhoseResultHasAnotherDigestIsNotAppliedAndASnapshotIsAskedFor() {
+        ScriptedPublisher publisher = withSnapshotInForce(true);
+        publisher.update(removal(FIRST, SECOND, 4, servers(2)));
+        keepsTheFirst(publisher);
+        assertEquals(List.of(new WatchMessage.Interest(SERVICE, Revision.NONE, 0)), publisher.interests().stream()
+                .map(one -> new WatchMessage.Interest(one.service(), one.have(), 0)).toList());
+    }
+
+    @Test
+    void aSnapshotWhoseContentHasAnotherDigestIsNotInForce() {
+        ScriptedPublisher publisher = withSnapshotInForce(true);
+        ServiceChange.Snapshot right = snapshot(SECOND, servers(3));
+        publisher.update(new ServiceChange.Snapshot(new pathlane.discovery.ServiceState(SERVICE, SECOND,
+                right.state().digest() + 1, right.state().endpoints(), "")));
+        keepsTheFirst(publisher);
+    }
+
+    @Test
+    void contentOfAnEarlierEpochOrRevisionIsNotPassedForNew() {
+        ScriptedPublisher publisher = withSnapshotInForce(true);
+        publisher.update(snapshot(new Revision(1, 99), servers(3)));
+        publisher.update(snapshot(new Revision(2, 9), servers(3)));
+        publisher.update(new ServiceChange.Absent(SERVICE, new Revision(1, 100)));
+        keepsTheFirst(publisher);
+    }
+
+    @Test
+    void anIncompletePublisherTakesNeitherAServiceNorMostOfItAway() {
+        ScriptedPublisher publisher = withSnapshotInForce(false);
+        publisher.update(snapshot(SECOND, servers(1)));
+        publisher.update(new ServiceChange.Absent(SERVICE, THIRD));
+        keepsTheFirst(publisher);
+        assertTrue(publisher.client.counters().withheld() >= 2);
+    }
+
+    @Test
+    void whatWasWithheldIsInForceOnceThePublisherIsComplete() {
+        ScriptedPublisher publisher = withSnapshotInForce(false);
+        publisher.update(snapshot(SECOND, servers(1)));
+        keepsTheFirst(publisher);
+        publisher.send(new WatchMessage.Status(new PublisherStatus(true, THIRD, Duration.ZERO)));
+        publisher.pass();
+        boolean isAskedFor = !publisher.interests().isEmpty();
+        if (isAskedFor) {
+            publisher.update(snapshot(SECOND, servers(1)));
+        }
+        assertEquals(1, publisher.client.state(SERVICE).orElseThrow().endpoints().size());
+    }
+}
