--- a/daemon/src/main/java/pathlane/config/file/NodeConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/NodeConfig.java
@@ -20,7 +20,7 @@
  * @param knownOffset the number of the last event in {@code knownEvents}
  */
 public record NodeConfig(String name, InetSocketAddress listen, long seed, InetSocketAddress bus,
-                         Descriptors descriptors, CallerLimits callers, long knownOffset, JsonArray knownEvents, Settings settings) {
+        Descriptors descriptors, CallerLimits callers, long knownOffset, JsonArray knownEvents, Settings settings) {
 
     private static final int HEX = 16;
     /** A process that has just begun to serve takes up some 40. */
