--- a/lab/src/main/java/pathlane/lab/rig/Ports.java
+++ b/lab/src/main/java/pathlane/lab/rig/Ports.java
@@ -10,7 +10,7 @@
  * Ports for processes that come back at the same one: below those that the system gives out by itself, so that no
  * connection takes one meanwhile. Safe for threads.
  */
-final class Ports {
+public final class Ports {
 
     private static final int FIRST = 11_000;
     private static final int LAST = 30_000;
@@ -20,13 +20,18 @@
 
     private Ports() { }
 
-    /** One that nobody listens at. */
+    /** One that nobody listens at on 127.0.0.1. */
     static int free() {
+        return free(InetAddress.getLoopbackAddress().getHostAddress());
+    }
+
+    /** One that nobody listens at on this address. */
+    public static int free(String host) {
         for (int tries = 0; tries < LAST - FIRST; tries++) {
             int port = FIRST + NEXT.incrementAndGet() % (LAST - FIRST);
             try (ServerSocket socket = new ServerSocket()) {
                 socket.setReuseAddress(true);
-                socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+                socket.bind(new InetSocketAddress(host, port));
                 return port;
             } catch (IOException e) {
                 continue;   // somebody else's
