--- a/core/src/main/java/pathlane/core/CallController.java
+++ b/core/src/main/java/pathlane/core/CallController.java
@@ -51,18 +51,6 @@
     private final Departed gone = new Departed();
     private static final byte[] NOTHING = {};
 
-    /** Calls and servers that belong together, with a decision module of their own. */
-    private static final class Service {
-        final String name;
-        Gateway module;
-        /** Calls of it, open or standing. */
-        int calls;
-
-        Service(String name) {
-            this.name = name;
-        }
-    }
-
     private static final class Server {
         final Service service;
         final ServerPort port;
@@ -130,10 +118,10 @@
 
     private Service service(String name) {
         return services.computeIfAbsent(name, one -> {
-            Service service = new Service(one);
+            ModuleActions actions = new ModuleActions();
             // Each service has its own chances; for the only service it is the seed itself.
-            service.module = new Logic(settings, seed ^ one.hashCode(), new ModuleActions(service));
-            return service;
+            actions.service = new Service(one, new Logic(settings, seed ^ one.hashCode(), actions));
+            return actions.service;
         });
     }
 
@@ -234,7 +222,7 @@
             decide(call);
         } else {
             Duration left = Duration.between(scheduler.now(), call.deadline).minus(ANSWER_MARGIN);
-            directory.await(call.service.name, left, () -> decide(call), comeBackAfter -> refuseUndecided(call, comeBackAfter));
+            directory.await(call.service.name, left, () -> decide(call), after -> refuseUndecided(call, after));
         }
     }
 
@@ -493,8 +481,8 @@
     public void linesTold(long serverId, double free, double size) {
         Server server = servers.get(serverId);
         if (server != null) {
-            turns.tell(at -> server.service.module.reported(at, serverId, new Gateway.Report(free, size, Double.NaN, Double.NaN,
-                    Double.NaN, Double.NaN)));
+            turns.tell(at -> server.service.module.reported(at, serverId, new Gateway.Report(free, size, Double.NaN,
+                    Double.NaN, Double.NaN, Double.NaN)));
         }
     }
 
@@ -555,8 +543,8 @@
     }
 
     /**
-     * The servers of a service: all of them, or the changed lines alone. A server belongs to the service that named it first,
-     * until that has let it go.
+     * The servers of a service: all of them, or the changed lines alone. A server belongs to the service that named it
+     * first, until that has let it go.
      */
     public void listed(String serviceName, boolean whole, List<ServerLine> all) {
         Service service = service(serviceName);
@@ -674,8 +662,8 @@
         }
         double waited = Millis.of(Duration.between(call.sentAt, scheduler.now()));
         int attempt = call.attempts - 1;
-        turns.tell(at -> call.service.module.ended(at, new Gateway.Ended(call.asked.id(), attempt, server.line.id(), how, closed,
-                waited, Millis.of(statedWait), null)));
+        turns.tell(at -> call.service.module.ended(at, new Gateway.Ended(call.asked.id(), attempt, server.line.id(), how,
+                closed, waited, Millis.of(statedWait), null)));
     }
 
     private void giveUpAttempt(Call call) {
@@ -709,11 +697,7 @@
     /** Carries out what the module asks for. */
     private final class ModuleActions implements Gateway.Actions {
 
-        private final Service service;
-
-        ModuleActions(Service service) {
-            this.service = service;
-        }
+        private Service service;
 
         @Override
         public void send(String id, long serverId, double giveUpAfterMs) {
--- a/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
+++ b/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
@@ -10,8 +10,8 @@
 import pathlane.core.Scheduler;
 
 /**
- * Which services are watched, by the calls that come: a service is watched from its first call on, and no longer once none has
- * come for a while. What comes before the first state waits for it, within bounds. On the loop's thread.
+ * Which services are watched, by the calls that come: a service is watched from its first call on, and no longer once none
+ * has come for a while. What comes before the first state waits for it, within bounds. On the loop's thread.
  */
 public final class OnDemandWatches {
 
