--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/CountedBytes.java
@@ -0,0 +1,76 @@
+package pathlane.lab.capacity.measure;
+
+import java.nio.ByteBuffer;
+import java.util.concurrent.atomic.LongAdder;
+import pathlane.core.ConnectionEnd;
+import pathlane.link.Connection;
+import pathlane.link.Protocol;
+
+/** Counts what a stand-in's state machines write, in bytes and messages, over all of their connections. Safe for threads. */
+final class CountedBytes {
+
+    private final LongAdder bytes = new LongAdder();
+    private final LongAdder messages = new LongAdder();
+    private final LongAdder open = new LongAdder();
+
+    long bytes() {
+        return bytes.sum();
+    }
+
+    long messages() {
+        return messages.sum();
+    }
+
+    /** Connections that are up. */
+    long open() {
+        return open.sum();
+    }
+
+    /** The same state machine with its writes counted. */
+    Protocol counting(Protocol protocol) {
+        return new Counting(protocol);
+    }
+
+    private final class Counting implements Protocol {
+
+        private final Protocol protocol;
+
+        Counting(Protocol protocol) {
+            this.protocol = protocol;
+        }
+
+        @Override
+        public void opened(Connection connection) {
+            open.increment();
+            protocol.opened(new Connection() {
+                @Override
+                public void write(byte[] message) {
+                    bytes.add(message.length);
+                    messages.increment();
+                    connection.write(message);
+                }
+
+                @Override
+                public void close(ConnectionEnd why) {
+                    connection.close(why);
+                }
+
+                @Override
+                public String remote() {
+                    return connection.remote();
+                }
+            });
+        }
+
+        @Override
+        public void received(ByteBuffer received) {
+            protocol.received(received);
+        }
+
+        @Override
+        public void closed(ConnectionEnd end) {
+            open.decrement();
+            protocol.closed(end);
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
@@ -0,0 +1,214 @@
+package pathlane.lab.capacity.measure;
+
+import java.lang.management.ManagementFactory;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Supplier;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+import pathlane.config.file.NodeConfig;
+import pathlane.core.ConnectionEnd;
+import pathlane.core.ServerLine;
+import pathlane.decision.Gateway;
+import pathlane.decision.Logic;
+import pathlane.lab.FleetConfig;
+import pathlane.link.Connection;
+import pathlane.link.Protocol;
+import pathlane.platform.PlatformFront;
+import pathlane.standin.VirtualTime;
+
+/**
+ * What the whole platform front (bus feed, core, decision module, server links) costs by the number of listed servers, in
+ * virtual time and without sockets: an event, a whole list, and memory. Nothing is written to the log.
+ */
+final class ListCost {
+
+    private static final int[] EVENT_SIZES = {3, 30, 300, 3_000, 26_000};
+    private static final int[] MEMORY_SIZES = {300, 3_000, 9_000, 26_000};
+    /** The bus feed refuses an event of more than 256 KiB, which is 9,708 servers. */
+    private static final int[] WHOLE_SIZES = {3, 30, 300, 3_000, 9_000};
+    private static final int BUS_PORT = 9092;
+    private static final int SERVER_PORT = 10_000;
+    private static final int CALLER_PORT = 5000;
+    private static final int CONTROLLERS = 100;
+    private static final Duration CATCH_UP = Duration.ofMillis(300);
+    private static final Duration WARM_UP = Duration.ofMillis(200);
+    private static final Duration MEASURED = Duration.ofMillis(400);
+    private static final int LEAST_ROUNDS = 5;
+    /** The serial collector leaves some dead objects where they are, but for each fourth full collection. */
+    private static final int COLLECTIONS = 4;
+    private static final double MICROS = 1e3;
+    private static final double MILLIS = 1e6;
+
+    private ListCost() { }
+
+    static void measure(Recorder recorder, int repetitions) {
+        Logger.getLogger("").setLevel(Level.OFF);
+        for (int repetition = 1; repetition <= repetitions; repetition++) {
+            for (int size : EVENT_SIZES) {
+                events(recorder, size, repetition);
+            }
+            for (int size : WHOLE_SIZES) {
+                wholeLists(recorder, size, repetition);
+            }
+            for (int size : MEMORY_SIZES) {
+                memory(recorder, size, repetition);
+            }
+        }
+        System.out.println("a whole list of 26,000 servers: "
+                + new Front(WHOLE_SIZES[0]).refusal(26_000).map(end -> "refused, " + end).orElse("applied"));
+    }
+
+    private static void events(Recorder recorder, int size, int repetition) {
+        Front front = new Front(size);
+        recorder.record("event-apply-us", size, repetition, timed(front::changeOne, WARM_UP, MEASURED) / MICROS);
+    }
+
+    private static void wholeLists(Recorder recorder, int size, int repetition) {
+        Front front = new Front(size);
+        recorder.record("whole-list-apply-ms", size, repetition, timed(front::replace, WARM_UP, MEASURED) / MILLIS);
+    }
+
+    private static double timed(Runnable task, Duration warmUp, Duration measured) {
+        rounds(task, warmUp);
+        return rounds(task, measured);
+    }
+
+    private static double rounds(Runnable task, Duration most) {
+        int rounds = 0;
+        long begun = System.nanoTime();
+        long ended = begun;
+        while (ended - begun < most.toNanos() || rounds < LEAST_ROUNDS) {
+            task.run();
+            rounds++;
+            ended = System.nanoTime();
+        }
+        return (double) (ended - begun) / rounds;
+    }
+
+    private static void memory(Recorder recorder, int size, int repetition) {
+        recorder.record("memory-list-bytes", size, repetition, retained(() -> serverLines(size)));
+        recorder.record("memory-module-bytes", size, repetition, retained(() -> module(size)));
+        String config = config(size);
+        recorder.record("memory-front-bytes", size, repetition, retained(() -> new Front(config)));
+    }
+
+    private static List<ServerLine> serverLines(int size) {
+        List<ServerLine> lines = new ArrayList<>(size);
+        for (int i = 0; i < size; i++) {
+            lines.add(new ServerLine(i, new InetSocketAddress("127.0.0.1", SERVER_PORT), Gateway.Mode.RUNNING, i, 1,
+                    Instant.ofEpochMilli(i)));
+        }
+        return lines;
+    }
+
+    private static Logic module(int size) {
+        Logic logic = new Logic(DecisionCost.settings(), 7, new IgnoredActions());
+        logic.listed(0, true, DecisionCost.lines(Gateway.Mode.RUNNING, size));
+        return logic;
+    }
+
+    /** Bytes of the heap that what is made holds: the heap in use after a full collection, with and without it. */
+    private static double retained(Supplier<Object> make) {
+        long before = usedHeap();
+        Object made = make.get();
+        long after = usedHeap();
+        java.lang.ref.Reference.reachabilityFence(made);
+        return after - before;
+    }
+
+    private static long usedHeap() {
+        for (int i = 0; i < COLLECTIONS; i++) {
+            System.gc();
+        }
+        return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
+    }
+
+    private static String config(int size) {
+        return FleetConfig.text("n1", CALLER_PORT, size, place -> SERVER_PORT, BUS_PORT, CONTROLLERS, 7);
+    }
+
+    /** A front whose only connection is the one to the bus. */
+    private static final class Front implements Connection {
+
+        private final PlatformFront front;
+        private final int size;
+        private Protocol bus;
+        private long number = 1;
+        private Optional<ConnectionEnd> closed = Optional.empty();
+
+        Front(int size) {
+            this(config(size), size);
+        }
+
+        Front(String config) {
+            this(config, 0);
+        }
+
+        private Front(String config, int size) {
+            this.size = size;
+            VirtualTime time = new VirtualTime();
+            front = new PlatformFront(NodeConfig.parse(config), (address, timeout, protocol) -> {
+                if (address.getPort() == BUS_PORT) {
+                    bus = protocol;
+                }
+            }, time, () -> true, Optional::empty);
+            bus.opened(this);
+            time.pass(CATCH_UP);
+        }
+
+        void changeOne() {
+            number++;
+            bus.received(ByteBuffer.wrap(BusFrames.change(number, (int) (number / 2 % size),
+                    number % 2 == 0 ? BusFrames.DRAINING : BusFrames.READY, SERVER_PORT)));
+        }
+
+        void replace() {
+            bus.received(ByteBuffer.wrap(BusFrames.whole(++number, size, SERVER_PORT)));
+        }
+
+        /** How the feed ended its connection over a whole list of so many servers, where it did. */
+        Optional<ConnectionEnd> refusal(int servers) {
+            bus.received(ByteBuffer.wrap(BusFrames.whole(++number, servers, SERVER_PORT)));
+            return closed;
+        }
+
+        @Override
+        public void write(byte[] bytes) { }
+
+        @Override
+        public void close(ConnectionEnd why) {
+            closed = Optional.of(why);
+        }
+
+        @Override
+        public String remote() {
+            return "bus";
+        }
+    }
+
+    private static final class IgnoredActions implements Gateway.Actions {
+        @Override
+        public void send(String call, long server, double giveUpAfterMs) { }
+
+        @Override
+        public void refuse(String call, double adviseMs) { }
+
+        @Override
+        public void fail(String call) { }
+
+        @Override
+        public void cancel(String call, int attempt) { }
+
+        @Override
+        public void wakeAfter(double delayMs) { }
+
+        @Override
+        public void askForList() { }
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/RegisterCost.java
@@ -0,0 +1,29 @@
+package pathlane.lab.capacity.measure;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+import pathlane.lab.rig.IdleGroup;
+
+/** What the group's register costs a member and a voter by the number of members, with real processes that are idle. */
+final class RegisterCost {
+
+    private static final int[] MEMBERS = {3, 6, 12, 24, 36};
+
+    private RegisterCost() { }
+
+    static void measure(Path home, Recorder recorder, int repetitions) throws IOException, InterruptedException {
+        for (int members : MEMBERS) {
+            List<IdleGroup.Second> seconds = IdleGroup.measure(home, members, repetitions);
+            for (int repetition = 1; repetition <= seconds.size(); repetition++) {
+                IdleGroup.Second second = seconds.get(repetition - 1);
+                recorder.record("register-member-bytes-per-second", members, repetition, second.memberToVoters());
+                recorder.record("group-member-bytes-per-second", members, repetition, second.memberToMembers());
+                recorder.record("register-voter-bytes-per-second", members, repetition, second.voterToMembers());
+                recorder.record("register-voter-log-bytes-per-second", members, repetition, second.voterToVoters());
+                recorder.record("register-member-cpu-ms-per-second", members, repetition, second.memberCpuMillis());
+                recorder.record("register-voter-cpu-ms-per-second", members, repetition, second.voterCpuMillis());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
@@ -0,0 +1,78 @@
+package pathlane.lab.rig;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import pathlane.group.LeaseTerms;
+import pathlane.lab.Folders;
+
+/** What a group of idle controllers and its register cost, with real processes. */
+public final class IdleGroup {
+
+    private static final int SERVERS = 2;
+    private static final int VOTERS = 3;
+    private static final int COPIES = 2;
+    private static final Duration SETTLED = Duration.ofSeconds(3);
+    private static final Duration WINDOW = Duration.ofSeconds(4);
+
+    private IdleGroup() { }
+
+    /**
+     * One member's and one voter's second, as a mean over all of them.
+     *
+     * @param memberToVoters bytes that a member writes to voters
+     * @param memberToMembers bytes that a member writes to other members
+     * @param voterToMembers bytes that a voter writes to all members
+     * @param voterToVoters bytes that a voter writes to the other voters
+     * @param memberCpuMillis processor time of a member
+     * @param voterCpuMillis processor time of a voter
+     */
+    public record Second(double memberToVoters, double memberToMembers, double voterToMembers, double voterToVoters,
+                         double memberCpuMillis, double voterCpuMillis) { }
+
+    /** A group's whole figures so far. */
+    private record Totals(long memberToVoters, long memberToMembers, long voterToMembers, long voterToVoters,
+                          Duration memberCpu, Duration voterCpu) { }
+
+    /** Measures a group of so many members as often as asked, one window after the other. */
+    public static List<Second> measure(Path home, int members, int windows) throws IOException, InterruptedException {
+        Path folder = Files.createTempDirectory("pathlane-lab");
+        List<Second> seconds = new ArrayList<>();
+        Rig.Shape shape = new Rig.Shape(members, SERVERS, VOTERS, COPIES, LeaseTerms.USUAL, Duration.ofMillis(5), 20_000,
+                Duration.ofSeconds(5));
+        try (Rig rig = new Rig(shape, home, folder, members)) {
+            rig.start();
+            Thread.sleep(SETTLED.toMillis());
+            for (int window = 0; window < windows; window++) {
+                Totals before = totals(rig);
+                Thread.sleep(WINDOW.toMillis());
+                seconds.add(second(before, totals(rig), members));
+            }
+        }
+        Folders.delete(folder);
+        return seconds;
+    }
+
+    private static Totals totals(Rig rig) throws InterruptedException {
+        return rig.ask(() -> new Totals(rig.faults().bytes("n", "v"), rig.faults().bytes("n", "n"),
+                rig.faults().bytes("v", "n"), rig.faults().bytes("v", "v"), cpu(rig, "n"), cpu(rig, "v")));
+    }
+
+    private static Duration cpu(Rig rig, String letter) {
+        return rig.processes(letter).stream().map(name -> rig.process(name).cpu()).reduce(Duration.ZERO, Duration::plus);
+    }
+
+    private static Second second(Totals before, Totals after, int members) {
+        double memberSeconds = (double) members * WINDOW.toSeconds();
+        double voterSeconds = (double) VOTERS * WINDOW.toSeconds();
+        return new Second((after.memberToVoters - before.memberToVoters) / memberSeconds,
+                (after.memberToMembers - before.memberToMembers) / memberSeconds,
+                (after.voterToMembers - before.voterToMembers) / voterSeconds,
+                (after.voterToVoters - before.voterToVoters) / voterSeconds,
+                after.memberCpu.minus(before.memberCpu).toMillis() / memberSeconds,
+                after.voterCpu.minus(before.voterCpu).toMillis() / voterSeconds);
+    }
+}
--- a/lab/src/main/java/pathlane/lab/rig/Ports.java
+++ b/lab/src/main/java/pathlane/lab/rig/Ports.java
@@ -10,7 +10,7 @@
  * Ports for processes that come back at the same one: below those that the system gives out by itself, so that no
  * connection takes one meanwhile. Safe for threads.
  */
-final class Ports {
+public final class Ports {
 
     private static final int FIRST = 11_000;
     private static final int LAST = 30_000;
@@ -21,7 +21,7 @@
     private Ports() { }
 
     /** One that nobody listens at. */
-    static int free() {
+    public static int free() {
         for (int tries = 0; tries < LAST - FIRST; tries++) {
             int port = FIRST + NEXT.incrementAndGet() % (LAST - FIRST);
             try (ServerSocket socket = new ServerSocket()) {
