--- a/lab/src/main/java/pathlane/lab/rig/Ports.java
+++ b/lab/src/main/java/pathlane/lab/rig/Ports.java
@@ -21,7 +21,7 @@
     private Ports() { }
 
     /** One that nobody listens at on 127.0.0.1. */
-    static int free() {
+    public static int free() {
         return free(InetAddress.getLoopbackAddress().getHostAddress());
     }
 
--- a/lab/src/main/java/pathlane/lab/scale/ScalePlan.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScalePlan.java
@@ -20,7 +20,7 @@
      * @param services how many services they are in
      * @param largestService bound on the draw of a service's size before the sizes are scaled to the fleet
      * @param sizeShape shape of the Pareto distribution of services' sizes; the smaller, the heavier its tail
-     * @param calls services that a controller calls beside its own
+     * @param calls services that a controller calls, and so watches
      * @param callPopularity a service is called in proportion to its size to this power: 0 evenly, 1 by its servers
      * @param configurationBytes length of a service's configuration
      * @param regions how many regions
--- a/lab/src/main/java/pathlane/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleReport.java
@@ -44,7 +44,7 @@
         ScalePlan.Fleet fleet = result.plan().fleet();
         ScalePlan.Processes processes = result.plan().processes();
         out.printf("%s%n%nCommit %s, %s; %,d controllers and session servers in %,d services (largest %,d), each controller "
-                + "watches its own service and %d others; %d zones in %d regions; %d region relays, %d zone relays, %d hollow "
+                + "watches the %d that it calls; %d zones in %d regions; %d region relays, %d zone relays, %d hollow "
                 + "processes, %d single ones. All had everything in force %.1f s after all started at once.%n%n",
                 result.plan().title(), origin.commit(), origin.machine(), fleet.controllers(), fleet.services(),
                 result.largestService(), fleet.calls(), fleet.zones(), fleet.regions(), result.plan().relays().inRegions(),
