--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -81,14 +81,14 @@
      * The same with the servers of its calls' services from discovery, in place of the event bus. A method of its own, so
      * that without an operator's file none of discovery is loaded.
      */
-    static void startWithDiscovery(Path file, Path discoveryFile, HangUp hangUp) {
+    static void startWithDiscovery(Path file, Path discoveryFile, SighupHandler sighup) {
         NodeConfig config = new ConfigFile(file).read();
         DiscoveryFile discovery = DiscoveryFile.read(discoveryFile, config.name());
         Node node = new Node();
-        node.serve(config.name(), config.listen(), hangUp, () -> {
+        node.serve(config.name(), config.listen(), sighup, () -> {
             DirectoryNode directory = new DirectoryNode(discovery, node.network, node.loop);
             PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.ending,
-                    Optional::empty, Cover.NONE, Optional.of(directory));
+                    Optional::empty, CallReplication.NONE, Optional.of(directory));
             directory.start(platform.controller());
             return new Front(platform.controller(), platform::accept, config.callers(), directory::stop,
                     directory::reload, platform.current(), Optional.empty());
