--- a/lab/src/main/java/pathlane/lab/LabMain.java
+++ b/lab/src/main/java/pathlane/lab/LabMain.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.Callable;
 import org.HdrHistogram.Histogram;
+import pathlane.lab.capacity.CapacityCommand;
 import pathlane.lab.capacity.measure.MeasureCommand;
 import pathlane.lab.rig.ProcessTakeover;
 import pathlane.lab.rig.Scenario;
@@ -17,7 +18,8 @@
 
 /** The lab by hand: {@code java -jar lab/target/pathlane-lab.jar run SCENARIO}, from the project's root. */
 @Command(name = "lab", description = "Plays groups of call controllers with faults between their parts.",
-        subcommands = {LabMain.Run.class, LabMain.Takeover.class, MeasureCommand.class}, mixinStandardHelpOptions = true)
+        subcommands = {LabMain.Run.class, LabMain.Takeover.class, MeasureCommand.class,
+            CapacityCommand.class}, mixinStandardHelpOptions = true)
 public final class LabMain implements Runnable {
 
     /** Runs a command and ends with its status: 0 kept, 1 broken, 2 for a command that can't be used. */
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/capacity/Limits.java
@@ -0,0 +1,82 @@
+package pathlane.lab.capacity;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Function;
+
+/** All costs that have a budget, under either design. */
+final class Limits {
+
+    /** The bus feed takes no event of more than 256 KiB, at 27 bytes a server. */
+    private static final double LONGEST_LIST = 9_708;
+
+    private final Assumptions planned;
+    private final Figures figures;
+
+    Limits(Assumptions planned, Figures figures) {
+        this.planned = planned;
+        this.figures = figures;
+    }
+
+    /** Budgets of a role's messages are none; the others are the asked ones, or those of a machine. */
+    Optional<Double> budget(Role role, String quantity) {
+        boolean controller = role == Role.CONTROLLER;
+        if (role == Role.SESSION_SERVER || role == Role.GATHERER) {
+            return Optional.empty();
+        }
+        return Optional.of(planned.value(switch (quantity) {
+            case "bytes a second" -> controller ? "controller-bytes-per-second" : "machine-bytes-per-second";
+            case "processor" -> controller ? "controller-cpu-ms" : "machine-cpu-ms";
+            default -> controller ? "controller-memory-bytes" : "machine-memory-bytes";
+        }));
+    }
+
+    List<Limit> of(Design design) {
+        List<Limit> limits = new ArrayList<>();
+        for (Role role : roles(design)) {
+            add(limits, design, role, "bytes a second", "B/s", RoleCost::bytes);
+            add(limits, design, role, "processor", "ms/s", RoleCost::cpuMillis);
+            add(limits, design, role, "memory", "B", RoleCost::memoryBytes);
+        }
+        limits.add(new Limit("call controller: resident memory of its process", design, "B",
+                planned.value("controller-memory-bytes"), at -> figures.at("start-memory-resident-bytes",
+                model(at).listed(design)), "the JVM and the program"));
+        limits.add(new Limit("one decision over all that is listed", design, "us", planned.value("added-latency-us"),
+                at -> model(at).decisionMicros(model(at).listed(design)), "decision module, one list"));
+        limits.add(new Limit("call controller: p99 added to a call at 400 calls/s", design, "us",
+                planned.value("added-latency-us"),
+                at -> model(at).figure("added-latency-p99-us-at-400", model(at).listed(design)), "the whole program"));
+        limits.add(new Limit("call controller: processor of all decisions", design, "ms/s", 1000,
+                at -> model(at).decisionsCpu(model(at).listed(design)), "one event loop"));
+        if (design == Design.BROADCAST) {
+            limits.add(new Limit("a whole list in one event", design, "servers", LONGEST_LIST,
+                    at -> Estimate.exact(at.value("servers")), "event bus; longer ones are refused"));
+        } else {
+            limits.add(new Limit("one decision over the largest service", design, "us", planned.value("added-latency-us"),
+                    at -> model(at).decisionMicros(model(at).largestService()), "decision module, one service"));
+        }
+        return limits;
+    }
+
+    static List<Role> roles(Design design) {
+        return Arrays.stream(Role.values()).filter(role -> design == Design.SCOPED
+                || role != Role.ZONE_RELAY && role != Role.REGION_RELAY).toList();
+    }
+
+    private CapacityModel model(Assumptions at) {
+        return new CapacityModel(at, figures);
+    }
+
+    private void add(List<Limit> limits, Design design, Role role, String quantity, String unit,
+                     Function<RoleCost, Estimate> figure) {
+        budget(role, quantity).ifPresent(budget -> {
+            for (Situation situation : Situation.values()) {
+                limits.add(new Limit(role.text() + ": " + quantity + ", " + situation.text(), design, unit, budget,
+                        at -> figure.apply(model(at).cost(design, role, situation)),
+                        model(planned).cost(design, role, situation).mechanism()));
+            }
+        });
+    }
+}
