--- a/lab/src/main/java/pathlane/lab/capacity/Limits.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Limits.java
@@ -7,10 +7,10 @@
 import java.util.function.Function;
 
 /** All costs that have a budget, under either design. */
-final class Limits {
+public final class Limits {
 
     /** The bus feed takes no event of more than 256 KiB, at 27 bytes a server. */
-    private static final double LONGEST_LIST = 9_708;
+    public static final int LONGEST_LIST = 9_708;
 
     private final Assumptions planned;
     private final Figures figures;
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
@@ -32,6 +32,8 @@
     private static final int[] MEMORY_SIZES = {300, 3_000, 9_000, 26_000};
     /** The bus feed refuses an event of more than 256 KiB, which is 9,708 servers. */
     private static final int[] WHOLE_SIZES = {3, 30, 300, 3_000, 9_000};
+    private static final int FULL_SIZE = 26_000;
+    private static final int FEW = 3;
     private static final int BUS_PORT = 9092;
     private static final int SERVER_PORT = 10_000;
     private static final int CALLER_PORT = 5000;
@@ -60,8 +62,13 @@
                 memory(recorder, size, repetition);
             }
         }
-        System.out.println("a whole list of 26,000 servers: "
-                + new Front(WHOLE_SIZES[0]).refusal(26_000).map(end -> "refused, " + end).orElse("applied"));
+        System.out.println("a whole list of " + FULL_SIZE + " servers: "
+                + refusal(FULL_SIZE).map(end -> "refused, " + end).orElse("applied"));
+    }
+
+    /** How the bus feed ends its connection over a whole list of so many servers, where it does. */
+    static Optional<ConnectionEnd> refusal(int servers) {
+        return new Front(FEW).refusal(servers);
     }
 
     private static void events(Recorder recorder, int size, int repetition) {
--- /dev/null
+++ b/lab/src/test/java/pathlane/lab/capacity/measure/ListCostTest.java
@@ -0,0 +1,35 @@
+package pathlane.lab.capacity.measure;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Optional;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import pathlane.core.ConnectionEnd;
+import pathlane.lab.capacity.Limits;
+
+class ListCostTest {
+
+    private final Logger log = Logger.getLogger("");
+    private Level before;
+
+    @BeforeEach
+    void silenceALineForEachServer() {
+        before = log.getLevel();
+        log.setLevel(Level.OFF);
+    }
+
+    @AfterEach
+    void restoreLog() {
+        log.setLevel(before);
+    }
+
+    @Test
+    void theLongestWholeListIsAppliedAndOneServerMoreIsRefused() {
+        assertEquals(Optional.empty(), ListCost.refusal(Limits.LONGEST_LIST));
+        assertEquals(Optional.of(ConnectionEnd.BAD_INPUT), ListCost.refusal(Limits.LONGEST_LIST + 1));
+    }
+}
