--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -13,7 +13,7 @@
 import pathlane.config.file.NodeConfig;
 import pathlane.config.file.ServerLimits;
 import pathlane.core.CallController;
-import pathlane.core.Cover;
+import pathlane.core.CallReplication;
 import pathlane.core.Scheduler;
 import pathlane.core.ServiceDirectory;
 import pathlane.link.Admission;
@@ -44,18 +44,19 @@
      */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
                          Supplier<Optional<NodeConfig>> changed) {
-        this(config, dialer, scheduler, ready, changed, Cover.NONE);
+        this(config, dialer, scheduler, ready, changed, CallReplication.NONE);
     }
 
     /** The same with what keeps calls elsewhere. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
-                         Supplier<Optional<NodeConfig>> changed, Cover cover) {
-        this(config, dialer, scheduler, ready, changed, cover, Optional.empty());
+                         Supplier<Optional<NodeConfig>> changed, CallReplication replication) {
+        this(config, dialer, scheduler, ready, changed, replication, Optional.empty());
     }
 
     /** The same with discovery, where there is any, in place of the event bus and of the events in the configuration. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
-                         Supplier<Optional<NodeConfig>> changed, Cover cover, Optional<ServerDiscovery> discovery) {
+                         Supplier<Optional<NodeConfig>> changed, CallReplication replication,
+                         Optional<ServerDiscovery> discovery) {
         this.discovery = discovery;
         this.ready = ready;
         this.changed = changed;
@@ -67,9 +68,9 @@
         Admission servers = new Admission(config.descriptors().servers());
         ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.USUAL, this::controller,
                 this::isListCurrent, dialer, scheduler, servers,
-                new LinesPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
+                new ReportPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
         controller = new CallController(config.settings(), config.seed(), scheduler,
-                line -> new ServerLink(line, context), cover,
+                line -> new ServerLink(line, context), replication,
                 discovery.<ServiceDirectory>map(one -> one).orElse(ServiceDirectory.ONE));
         if (discovery.isEmpty()) {
             KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
--- a/daemon/src/test/java/pathlane/directory/ServicesTest.java
+++ b/daemon/src/test/java/pathlane/directory/ServicesTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import pathlane.config.Settings;
 import pathlane.core.CallController;
+import pathlane.core.CallReplication;
 import pathlane.core.CallerPort;
 import pathlane.core.Counters;
-import pathlane.core.Cover;
 import pathlane.core.ServerLine;
 import pathlane.core.ServerPort;
 import pathlane.core.ServiceDirectory;
@@ -42,7 +42,7 @@
     private final VirtualTime time = new VirtualTime();
     private final List<String> log = new ArrayList<>();
     private final OnDemandWatches watches = new OnDemandWatches(time, new Watches());
-    private final CallController controller = new CallController(SETTINGS, 7, time, Port::new, Cover.NONE,
+    private final CallController controller = new CallController(SETTINGS, 7, time, Port::new, CallReplication.NONE,
             new Directory());
     private final ServerListFeed feed = new ServerListFeed(controller, watches);
     private final CallerPort caller = new Caller();
