--- a/bench/src/main/java/pathlane/grpc/CallCost.java
+++ b/bench/src/main/java/pathlane/grpc/CallCost.java
@@ -22,7 +22,8 @@
 
 /**
  * What a call costs its client: time and CPU of unary calls over {@code pick_first}, {@code round_robin} and the
- * plug-in, in turns within one run. Every call has a deadline. The two servers are a process of their own, so that CPU is the client's.
+ * plug-in, in turns within one run. Every call has a deadline. The two servers are a process of their own, so that CPU is
+ * the client's.
  */
 public final class CallCost {
 
@@ -83,7 +84,7 @@
         }
         io.grpc.NameResolverRegistry.getDefaultRegistry().register(new FixedResolver("fixed", groups));
         String target = "fixed:///servers";
-        Pathlane pathlane = Pathlane.builder().configuration(Field.SETTINGS).build();
+        Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build();
         List<String> names = List.of("pick_first", "round_robin", "pathlane");
         List<ManagedChannel> channels = List.of(
                 NettyChannelBuilder.forTarget(target).usePlaintext().defaultLoadBalancingPolicy("pick_first").build(),
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -13,8 +13,9 @@
 import pathlane.config.file.NodeConfig;
 import pathlane.config.file.ServerLimits;
 import pathlane.core.CallController;
-import pathlane.core.Cover;
+import pathlane.core.CallReplication;
 import pathlane.core.Scheduler;
+import pathlane.core.ServiceDirectory;
 import pathlane.link.Admission;
 import pathlane.link.Dialer;
 import pathlane.link.LimitedLog;
@@ -28,6 +29,7 @@
     private final CallController controller;
     private final BooleanSupplier ready;
     private final BusFeed feed;
+    private final Optional<ServerDiscovery> discovery;
     private final CallerLimits limits;
     private final Scheduler scheduler;
     private final LimitedLog callerLog;
@@ -42,12 +44,20 @@
      */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
                          Supplier<Optional<NodeConfig>> changed) {
-        this(config, dialer, scheduler, ready, changed, Cover.NONE);
+        this(config, dialer, scheduler, ready, changed, CallReplication.NONE);
     }
 
     /** The same with what keeps calls elsewhere. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
-                         Supplier<Optional<NodeConfig>> changed, Cover cover) {
+                         Supplier<Optional<NodeConfig>> changed, CallReplication replication) {
+        this(config, dialer, scheduler, ready, changed, replication, Optional.empty());
+    }
+
+    /** The same with discovery, where there is any, in place of the event bus and of the events in the configuration. */
+    public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
+                         Supplier<Optional<NodeConfig>> changed, CallReplication replication,
+                         Optional<ServerDiscovery> discovery) {
+        this.discovery = discovery;
         this.ready = ready;
         this.changed = changed;
         this.limits = config.callers();
@@ -56,15 +66,18 @@
         SplittableRandom random = new SplittableRandom(config.seed());
         Instant startedAt = scheduler.now();
         Admission servers = new Admission(config.descriptors().servers());
-        ServerLink.Common common = new ServerLink.Common(config.settings(), ServerLimits.USUAL, this::controller,
+        ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.USUAL, this::controller,
                 this::isListCurrent, dialer, scheduler, servers,
-                new LinesPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
+                new ReportPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
         controller = new CallController(config.settings(), config.seed(), scheduler,
-                line -> new ServerLink(line, common), cover);
-        KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
+                line -> new ServerLink(line, context), replication,
+                discovery.<ServiceDirectory>map(one -> one).orElse(ServiceDirectory.ONE));
+        if (discovery.isEmpty()) {
+            KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
+        }
         feed = new BusFeed(config.knownOffset(), dialer, scheduler, random.split(),
                 event -> controller.listed(event.whole(), event.lines()), this::busUnreachable);
-        if (config.bus() != null) {
+        if (config.bus() != null && discovery.isEmpty()) {
             feed.follow(config.bus());
         } else {
             feed.current().complete(null);
@@ -102,7 +115,7 @@
 
     /** Whether a server that drains would be known by now; where there is no bus, the list never changes. */
     private boolean isListCurrent() {
-        return feed.isCurrent();
+        return discovery.isPresent() ? discovery.get().isCurrent() : feed.isCurrent();
     }
 
     /** Done once the list is what the event bus had at the start, or where there is no bus. */
--- a/discovery/src/main/java/pathlane/discovery/ProgressTable.java
+++ b/discovery/src/main/java/pathlane/discovery/ProgressTable.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,19 +17,41 @@
     /** By subscriber: itself as a report of one controller, or a relay's report. */
     private final Map<SubscriberSession, ProgressReport> reports = new LinkedHashMap<>();
 
+    /** The latest connection of each subscriber. */
+    private final Map<String, SubscriberSession> latest = new HashMap<>();
+
+    /**
+     * A watch is accepted. A former connection of the same subscriber, whose end has not been seen yet, counts no more:
+     * nobody is counted twice.
+     */
+    void begin(SubscriberSession subscriber, String name) {
+        SubscriberSession former = latest.put(name, subscriber);
+        if (former != null) {
+            reports.remove(former);
+        }
+    }
+
     /** A subscriber that is a controller has everything up to this revision in force. */
     void putController(SubscriberSession subscriber, String name, Revision inForce) {
-        reports.put(subscriber, new ProgressReport(List.of(new ProgressReport.Level(inForce, 1)),
+        put(subscriber, name, new ProgressReport(List.of(new ProgressReport.Level(inForce, 1)),
                 List.of(new ProgressReport.Slow(name, inForce))));
     }
 
     /** A subscriber that is a relay reports the controllers below it. */
-    void putRelay(SubscriberSession subscriber, ProgressReport report) {
-        reports.put(subscriber, report);
+    void putRelay(SubscriberSession subscriber, String name, ProgressReport report) {
+        put(subscriber, name, report);
+    }
+
+    private void put(SubscriberSession subscriber, String name, ProgressReport report) {
+        if (latest.getOrDefault(name, subscriber) == subscriber) {
+            reports.put(subscriber, report);
+        }
     }
 
-    void remove(SubscriberSession subscriber) {
+    /** A connection has ended. */
+    void remove(SubscriberSession subscriber, String name) {
         reports.remove(subscriber);
+        latest.remove(name, subscriber);
     }
 
     /** All of them together; who has the newest revision in force is not slow. */
@@ -46,13 +69,26 @@
                 behind.stream().sorted(SLOWEST_FIRST).limit(ProgressReport.MOST_SLOWEST).toList());
     }
 
-    /** Counts the smallest levels at the next lower one. The lowest stays exact: it says what is in force everywhere. */
+    /** Counts neighbours that are few together at the lower one. The lowest stays exact: it says what all have in force. */
     private static void reduce(TreeMap<Revision, Long> levels) {
         while (levels.size() > ProgressReport.MOST_LEVELS) {
-            Revision smallest = levels.tailMap(levels.firstKey(), false).entrySet().stream()
-                    .min(Map.Entry.comparingByValue()).orElseThrow().getKey();
-            long controllers = levels.remove(smallest);
-            levels.merge(levels.lowerKey(smallest), controllers, Long::sum);
+            Revision upper = upperOfSmallestNeighbours(levels);
+            long controllers = levels.remove(upper);
+            levels.merge(levels.lowerKey(upper), controllers, Long::sum);
+        }
+    }
+
+    private static Revision upperOfSmallestNeighbours(TreeMap<Revision, Long> levels) {
+        Revision upper = null;
+        long fewest = Long.MAX_VALUE;
+        Long below = null;
+        for (Map.Entry<Revision, Long> level : levels.tailMap(levels.firstKey(), false).entrySet()) {
+            if (below != null && below + level.getValue() < fewest) {
+                fewest = below + level.getValue();
+                upper = level.getKey();
+            }
+            below = level.getValue();
         }
+        return upper;
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import java.util.Set;
 import pathlane.core.ConnectionEnd;
 import pathlane.discovery.WatchMessage.Acknowledge;
 import pathlane.discovery.WatchMessage.Interest;
@@ -100,6 +101,8 @@
         isSubscriptionWhole = message.last();
         if (everything && isSubscriptionWhole) {
             publisher.services().forEach(this::watchFound);
+            // Guards a new relay against calling a service absent at a revision at which it was there.
+            publisher.removedSinceRevision().forEach(this::watchFound);
         }
         publisher.schedule(this);
     }
@@ -116,7 +119,7 @@
         metrics.watches++;
         heartbeatAt = publisher.now();
         publisher.accepted(this);
-        publisher.recordProgress(this, port.name(), Revision.NONE);
+        publisher.recordProgress(this, Revision.NONE);
         send(WatchCodec.bytes(new WatchMessage.Accepted(publisher.status())));
         return phase == Phase.WATCHING;   // a connection that can't take more may end within the call
     }
@@ -155,7 +158,7 @@
     private void acknowledged(Acknowledge message) {
         window.acknowledged(message.batch(), publisher.now());
         if (!isRelay) {
-            publisher.recordProgress(this, port.name(), message.inForce());
+            publisher.recordProgress(this, message.inForce());
         }
         if (!queue.isEmpty()) {
             publisher.schedule(this);
@@ -319,7 +322,12 @@
         port.close(why);
     }
 
-    Iterable<String> services() {
+    /** The subscriber's name. */
+    String name() {
+        return port.name();
+    }
+
+    Set<String> services() {
         return queue.services();
     }
 }
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -16,7 +16,6 @@
 import pathlane.group.Keys;
 import pathlane.group.LeaseTerms;
 import pathlane.group.SealedLink;
-import pathlane.group.Voter;
 import pathlane.handover.Handover;
 import pathlane.handover.Terms;
 import pathlane.link.Dialer;
@@ -214,11 +213,11 @@
         return holds.getAsBoolean();
     }
 
-    /** Tokens that are sure to their holders now, by name: never two under one token. */
+    /** Tokens that are valid for their holders now, by name: never two under one token. */
     public Map<Long, String> sure() {
         Map<Long, String> sure = new HashMap<>();
         for (Controller one : up()) {
-            if (!one.time.isStopped() && one.handover.isSure()) {
+            if (!one.time.isStopped() && one.handover.isLeaseValid()) {
                 sure.put(one.handover.token(), one.name);
             }
         }
