--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -55,7 +55,8 @@
 
     /** The same with discovery, where there is any, in place of the event bus and of the events in the configuration. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
-                         Supplier<Optional<NodeConfig>> changed, CallReplication replication, Optional<ServerDiscovery> discovery) {
+                         Supplier<Optional<NodeConfig>> changed, CallReplication replication,
+                         Optional<ServerDiscovery> discovery) {
         this.discovery = discovery;
         this.ready = ready;
         this.changed = changed;
