--- a/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
+++ b/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
@@ -15,8 +15,6 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import pathlane.config.file.NodeConfig;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
 import pathlane.link.Protocol;
 import pathlane.platform.PlatformFront;
 import pathlane.standin.VirtualTime;
@@ -87,7 +85,7 @@
             if (address.getPort() == BUS_PORT) {
                 bus = protocol;
                 time.after(Duration.ofMillis(1), () -> {
-                    protocol.opened(new Silent());
+                    protocol.opened(new SilentConnection());
                     beat();
                 });
             } else {
@@ -175,21 +173,8 @@
                 + "\"fall-ms\":1500},\"specifics\":{\"clear-wait-ms\":200,\"t1-ms\":500}}}";
     }
 
-    private static class Silent implements Connection {
-        @Override
-        public void write(byte[] bytes) { }
-
-        @Override
-        public void close(ConnectionEnd why) { }
-
-        @Override
-        public String remote() {
-            return "bus";
-        }
-    }
-
     /** What the caller hears; it writes down what is late, twice or never asked for. */
-    private final class Hears extends Silent {
+    private final class Hears extends SilentConnection {
         private final FrameAssembler assembler = Message.assembler();
 
         @Override
--- a/daemon/src/test/java/pathlane/exchange/StartTest.java
+++ b/daemon/src/test/java/pathlane/exchange/StartTest.java
@@ -22,18 +22,7 @@
 /** A start is over once the bus has told what happened since the list in the configuration. */
 class StartTest {
 
-    private static final Connection UP = new Connection() {
-        @Override
-        public void write(byte[] bytes) { }
-
-        @Override
-        public void close(ConnectionEnd why) { }
-
-        @Override
-        public String remote() {
-            return "bus";
-        }
-    };
+    private static final Connection UP = new SilentConnection();
 
     private final VirtualTime time = new VirtualTime();
     private final List<Protocol> dialled = new ArrayList<>();
