--- a/handover/src/main/java/pathlane/handover/Links.java
+++ b/handover/src/main/java/pathlane/handover/Links.java
@@ -34,7 +34,7 @@
  * which lease to which it goes; one to a lease that the receiver does not have is dropped, so that nothing meant for a
  * process is taken by the one that was started in its place. On the loop's thread.
  */
-final class Links {
+final class Links implements ReplicationLog.Transport {
 
     private static final Logger LOG = System.getLogger("group");
     private static final Duration DIAL_TIMEOUT = Duration.ofMillis(500);
@@ -60,29 +60,35 @@
     private final Scheduler scheduler;
     private final Registrar registrar;
     private final LongSupplier self;
-    private final Handler handler;
+    private Handler handler;
     private final Map<Long, Outgoing> outgoing = new HashMap<>();
     private Set<Long> wanted = Set.of();
     private long streams;
     private boolean stopped;
 
     /** {@code self} is the token of the present lease, 0 while there is none. */
-    Links(Dialer dialer, SealedLink.Common common, Registrar registrar, LongSupplier self, Handler handler) {
+    Links(Dialer dialer, SealedLink.Common common, Registrar registrar, LongSupplier self) {
         this.dialer = dialer;
         this.common = common;
         this.scheduler = common.scheduler();
         this.registrar = registrar;
         this.self = self;
-        this.handler = handler;
     }
 
-    boolean isUp(long member) {
+    /** What receives the messages from now on; called before any link is opened. */
+    void deliverTo(Handler receiver) {
+        handler = receiver;
+    }
+
+    @Override
+    public boolean isUp(long member) {
         Outgoing link = outgoing.get(member);
         return link != null && link.link.isUp();
     }
 
     /** Links to these are held up from now on; those to others end once nothing was sent on them for a while. */
-    void wanted(Set<Long> members) {
+    @Override
+    public void wanted(Set<Long> members) {
         wanted = new HashSet<>(members);
         wanted.forEach(this::open);
         outgoing.forEach((member, link) -> {
@@ -108,7 +114,8 @@
     }
 
     /** Sends now, or once the link is up, if that is soon. */
-    void send(long member, PeerMessage message) {
+    @Override
+    public void send(long member, PeerMessage message) {
         open(member).ifPresent(link -> link.send(envelope(member, message)));
     }
 
--- a/handover/src/main/java/pathlane/handover/OrphanedEvents.java
+++ b/handover/src/main/java/pathlane/handover/OrphanedEvents.java
@@ -6,6 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
 import pathlane.core.CallEvent;
 import pathlane.core.Scheduler;
 import pathlane.group.Member;
@@ -22,16 +24,6 @@
 
     private static final Duration ANSWER_MOST = Duration.ofMillis(400);
 
-    /** The other members. */
-    interface Peers {
-        long self();
-
-        void send(long member, PeerMessage message);
-
-        /** Nobody knows the call. */
-        void nobody(CallEvent event);
-    }
-
     /** An event that was sent to others and awaits their acknowledgement. */
     private static final class Open {
         final CallEvent event;
@@ -48,15 +40,26 @@
     private final Registrar registrar;
     private final Scheduler scheduler;
     private final ReplicaStore replicaStore;
-    private final Peers peers;
+    private final ReplicationLog.Transport transport;
+    private final LongSupplier self;
+    private final Consumer<CallEvent> unowned;
     private final Map<Long, Open> open = new HashMap<>();
     private long asks;
 
-    OrphanedEvents(Registrar registrar, Scheduler scheduler, ReplicaStore replicaStore, Peers peers) {
+    /**
+     * Sends nothing yet.
+     *
+     * @param self the token of the present lease
+     * @param unowned receives events of calls that no member knows
+     */
+    OrphanedEvents(Registrar registrar, Scheduler scheduler, ReplicaStore replicaStore, ReplicationLog.Transport transport,
+                   LongSupplier self, Consumer<CallEvent> unowned) {
         this.registrar = registrar;
         this.scheduler = scheduler;
         this.replicaStore = replicaStore;
-        this.peers = peers;
+        this.transport = transport;
+        this.self = self;
+        this.unowned = unowned;
     }
 
     /** An event of a call that another member owns, or nobody, has arrived here. */
@@ -66,10 +69,10 @@
         }
         Register register = registrar.seen();
         // Whoever it belongs to, its keepers are among the first of its slot.
-        List<Member> asked = Placement.keepers(Placement.slot(event.call()), register.members(), peers.self(),
+        List<Member> asked = Placement.keepers(Placement.slot(event.call()), register.members(), self.getAsLong(),
                 register.copies() + 1);
         if (asked.isEmpty()) {
-            scheduler.after(Duration.ZERO, () -> peers.nobody(event));
+            scheduler.after(Duration.ZERO, () -> unowned.accept(event));
         } else {
             ask(event, false, asked);
         }
@@ -87,7 +90,7 @@
     private void ask(CallEvent event, boolean kept, List<Member> members) {
         long ask = ++asks;
         open.put(ask, new Open(event, kept, members.size()));
-        members.forEach(member -> peers.send(member.token(), new PeerMessage.Told(ask, event)));
+        members.forEach(member -> transport.send(member.token(), new PeerMessage.Told(ask, event)));
         scheduler.after(ANSWER_MOST, () -> close(ask));
     }
 
@@ -110,7 +113,7 @@
     private void close(long ask) {
         Open one = open.remove(ask);
         if (one != null && !one.kept) {
-            peers.nobody(one.event);
+            unowned.accept(one.event);
         }
     }
 
@@ -126,8 +129,8 @@
             int slot = Placement.slot(event.call());
             List<Member> others = new ArrayList<>(register.estate(owner.get()).map(estate -> register.heirs(estate, slot))
                     .orElseGet(() -> register.keepers(owner.get(), slot, register.replicatedView(owner.get()))));
-            others.removeIf(member -> member.token() == peers.self() || !register.isLive(member.token()));
-            others.forEach(member -> peers.send(member.token(), new PeerMessage.Told(0, event)));
+            others.removeIf(member -> member.token() == self.getAsLong() || !register.isLive(member.token()));
+            others.forEach(member -> transport.send(member.token(), new PeerMessage.Told(0, event)));
         }
         return true;
     }
@@ -139,7 +142,7 @@
 
     private void deliver(String call, long owner) {
         Optional<Member> acting = registrar.seen().actingFor(owner, Placement.slot(call));
-        if (acting.isPresent() && acting.get().token() != peers.self()) {
+        if (acting.isPresent() && acting.get().token() != self.getAsLong()) {
             replicaStore.happened(call).forEach(event -> ask(event, true, List.of(acting.get())));
         }
     }
