--- a/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
+++ b/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
@@ -52,11 +52,7 @@
         if (held.revision().isAfter(entry.revision()) || held.equals(entry.held())) {
             return Optional.empty();
         }
-        // At the same revision, but with another digest, only the whole content helps.
-        if (held.isNothing() || held.revision().equals(entry.revision())) {
-            return Optional.of(snapshot(entry, held));
-        }
-        return Optional.of(difference(entry, held));
+        return Optional.of(held.isNothing() ? snapshot(entry, held) : difference(entry, held));
     }
 
     /** Whether the catalogue lacks a service without it being known yet that it is absent at the revision held. */
--- a/discovery/src/test/java/pathlane/discovery/PublisherTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -130,6 +130,8 @@
         }
         assertEquals(sent, slow.changes().size());
         assertEquals(49, harness.publisher.counters().coalesced());
+        harness.time.pass(Duration.ofMillis(1_500));
+        assertEquals(List.of(), slow.all(Bookmark.class), "not all has been sent");
         slow.acknowledging();
         harness.time.pass(Duration.ofMillis(500));
         assertEquals(11, slow.changes().size());
@@ -159,6 +161,10 @@
         subscriber.stuck = false;
         harness.time.pass(Duration.ofMillis(200));
         assertEquals(1, subscriber.changes().size());
+        subscriber.stuck = true;
+        subscriber.clear();
+        harness.time.pass(Duration.ofSeconds(2));
+        assertEquals(List.of(), subscriber.messages, "no bookmarks either");
     }
 
     @Test
@@ -207,7 +213,10 @@
         Subscriber subscriber = harness.subscriber("c").watch("a", "b").acknowledging();
         Subscriber relay = harness.subscriber("r").subscribe(true, new Interest("b", new Revision(1, 0), 1)).acknowledging();
         harness.catalogue.replace("a", endpoints(1, 3), "");
+        Subscriber served = harness.subscriber("c2").watch("a").acknowledging();
         harness.time.pass(Duration.ofMillis(2_050));
+        assertEquals(1, served.changes().size());
+        assertEquals(List.of(), served.all(Bookmark.class));
         assertEquals(1, subscriber.changes().size());
         assertEquals(2, subscriber.all(Status.class).size());
         assertEquals(List.of(), subscriber.all(Bookmark.class));
@@ -309,13 +318,20 @@
 
     @Test
     void anEndedWatchHearsNothingMoreAndOneAskedForAnewHearsAll() {
-        PublisherHarness harness = PublisherHarness.complete("a", "b");
-        Subscriber subscriber = harness.subscriber("c").watch("a", "b").acknowledging();
+        PublisherHarness harness = PublisherHarness.complete("a", "b", "c");
+        Subscriber subscriber = harness.subscriber("c").watch("a", "b", "c").acknowledging();
         subscriber.clear();
+        harness.catalogue.update("c", List.of(endpoint(4)), List.of(), Optional.empty());
         subscriber.say(new Subscribe(false, true, List.of(nothingOf("b")), List.of("a")));
         harness.catalogue.update("a", List.of(), List.of(1L), Optional.empty());
         harness.endTurn();
-        assertEquals(List.of(new Snapshot(harness.catalogue.state("b").orElseThrow())), subscriber.changes());
+        assertEquals(List.of("b", "c"), subscriber.changes().stream().map(ServiceChange::service).toList(),
+                "what is asked for anew comes first: it may name servers that are gone");
+        assertEquals(new Snapshot(harness.catalogue.state("b").orElseThrow()), subscriber.changes().get(0));
+        subscriber.disconnect();
+        harness.catalogue.update("c", List.of(endpoint(5)), List.of(), Optional.empty());
+        harness.catalogue.update("c", List.of(endpoint(6)), List.of(), Optional.empty());
+        assertEquals(0, harness.publisher.counters().coalesced(), "nothing is queued for a session that has ended");
     }
 
     @Test
