--- a/core/src/main/java/pathlane/core/CallController.java
+++ b/core/src/main/java/pathlane/core/CallController.java
@@ -46,7 +46,7 @@
     private final Map<String, Call> calls = new HashMap<>();
     private final Map<Long, Server> servers = new TreeMap<>();
     private final Callers callers;
-    private final Cover cover;
+    private final CallReplication replication;
     private final Turns turns;
     private final Departed gone = new Departed();
     private static final byte[] NOTHING = {};
@@ -92,18 +92,19 @@
 
     /** One that is in no group. */
     public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports) {
-        this(settings, seed, scheduler, ports, Cover.NONE);
+        this(settings, seed, scheduler, ports, CallReplication.NONE);
     }
 
-    /** {@code cover} keeps what another controller would need. */
-    public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports, Cover cover) {
-        this(settings, seed, scheduler, ports, cover, ServiceDirectory.ONE);
+    /** {@code replication} keeps what another controller would need. */
+    public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports,
+            CallReplication replication) {
+        this(settings, seed, scheduler, ports, replication, ServiceDirectory.ONE);
     }
 
     /** The same, with calls and servers of several services. */
-    public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports, Cover cover,
-                          ServiceDirectory directory) {
-        this.cover = cover;
+    public CallController(Settings settings, long seed, Scheduler scheduler, ServerPorts ports,
+            CallReplication replication, ServiceDirectory directory) {
+        this.replication = replication;
         this.seed = seed;
         this.directory = directory;
         this.callers = new Callers(scheduler);
@@ -147,7 +148,7 @@
 
     /** A caller can be reached; what found none to go to goes there. */
     public void callerOpened(CallerPort caller) {
-        callers.opened(caller, cover::over);
+        callers.opened(caller, replication::over);
     }
 
     /** A caller's connection has ended: its open set-ups are given up; calls that stand are tied to none. */
@@ -205,7 +206,7 @@
         callers.held(caller).open++;
         // Guards rule one whatever the module does: at the deadline an open call is answered.
         call.guard = scheduler.after(left, () -> answerOverdue(call));
-        Duration heldBack = cover.heldBack(setUp.id());
+        Duration heldBack = replication.heldBack(setUp.id());
         if (heldBack.isZero()) {
             arrived(call);
         } else {
@@ -280,7 +281,7 @@
     public boolean callerReleased(String id, byte[] content, CallerPort from) {
         Call call = calls.get(id);
         if (call == null) {
-            return !callers.isOver(id) && cover.seesTo(new CallEvent.Released(id, content));
+            return !callers.isOver(id) && replication.seesTo(new CallEvent.Released(id, content));
         }
         if (call.standing ? !from.reaches(call.caller) : call.caller != from) {
             return false;
@@ -295,8 +296,8 @@
 
     private void releaseStanding(Call call, byte[] content) {
         String id = call.asked.id();
-        if (!cover.mayAct(id)) {
-            cover.park(new CallEvent.Released(id, content));
+        if (!replication.mayAct(id)) {
+            replication.park(new CallEvent.Released(id, content));
             return;
         }
         counters.count(Name.RELEASED_BY_CALLER);
@@ -307,12 +308,12 @@
 
     private void releaseAt(Server server, String id, byte[] content) {
         server.port.release(id, Ending.COMPLETED, content);
-        server.port.waiting(id).ifPresent(ending -> cover.owesServer(id, server.line.id(), ending));
+        server.port.waiting(id).ifPresent(ending -> replication.owesServer(id, server.line.id(), ending));
     }
 
     /** A release that waited for a connection to its server has left. */
     public void releaseLeft(String id) {
-        cover.over(id);
+        replication.over(id);
     }
 
     /** Whether a call stands. */
@@ -323,12 +324,12 @@
 
     /** A caller has something for the server of a call that stands; false where it can't be passed on now. */
     public boolean pass(String id, byte[] content) {
-        return stands(id) && cover.mayAct(id) && calls.get(id).server.port.pass(id, content);
+        return stands(id) && replication.mayAct(id) && calls.get(id).server.port.pass(id, content);
     }
 
     /** A server answered what was passed on. */
     public void passedBack(long serverId, String id, byte[] content) {
-        if (stands(id) && calls.get(id).server == servers.get(serverId) && cover.mayAct(id)) {
+        if (stands(id) && calls.get(id).server == servers.get(serverId) && replication.mayAct(id)) {
             calls.get(id).caller.passBack(id, content);
         }
     }
@@ -379,8 +380,8 @@
         held.open--;
         held.standing++;
         held.served = true;
-        cover.stands(id, serverId, call.caller);
-        cover.answer(id, call.asked.callClass(), () -> call.caller.answer(id, description));
+        replication.stands(id, serverId, call.caller);
+        replication.answer(id, call.asked.callClass(), () -> call.caller.answer(id, description));
         double waited = Millis.of(Duration.between(call.sentAt, scheduler.now()));
         turns.tell(at -> call.service.module.stands(at, id, call.attempts - 1, serverId, waited));
     }
@@ -391,7 +392,7 @@
         Server server = servers.get(serverId);
         if (call == null) {
             CallEvent.Ended event = new CallEvent.Ended(id, how);
-            if (!callers.isOver(id) && !cover.seesTo(event)) {
+            if (!callers.isOver(id) && !replication.seesTo(event)) {
                 unowned(event);
             }
         } else if (server != null && call.server == server && call.standing) {
@@ -441,7 +442,7 @@
         calls.put(id, call);
         counters.count(Name.ADOPTED);
         CallTrace.step(id, "adopted at {0}", serverId);
-        cover.stands(id, serverId, caller);
+        replication.stands(id, serverId, caller);
         server.port.adopted(id, ending);
         return true;
     }
@@ -487,15 +488,15 @@
     }
 
     /**
-     * All calls that stood at a server are cut: its process is gone or, where that is not {@code sure}, it can't be reached.
+     * All calls that stood at a server are cut: its process is gone or, where that is not certain, can't be reached.
      * Guards calls against standing there for good: they are released should it be reached after all.
      */
-    public void serverDied(long serverId, boolean sure) {
+    public void serverDied(long serverId, boolean isCertain) {
         Server server = servers.get(serverId);
         for (Call call : server == null ? List.<Call>of() : standingAt(server)) {
-            if (sure || cover.mayAct(call.asked.id())) {
+            if (isCertain || replication.mayAct(call.asked.id())) {
                 finishStanding(call, Ending.RESET);
-                if (!sure) {
+                if (!isCertain) {
                     releaseAt(server, call.asked.id(), NOTHING);
                 }
             }
@@ -519,8 +520,8 @@
 
     private void finishStanding(Call call, Ending how) {
         String id = call.asked.id();
-        if (!cover.mayAct(id)) {
-            cover.park(new CallEvent.Ended(id, how));
+        if (!replication.mayAct(id)) {
+            replication.park(new CallEvent.Ended(id, how));
             return;
         }
         counters.count(how == Ending.COMPLETED ? Name.RELEASED_BY_SERVER : Name.CUT);
@@ -531,7 +532,7 @@
 
     private void relay(CallerPort own, String id, Ending how) {
         if (!callers.relay(own, id, how)) {
-            cover.owesCaller(id, own, how);
+            replication.owesCaller(id, own, how);
         }
     }
 
@@ -658,7 +659,8 @@
         }
         if (!closed && !call.standing) {
             Duration wait = Duration.between(scheduler.now(), call.notBefore);
-            cover.attemptOver(call.asked.id(), server.line.id(), wait.isNegative() ? Duration.ZERO : wait, call.caller);
+            replication.attemptOver(call.asked.id(), server.line.id(), wait.isNegative() ? Duration.ZERO : wait,
+                    call.caller);
         }
         double waited = Millis.of(Duration.between(call.sentAt, scheduler.now()));
         int attempt = call.attempts - 1;
@@ -675,7 +677,7 @@
     private void remove(Call call) {
         takeOff(call);
         callers.over(call.asked.id());
-        cover.over(call.asked.id());
+        replication.over(call.asked.id());
     }
 
     private void takeOff(Call call) {
@@ -725,7 +727,7 @@
             patience = patience.compareTo(left) < 0 ? patience : left;
             call.server = server;
             call.sentAt = now;
-            cover.sent(id, serverId, patience, call.caller, () -> server.port.ending(call.asked));
+            replication.sent(id, serverId, patience, call.caller, () -> server.port.ending(call.asked));
             call.patience = scheduler.after(patience, () -> timedOut(call, attempt));
             server.port.setUp(call.asked, patience, call.mayHaveRun);
         }
--- a/daemon/src/main/java/pathlane/Main.java
+++ b/daemon/src/main/java/pathlane/Main.java
@@ -36,10 +36,10 @@
             boolean hasNoSuchOption = operators.isPresent() && what.equals("simhost")
                     || isDiscovery && !what.equals("serve");
             switch (hasNoSuchOption ? "" : what) {
-                case "serve" -> serve(operators, isDiscovery, HangUp.minded());
+                case "serve" -> serve(operators, isDiscovery, SighupHandler.install());
                 case "diameter FILE" -> {
                     logPlainly();
-                    Node.startDiameter(Path.of(args[1]), operators, HangUp.minded());
+                    Node.startDiameter(Path.of(args[1]), operators, SighupHandler.install());
                 }
                 case "simhost" -> simulate();
                 default -> {
@@ -67,16 +67,16 @@
         }
     }
 
-    private static void serve(Optional<Path> operators, boolean isDiscovery, HangUp hangUp) {
+    private static void serve(Optional<Path> operators, boolean isDiscovery, SighupHandler sighup) {
         logPlainly();
         String file = System.getenv("RELAY_CONFIG");
         if (file == null) {
             throw new IllegalArgumentException("RELAY_CONFIG does not name a configuration");
         }
         if (isDiscovery) {
-            Node.startWithDiscovery(Path.of(file), operators.orElseThrow(), hangUp);
+            Node.startWithDiscovery(Path.of(file), operators.orElseThrow(), sighup);
         } else {
-            Node.startPlatform(Path.of(file), operators, hangUp);
+            Node.startPlatform(Path.of(file), operators, sighup);
         }
     }
 
