--- a/lab/src/main/java/pathlane/lab/scale/DayPlayer.java
+++ b/lab/src/main/java/pathlane/lab/scale/DayPlayer.java
@@ -166,6 +166,7 @@
     // ---- measuring
 
     private DayResult measure(Day day, Course course) throws InterruptedException {
+        fleet.awaitInForce(source.revision());   // whoever lost its connection since the last day is back
         fleet.command(new ControlMessage.BeginDay());
         OnLoop.run(source.loop(), () -> source.rootView().beginDay());
         long madeBefore = changes.made();
@@ -183,7 +184,7 @@
         LOG.log(Level.INFO, "{0}: all in force after {1} s", day.title(), String.format("%.1f", meter.seconds()));
         boolean withMemory = day == Day.ORDINARY;
         if (withMemory) {
-            fleet.command(new ControlMessage.CollectGarbage());
+            fleet.collectGarbage();
         }
         return new DayResult(day, meter.seconds(), changes.made() - madeBefore,
                 merged(all, day == Day.REGION_CUT ? OptionalInt.of(CUT_REGION) : OptionalInt.empty(), OptionalInt.empty()),
--- a/lab/src/main/java/pathlane/lab/scale/ProcessFleet.java
+++ b/lab/src/main/java/pathlane/lab/scale/ProcessFleet.java
@@ -19,6 +19,7 @@
             "-XX:MaxNewSize=24m");
     private static final String SMALL_FIRST_HEAP = "-Xms16m";
     private static final Path RELAY_JAR = Path.of("relay", "target", "pathlane-relay.jar");
+    private static final int COLLECTING_AT_ONCE = 4;
     private static final int SINGLE_HEAP_MEGABYTES = 64;
 
     private final ScalePlan plan;
@@ -44,6 +45,7 @@
     void start(Topology topology) {
         Stream.concat(topology.regionRelays().stream(), topology.zoneRelays().stream())
                 .forEach(relay -> relays.put(relay.name(), relay(relay, topology)));
+        Runtime.getRuntime().addShutdownHook(new Thread(this::close));   // relays would outlive a run that is killed
         relays.values().forEach(ChildProcess::start);
         int singles = plan.processes().single();
         int shared = plan.fleet().controllers() - singles;
@@ -130,6 +132,15 @@
         all().forEach(process -> process.await(ControlMessage.Done.class));
     }
 
+    /** Frees memory in a few processes at a time: publishers give up a controller that is silent for some seconds. */
+    void collectGarbage() {
+        List<ChildProcess> all = all();
+        for (int from = 0; from < all.size(); from += COLLECTING_AT_ONCE) {
+            ask(all.subList(from, Math.min(all.size(), from + COLLECTING_AT_ONCE)), new ControlMessage.CollectGarbage(),
+                    ControlMessage.Done.class);
+        }
+    }
+
     /** Asks processes at once, and has their answers in their order. */
     static <A extends ControlMessage.Answer> List<A> ask(List<ChildProcess> processes, ControlMessage.Command question,
                                                          Class<A> answer) {
