--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -101,6 +101,8 @@
         isSubscriptionWhole = message.last();
         if (everything && isSubscriptionWhole) {
             publisher.services().forEach(this::watchFound);
+            // Guards a new relay against calling a service absent at a revision at which it was there.
+            publisher.removedSinceRevision().forEach(this::watchFound);
         }
         publisher.schedule(this);
     }
@@ -117,7 +119,7 @@
         metrics.watches++;
         heartbeatAt = publisher.now();
         publisher.accepted(this);
-        publisher.recordProgress(this, port.name(), Revision.NONE);
+        publisher.recordProgress(this, Revision.NONE);
         send(WatchCodec.bytes(new WatchMessage.Accepted(publisher.status())));
         return phase == Phase.WATCHING;   // a connection that can't take more may end within the call
     }
@@ -156,7 +158,7 @@
     private void acknowledged(Acknowledge message) {
         window.acknowledged(message.batch(), publisher.now());
         if (!isRelay) {
-            publisher.recordProgress(this, port.name(), message.inForce());
+            publisher.recordProgress(this, message.inForce());
         }
         if (!queue.isEmpty()) {
             publisher.schedule(this);
@@ -320,6 +322,11 @@
         port.close(why);
     }
 
+    /** The subscriber's name. */
+    String name() {
+        return port.name();
+    }
+
     Set<String> services() {
         return queue.services();
     }
