--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -54,6 +54,7 @@
     /** Sessions that have something to send at the end of this turn. */
     private Set<SubscriberSession> scheduled = new LinkedHashSet<>();
     private boolean isTicking;
+    private Instant tickDueAt = Instant.MIN;
     private Optional<Instant> staleSince = Optional.empty();
     private Revision encodedBookmark = Revision.NONE;
     private byte[] bookmarkMessage = {};
@@ -77,7 +78,7 @@
         sessions.add(session);
         if (!isTicking) {
             isTicking = true;
-            scheduler.after(tickEvery, this::tick);
+            scheduleTick();
         }
         return session;
     }
@@ -116,13 +117,23 @@
         List.copyOf(accepted).forEach(session -> session.sendStatus(message));
     }
 
+    private void scheduleTick() {
+        tickDueAt = scheduler.now().plus(tickEvery);
+        scheduler.after(tickEvery, this::tick);
+    }
+
     private void tick() {
         Instant now = scheduler.now();
+        Duration late = Duration.between(tickDueAt, now);
+        if (late.compareTo(tickEvery) > 0) {
+            // Acknowledgements that came during an own stall have yet to be read: that time counts against nobody.
+            sessions.forEach(session -> session.excludeStall(late));
+        }
         Duration heartbeatEvery = terms.bookmarkEvery().minus(tickEvery);
         List.copyOf(sessions).forEach(session -> session.tick(now, heartbeatEvery));
         isTicking = !sessions.isEmpty();
         if (isTicking) {
-            scheduler.after(tickEvery, this::tick);
+            scheduleTick();
         }
     }
 
--- a/discovery/src/main/java/pathlane/discovery/SendWindow.java
+++ b/discovery/src/main/java/pathlane/discovery/SendWindow.java
@@ -78,6 +78,11 @@
         }
     }
 
+    /** The time of an own stall does not count. */
+    void excludeStall(Duration stall) {
+        progressAt = progressAt.plus(stall);
+    }
+
     /** Whether something is under way and nothing was acknowledged for too long. */
     boolean isDead(Instant now) {
         return isUnderWay() && Duration.between(progressAt, now).compareTo(deadAfter) >= 0;
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -34,7 +34,7 @@
     private final PublisherMetrics metrics;
     private final PublisherTerms terms;
     private final SubscriberPort port;
-    private final Instant openedAt;
+    private Instant openedAt;
     private final SubscriberQueue queue = new SubscriberQueue();
     private final SendWindow window;
     private Phase phase = Phase.OPENED;
@@ -252,6 +252,12 @@
         send(WatchCodec.update(number, batch.stream().map(EncodedChange::bytes).toList()));
     }
 
+    /** The publisher itself did nothing for so long: the subscriber is given that time back. */
+    void excludeStall(Duration stall) {
+        openedAt = openedAt.plus(stall);
+        window.excludeStall(stall);
+    }
+
     /** What is due by time: called several times in {@link PublisherTerms#bookmarkEvery}. */
     void tick(Instant now, Duration heartbeatEvery) {
         if (phase == Phase.OPENED) {
--- a/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
@@ -1,11 +1,13 @@
 package pathlane.discovery;
 
 import java.time.Duration;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import pathlane.core.ConnectionEnd;
+import pathlane.core.Scheduler;
 import pathlane.discovery.WatchMessage.Interest;
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.standin.VirtualTime;
@@ -18,7 +20,38 @@
 
     final VirtualTime time = new VirtualTime();
     final Catalogue catalogue = new Catalogue(TERMS.historyChanges());
-    final Publisher publisher = new Publisher(catalogue, TERMS, time, new Random(1));
+    final Publisher publisher = new Publisher(catalogue, TERMS, new PublishersTime(), new Random(1));
+    private Instant stalledUntil = Instant.MIN;
+
+    /** The publisher's process does nothing for so long, and then what was due meanwhile. */
+    void stall(Duration span) {
+        stalledUntil = time.now().plus(span);
+        time.pass(span);
+    }
+
+    /** Time as the publisher's process sees it. */
+    private final class PublishersTime implements Scheduler {
+        @Override
+        public Instant now() {
+            return time.now();
+        }
+
+        @Override
+        public Duration lag() {
+            return Duration.ZERO;
+        }
+
+        @Override
+        public Timer after(Duration delay, Runnable task) {
+            return time.after(delay, () -> {
+                if (time.now().isBefore(stalledUntil)) {
+                    after(Duration.between(time.now(), stalledUntil), task);
+                } else {
+                    task.run();
+                }
+            });
+        }
+    }
 
     /** A complete catalogue of services with these names, of three endpoints each. */
     static PublisherHarness complete(String... services) {
--- a/discovery/src/test/java/pathlane/discovery/PublisherTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -287,6 +287,22 @@
         assertEquals(0, harness.time.pending(), "no timer without a session");
     }
 
+    @Test
+    void thePublishersOwnStallCountsAgainstNoSubscriber() {
+        PublisherHarness harness = PublisherHarness.complete("a");
+        Subscriber subscriber = harness.subscriber("c1").watch("a");
+        Subscriber unspoken = harness.subscriber("c2");
+        harness.time.pass(Duration.ofSeconds(1));
+        harness.stall(Duration.ofSeconds(20));
+        harness.time.pass(Duration.ofMillis(50));
+        assertNull(subscriber.end, "what it has acknowledged meanwhile is read only now");
+        assertNull(unspoken.end);
+        subscriber.acknowledging();
+        harness.time.pass(Duration.ofSeconds(4));
+        assertNull(subscriber.end);
+        assertEquals(ConnectionEnd.UNFINISHED, unspoken.end);
+    }
+
     @Test
     void subscribersAreToldThatTheSourceIsLostAndForHowLong() {
         PublisherHarness harness = PublisherHarness.complete("a");
