--- a/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
@@ -6,8 +6,8 @@
 import pathlane.core.ServerLine;
 
 /**
- * What a service may consist of. A source that let more in would have every subscriber refuse its messages, over and over; the
- * largest service must fit a frame of {@link pathlane.group.SealedLink}, 4 MiB.
+ * What a service may consist of. A source that let more in would have every subscriber refuse its messages, over and over;
+ * the largest service must fit a frame of {@link pathlane.group.SealedLink}, 4 MiB.
  */
 public final class CatalogueLimits {
 
--- a/discovery/src/main/java/pathlane/discovery/ChangeHistory.java
+++ b/discovery/src/main/java/pathlane/discovery/ChangeHistory.java
@@ -11,7 +11,8 @@
 
 /**
  * The latest changes of all services of a catalogue, as far as a bound allows, so that a subscriber that is a little behind
- * gets a delta in place of a snapshot. Only the ids of what changed are kept: a delta is made up of the content as it is now.
+ * gets a delta in place of a snapshot. Only the ids of what changed are kept: a delta is made up of the content as it is
+ * now.
  */
 final class ChangeHistory {
 
--- a/discovery/src/main/java/pathlane/discovery/ProgressReport.java
+++ b/discovery/src/main/java/pathlane/discovery/ProgressReport.java
@@ -5,8 +5,8 @@
 /**
  * How many call controllers have which revision in force, of all below one publisher.
  *
- * @param levels controllers by revision, ascending, at most {@link #MOST_LEVELS}; where there are more, neighbours are counted
- *               at the lower one
+ * @param levels controllers by revision, ascending, at most {@link #MOST_LEVELS}; where there are more, neighbours are
+ *               counted at the lower one
  * @param slowest the controllers that are furthest behind, by name, at most {@link #MOST_SLOWEST}
  */
 public record ProgressReport(List<Level> levels, List<Slow> slowest) {
--- a/discovery/src/main/java/pathlane/discovery/PublisherLink.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherLink.java
@@ -5,8 +5,9 @@
 import pathlane.link.Protocol;
 
 /**
- * The accepting side of a subscriber's connection: messages of the watch in signed frames, above a publisher. The driver must
- * let wait as many bytes to be written as {@link PublisherTerms#unacknowledgedBytes}, or the largest service if that is more.
+ * The accepting side of a subscriber's connection: messages of the watch in signed frames, above a publisher. The driver
+ * must let wait as many bytes to be written as {@link PublisherTerms#unacknowledgedBytes}, or the largest service if that is
+ * more.
  */
 public final class PublisherLink implements SealedLink.Upper {
 
--- a/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
+++ b/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
@@ -43,7 +43,7 @@
         }
     }
 
-    /** What a subscriber that holds this of a service must be sent; empty where it holds the newest state, or a newer one. */
+    /** What a subscriber that holds this must be sent; empty where it holds the newest state of the service, or a newer. */
     Optional<EncodedChange> change(String service, Held held) {
         CatalogueEntry entry = catalogue.entry(service);
         if (entry == null) {
--- a/discovery/src/main/java/pathlane/discovery/WatchMessage.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchMessage.java
@@ -21,8 +21,8 @@
     record Interest(String service, Revision have, long digest) { }
 
     /**
-     * Adds services to a watch and ends others; sent first on a connection, and later whenever the watch changes or a service
-     * must be sent anew (an interest in a service that is watched already replaces the former).
+     * Adds services to a watch and ends others; sent first on a connection, and later whenever the watch changes or a
+     * service must be sent anew (an interest in a service that is watched already replaces the former).
      *
      * @param everything whether all services of the catalogue are watched, those to come among them; what is held already
      *                   is in the interests
--- a/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
+++ b/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
@@ -99,7 +99,8 @@
         catalogue.update("a", List.of(endpoint(2, Mode.DRAINING)), List.of(5L), Optional.of("y"));
         ServiceState now = catalogue.state("a").orElseThrow();
         assertEquals(Optional.of(new Delta("a", from, now.revision(), now.digest(),
-                List.of(endpoint(2, Mode.DRAINING), endpoint(4)), List.of(1L, 5L), Optional.of("y"))), deltaSince(catalogue, from));
+                List.of(endpoint(2, Mode.DRAINING), endpoint(4)), List.of(1L, 5L), Optional.of("y"))),
+                deltaSince(catalogue, from));
         assertEquals(Optional.empty(), deltaSince(catalogue, new Revision(1, 9)));
     }
 
