--- a/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -14,24 +14,14 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.concurrent.Callable;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
-import java.util.stream.Collectors;
-import pathlane.core.ServerLine;
 import pathlane.decision.Gateway.Mode;
-import pathlane.discovery.ServiceDigest;
-import pathlane.discovery.ServiceState;
-import pathlane.discovery.WatchClient;
 import pathlane.discovery.WatchTerms;
 import pathlane.discovery.WatchTerms.PublisherAddress;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
 import pathlane.lab.Faults;
 import pathlane.lab.History;
 import pathlane.lab.Witness.What;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
 
 /**
  * Discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar, an event bus and
@@ -60,12 +50,10 @@
     public record Shape(List<String> services, List<RelayShape> relays, List<ClientShape> clients, String limits) { }
 
     private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
-    private static final long LOOK_MILLIS = 10;
     private static final String HOST = "127.0.0.1";
-    private static final String KEYS = "k1 " + "5a".repeat(32) + "\n";
+    static final String KEYS = "k1 " + "5a".repeat(32) + "\n";
     private static final String WATCH = "[watch]\nbackoff-first-ms = 50\nbackoff-most-ms = 400\nsilent-after-ms = 2000\n"
             + "return-within-ms = 200\n";
-    private static final Duration SILENT_AFTER = Duration.ofSeconds(2);
     private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xmx128m",
             "-Xss512k", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true");
 
@@ -81,8 +69,7 @@
     private final Map<String, Integer> ports = new HashMap<>();
     /** Ports that one party alone comes to, by from and to. */
     private final Map<String, RigLoop.Listener> links = new HashMap<>();
-    private final Map<String, WatchClient> clients = new LinkedHashMap<>();
-    private final Map<String, WatchWitness> witnesses = new LinkedHashMap<>();
+    private final WatchClients clients;
     private final Set<String> stopped = new HashSet<>();
 
     /**
@@ -98,6 +85,7 @@
         this.random = new SplittableRandom(seed);
         Files.writeString(folder.resolve("discovery.keys"), KEYS);
         told = new ToldServers(loop, shape.services);
+        clients = new WatchClients(loop, told, relay, random);
         Path jar = home.resolve("relay/target/pathlane-relay.jar");
         ports.put(SOURCE, Ports.free());
         for (RelayShape one : shape.relays) {
@@ -107,9 +95,7 @@
         for (RelayShape one : shape.relays) {
             add(one.name, jar, relayText(one));
         }
-        for (ClientShape one : shape.clients) {
-            addClient(one);
-        }
+        shape.clients.forEach(one -> clients.add(one, one.publishers.stream().map(this::place).toList()));
     }
 
     private String common(String role, String name) {
@@ -166,34 +152,13 @@
         processes.put(name, new RigProcess(name, command, Map.of(), folder.resolve(name + ".log"), history));
     }
 
-    private void addClient(ClientShape one) {
-        Map<InetSocketAddress, String> names = new HashMap<>();
-        List<PublisherAddress> publishers = one.publishers.stream().map(this::place).toList();
-        publishers.forEach(publisher -> names.put(publisher.address(), publisher.name()));
-        Dialer dialer = (address, timeout, protocol) -> relay.out(one.name, protocol, names.get(address), address);
-        Keys keys = Keys.read(KEYS);
-        SplittableRandom nonces = random.split();
-        SealedLink.Common common = new SealedLink.Common(one.name, () -> keys, () -> {
-            byte[] nonce = new byte[16];
-            nonces.nextBytes(nonce);
-            return nonce;
-        }, loop, new LimitedLog("rig", loop));
-        WatchTerms terms = new WatchTerms(one.name, one.zone, one.region, publishers, Duration.ofMillis(50),
-                Duration.ofMillis(400), SILENT_AFTER, Duration.ofMillis(200));
-        WatchWitness witness = new WatchWitness(one.name, told::hasGone);
-        WatchClient client = new WatchClient(terms, dialer, common, loop, random.split(), witness);
-        one.services.forEach(client::watch);
-        witnesses.put(one.name, witness);
-        clients.put(one.name, client);
-    }
-
     /** Starts all processes and clients, and waits until every client has what the bus has told. */
     public void start() throws InterruptedException {
         for (String name : processes.keySet()) {
             start(name);
         }
-        loop.run(() -> clients.values().forEach(WatchClient::start));
-        awaitAgreement();
+        clients.start();
+        clients.awaitAgreement();
     }
 
     // ---- the bus
@@ -288,84 +253,15 @@
                 event -> event.what() == What.LOGGED && event.who().equals(name) && matches.test(event.text()));
     }
 
-    /** Waits until every one of these clients has exactly what the bus has told; with none named, until all have. */
-    public void awaitAgreement(String... names) throws InterruptedException {
-        List<String> who = names.length == 0 ? List.copyOf(clients.keySet()) : List.of(names);
-        await("agreement of " + who, () -> who.stream().allMatch(this::agrees));
-    }
-
-    private boolean agrees(String client) {
-        return difference(client).isEmpty();
-    }
-
-    /** In what a client differs from what the bus has told. */
-    private Optional<String> difference(String name) {
-        for (String service : shapeOf(name).services) {
-            List<ServerLine> expected = told.endpoints(service);
-            Optional<ServiceState> state = clients.get(name).state(service);
-            if (state.isEmpty() || !state.get().endpoints().equals(expected)
-                    || state.get().digest() != ServiceDigest.of(expected, "")) {
-                return Optional.of(name + " has " + state.map(one -> one.revision() + " with " + one.endpoints().size())
-                        .orElse("nothing") + " of " + service + ", which has " + expected.size());
-            }
-        }
-        return Optional.empty();
-    }
-
-    private ClientShape shapeOf(String client) {
-        return shape.clients.stream().filter(one -> one.name.equals(client)).findFirst().orElseThrow();
-    }
-
-    /** Waits until a client is connected to this publisher. */
-    public void awaitPublisher(String client, String publisher) throws InterruptedException {
-        await(client + " at " + publisher, () -> clients.get(client).publisher().equals(Optional.of(publisher)));
-    }
-
-    /** Waits until a client has heard that its publisher has lost its way to the source. */
-    public void awaitStale(String client) throws InterruptedException {
-        await(client + " hears that it is stale", () -> witnesses.get(client).status()
-                .filter(status -> !status.staleFor().isZero()).isPresent());
-    }
-
-    /** Waits until a client has been sent so many more messages, whatever they say. */
-    public void awaitMessages(String client, int more) throws InterruptedException {
-        long wanted = loop.call(() -> clients.get(client).counters().messagesReceived()) + more;
-        await(more + " messages at " + client, () -> clients.get(client).counters().messagesReceived() >= wanted);
-    }
-
     /** Waits until so many more bytes have gone from one party to another, over whatever connections. */
     public void awaitBytes(String from, String to, long more) throws InterruptedException {
         long wanted = loop.call(() -> faults.bytes(from, to)) + more;
-        await(more + " bytes from " + from + " to " + to, () -> faults.bytes(from, to) >= wanted);
-    }
-
-    /** How many deltas a client has been sent. */
-    public long deltas(String client) throws InterruptedException {
-        return loop.call(() -> clients.get(client).counters().deltas());
-    }
-
-    /** A client's own figures. */
-    public WatchClient client(String name) {
-        return clients.get(name);
+        clients.await(more + " bytes from " + from + " to " + to, () -> faults.bytes(from, to) >= wanted);
     }
 
-    /** Asks something on the rig's loop. */
-    public <T> T ask(Callable<T> question) throws InterruptedException {
-        return loop.call(question);
-    }
-
-    private void await(String what, Callable<Boolean> holds) throws InterruptedException {
-        for (int looks = 0; !loop.call(holds); looks++) {
-            if (looks * LOOK_MILLIS > MOST_MILLIS) {
-                throw new IllegalStateException("never came: " + what + "; " + loop.call(this::differences));
-            }
-            Thread.sleep(LOOK_MILLIS);   // how often is looked; what is waited for is the event
-        }
-    }
-
-    private String differences() {
-        return clients.keySet().stream().map(name -> difference(name).orElse(name + " agrees") + " by "
-                + clients.get(name).publisher().orElse("nobody")).collect(Collectors.joining(", "));
+    /** The watch clients: what they hold, and what is waited for there. */
+    public WatchClients clients() {
+        return clients;
     }
 
     /**
@@ -385,13 +281,8 @@
                 start(name);
             }
         }
-        awaitAgreement();
-        return broken();
-    }
-
-    /** The rules that were broken so far. */
-    public List<String> broken() throws InterruptedException {
-        return loop.call(() -> witnesses.values().stream().flatMap(witness -> witness.broken().stream()).toList());
+        clients.awaitAgreement();
+        return clients.broken();
     }
 
     /** Writes what happened beside the logs. */
--- /dev/null
+++ b/lab/src/main/java/pathlane/lab/rig/WatchClients.java
@@ -0,0 +1,154 @@
+package pathlane.lab.rig;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import java.util.concurrent.Callable;
+import java.util.stream.Collectors;
+import pathlane.core.ServerLine;
+import pathlane.discovery.ServiceDigest;
+import pathlane.discovery.ServiceState;
+import pathlane.discovery.WatchClient;
+import pathlane.discovery.WatchTerms;
+import pathlane.discovery.WatchTerms.PublisherAddress;
+import pathlane.group.Keys;
+import pathlane.group.SealedLink;
+import pathlane.lab.rig.DiscoveryRig.ClientShape;
+import pathlane.link.Dialer;
+import pathlane.link.LimitedLog;
+
+/**
+ * Real watch clients on the rig's loop, each with a {@link WatchWitness}; they reach publishers by the rig's {@link Relay}.
+ * Waits for what they hold, which is looked at on the loop. Used from one thread.
+ */
+public final class WatchClients {
+
+    private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
+    private static final long LOOK_MILLIS = 10;
+    private static final int NONCE_BYTES = 16;
+    private static final Duration BACKOFF_FIRST = Duration.ofMillis(50);
+    private static final Duration BACKOFF_MOST = Duration.ofMillis(400);
+    private static final Duration SILENT_AFTER = Duration.ofSeconds(2);
+    private static final Duration RETURN_WITHIN = Duration.ofMillis(200);
+
+    private record Watching(ClientShape shape, WatchClient client, WatchWitness witness) { }
+
+    private final RigLoop loop;
+    private final ToldServers told;
+    private final Relay relay;
+    private final SplittableRandom random;
+    private final Map<String, Watching> clients = new LinkedHashMap<>();
+
+    WatchClients(RigLoop loop, ToldServers told, Relay relay, SplittableRandom random) {
+        this.loop = loop;
+        this.told = told;
+        this.relay = relay;
+        this.random = random;
+    }
+
+    /** Adds a client that may use these publishers. */
+    void add(ClientShape shape, List<PublisherAddress> publishers) {
+        Map<InetSocketAddress, String> names = new HashMap<>();
+        publishers.forEach(publisher -> names.put(publisher.address(), publisher.name()));
+        Dialer dialer = (address, timeout, protocol) -> relay.out(shape.name(), protocol, names.get(address), address);
+        Keys keys = Keys.read(DiscoveryRig.KEYS);
+        SplittableRandom nonces = random.split();
+        SealedLink.Common common = new SealedLink.Common(shape.name(), () -> keys, () -> {
+            byte[] nonce = new byte[NONCE_BYTES];
+            nonces.nextBytes(nonce);
+            return nonce;
+        }, loop, new LimitedLog("rig", loop));
+        WatchTerms terms = new WatchTerms(shape.name(), shape.zone(), shape.region(), publishers, BACKOFF_FIRST, BACKOFF_MOST,
+                SILENT_AFTER, RETURN_WITHIN);
+        WatchWitness witness = new WatchWitness(shape.name(), told::hasGone);
+        WatchClient client = new WatchClient(terms, dialer, common, loop, random.split(), witness);
+        shape.services().forEach(client::watch);
+        clients.put(shape.name(), new Watching(shape, client, witness));
+    }
+
+    void start() throws InterruptedException {
+        loop.run(() -> clients.values().forEach(watching -> watching.client.start()));
+    }
+
+    // ---- what they hold
+
+    /** The state that a client has of a service. */
+    public Optional<ServiceState> state(String client, String service) throws InterruptedException {
+        return loop.call(() -> clients.get(client).client.state(service));
+    }
+
+    /** How many endpoints of a service a client has. */
+    public int endpoints(String client, String service) throws InterruptedException {
+        return state(client, service).map(state -> state.endpoints().size()).orElse(0);
+    }
+
+    /** How many deltas a client has been sent. */
+    public long deltas(String client) throws InterruptedException {
+        return loop.call(() -> clients.get(client).client.counters().deltas());
+    }
+
+    /** The rules that any client has seen broken so far. */
+    public List<String> broken() throws InterruptedException {
+        return loop.call(() -> clients.values().stream().flatMap(watching -> watching.witness.broken().stream()).toList());
+    }
+
+    // ---- waiting
+
+    /** Waits until every one of these clients has exactly what the bus has told; with none named, until all have. */
+    public void awaitAgreement(String... names) throws InterruptedException {
+        List<String> who = names.length == 0 ? List.copyOf(clients.keySet()) : List.of(names);
+        await("agreement of " + who, () -> who.stream().allMatch(name -> difference(clients.get(name)).isEmpty()));
+    }
+
+    /** In what a client differs from what the bus has told. */
+    private Optional<String> difference(Watching watching) {
+        for (String service : watching.shape.services()) {
+            List<ServerLine> expected = told.endpoints(service);
+            Optional<ServiceState> state = watching.client.state(service);
+            if (state.isEmpty() || !state.get().endpoints().equals(expected)
+                    || state.get().digest() != ServiceDigest.of(expected, "")) {
+                return Optional.of(watching.shape.name() + " has " + state.map(one -> one.revision() + " with "
+                        + one.endpoints().size()).orElse("nothing") + " of " + service + ", which has " + expected.size());
+            }
+        }
+        return Optional.empty();
+    }
+
+    /** Waits until a client is connected to this publisher. */
+    public void awaitPublisher(String client, String publisher) throws InterruptedException {
+        await(client + " at " + publisher, () -> clients.get(client).client.publisher().equals(Optional.of(publisher)));
+    }
+
+    /** Waits until a client has heard that its publisher has lost its way to the source. */
+    public void awaitStale(String client) throws InterruptedException {
+        await(client + " hears that it is stale", () -> clients.get(client).witness.status()
+                .filter(status -> !status.staleFor().isZero()).isPresent());
+    }
+
+    /** Waits until a client has been sent so many more messages, whatever they say. */
+    public void awaitMessages(String client, int more) throws InterruptedException {
+        WatchClient one = clients.get(client).client;
+        long wanted = loop.call(() -> one.counters().messagesReceived()) + more;
+        await(more + " messages at " + client, () -> one.counters().messagesReceived() >= wanted);
+    }
+
+    /** Waits until this holds on the loop. */
+    void await(String what, Callable<Boolean> holds) throws InterruptedException {
+        for (int looks = 0; !loop.call(holds); looks++) {
+            if (looks * LOOK_MILLIS > MOST_MILLIS) {
+                throw new IllegalStateException("never came: " + what + "; " + loop.call(this::differences));
+            }
+            Thread.sleep(LOOK_MILLIS);   // how often is looked; what is waited for is the event
+        }
+    }
+
+    private String differences() {
+        return clients.values().stream().map(watching -> difference(watching).orElse(watching.shape.name() + " agrees")
+                + " by " + watching.client.publisher().orElse("nobody")).collect(Collectors.joining(", "));
+    }
+}
--- a/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
+++ b/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
@@ -76,104 +76,104 @@
     private static final Map<String, Scenario> SCENARIOS = new TreeMap<>(Map.of(
             "a relay is killed, and comes back", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
-                rig.awaitAgreement();
-                rig.awaitPublisher("a1", "ra");
+                rig.clients().awaitAgreement();
+                rig.clients().awaitPublisher("a1", "ra");
                 rig.kill("ra");
                 rig.serversGo(ACCOUNTS, servers.subList(0, 5));
-                rig.awaitPublisher("a1", "rb");
+                rig.clients().awaitPublisher("a1", "rb");
                 rig.serversDrain(ACCOUNTS, servers.subList(5, 8));
-                rig.awaitAgreement();
+                rig.clients().awaitAgreement();
                 rig.start("ra");
                 rig.serversCome(PAYMENTS, 3);
-                rig.awaitPublisher("a1", "ra");
+                rig.clients().awaitPublisher("a1", "ra");
             }),
             "a relay is stalled, and goes on", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
-                rig.awaitAgreement();
-                rig.awaitPublisher("a1", "ra");
+                rig.clients().awaitAgreement();
+                rig.clients().awaitPublisher("a1", "ra");
                 rig.stop("ra");
                 rig.serversGo(ACCOUNTS, servers.subList(0, 5));
-                rig.awaitPublisher("a1", "rb");
-                rig.awaitAgreement();
+                rig.clients().awaitPublisher("a1", "rb");
+                rig.clients().awaitAgreement();
                 rig.serversCome(PAYMENTS, 3);
                 rig.goOn("ra");
-                rig.awaitPublisher("a1", "ra");
+                rig.clients().awaitPublisher("a1", "ra");
             }),
             "links are half open", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
-                rig.awaitAgreement();
-                rig.awaitPublisher("a1", "ra");
+                rig.clients().awaitAgreement();
+                rig.clients().awaitPublisher("a1", "ra");
                 int from = rig.eventsSoFar();
                 rig.halfOpen("s", "ra");
                 rig.halfOpen("rb", "b1");
                 rig.serversGo(ACCOUNTS, servers.subList(0, 5));
                 rig.awaitLog("ra", "publisher s is lost: SILENT", from);
-                rig.awaitAgreement("a1", "a2", "a3", "b1");
+                rig.clients().awaitAgreement("a1", "a2", "a3", "b1");
             }),
             "the source is started anew", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
-                rig.awaitAgreement();
+                rig.clients().awaitAgreement();
                 rig.kill("s");
-                rig.awaitStale("a1");
+                rig.clients().awaitStale("a1");
                 rig.serversGo(ACCOUNTS, servers.subList(0, 5));
                 rig.serversCome(PAYMENTS, 3);
                 rig.start("s");
-                rig.awaitAgreement();
-                assertEquals(2, rig.ask(() -> rig.client("a1").state(ACCOUNTS).orElseThrow().revision().epoch()));
+                rig.clients().awaitAgreement();
+                assertEquals(2, rig.clients().state("a1", ACCOUNTS).orElseThrow().revision().epoch());
             }),
             "the source is started anew before its bus can be reached", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
-                rig.awaitAgreement();
+                rig.clients().awaitAgreement();
                 rig.kill("s");
-                rig.awaitStale("a1");
+                rig.clients().awaitStale("a1");
                 rig.cut("s", "bus");
                 int from = rig.eventsSoFar();
                 rig.start("s");
                 rig.awaitLog("ra", "services are watched at s, which is at revision 2.0", from);
-                rig.awaitMessages("a1", 5);
-                assertEquals(20, rig.ask(() -> rig.client("a1").state(ACCOUNTS).orElseThrow().endpoints().size()));
+                rig.clients().awaitMessages("a1", 5);
+                assertEquals(20, rig.clients().endpoints("a1", ACCOUNTS));
                 rig.serversGo(ACCOUNTS, servers.subList(0, 15));
                 rig.restore("s", "bus");
             }),
             "a region is cut off, and comes back", new Scenario(twoRegions(), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
-                rig.awaitAgreement();
+                rig.clients().awaitAgreement();
                 rig.cut("rf", "ra");
-                rig.awaitStale("f1");
+                rig.clients().awaitStale("f1");
                 rig.serversGo(ACCOUNTS, servers.subList(0, 15));
-                rig.awaitAgreement("a1");
-                assertEquals(20, rig.ask(() -> rig.client("f1").state(ACCOUNTS).orElseThrow().endpoints().size()));
+                rig.clients().awaitAgreement("a1");
+                assertEquals(20, rig.clients().endpoints("f1", ACCOUNTS));
                 rig.restore("rf", "ra");
-                rig.awaitAgreement("f1", "f2");
+                rig.clients().awaitAgreement("f1", "f2");
             }),
             "a subscriber reads slowly", new Scenario(twoRelays(SMALL_WINDOW), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 50);
-                rig.awaitAgreement();
-                rig.awaitPublisher("a1", "ra");
-                long slowBefore = rig.deltas("a1");
-                long promptBefore = rig.deltas("a2");
+                rig.clients().awaitAgreement();
+                rig.clients().awaitPublisher("a1", "ra");
+                long slowBefore = rig.clients().deltas("a1");
+                long promptBefore = rig.clients().deltas("a2");
                 rig.delay("ra", "a1", Duration.ofSeconds(1));
                 for (Long server : servers.subList(0, 20)) {
                     rig.serversGo(ACCOUNTS, List.of(server));
                     rig.serversCome(ACCOUNTS, 60);
-                    rig.awaitAgreement("a2", "b1");
+                    rig.clients().awaitAgreement("a2", "b1");
                 }
                 rig.restore("ra", "a1");
-                rig.awaitAgreement();
-                long slow = rig.deltas("a1") - slowBefore;
-                long prompt = rig.deltas("a2") - promptBefore;
+                rig.clients().awaitAgreement();
+                long slow = rig.clients().deltas("a1") - slowBefore;
+                long prompt = rig.clients().deltas("a2") - promptBefore;
                 assertTrue(slow * 2 <= prompt, slow + " deltas went to the slow one, " + prompt + " to the prompt one");
             }),
             "a relay starts empty", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
-                rig.awaitAgreement();
+                rig.clients().awaitAgreement();
                 rig.kill("rb");
                 rig.cut("rb", "s");
                 rig.start("rb");
-                rig.awaitPublisher("a1", "ra");
+                rig.clients().awaitPublisher("a1", "ra");
                 rig.kill("ra");
                 rig.awaitBytes("rb", "a1", SOME_TRIES);
-                assertEquals(20, rig.ask(() -> rig.client("a1").state(ACCOUNTS).orElseThrow().endpoints().size()));
+                assertEquals(20, rig.clients().endpoints("a1", ACCOUNTS));
                 rig.serversGo(ACCOUNTS, servers.subList(0, 15));
                 rig.restore("rb", "s");
             })));
@@ -211,7 +211,7 @@
                 return rig.judge();
             } catch (IllegalStateException | AssertionError e) {
                 List<String> verdict = new ArrayList<>(List.of(String.valueOf(e.getMessage())));
-                verdict.addAll(rig.broken());
+                verdict.addAll(rig.clients().broken());
                 rig.keepHistory();
                 return verdict;
             }
--- a/relay/src/main/java/pathlane/relay/CatalogueFile.java
+++ b/relay/src/main/java/pathlane/relay/CatalogueFile.java
@@ -17,6 +17,7 @@
 import java.util.TreeMap;
 import pathlane.core.ServerLine;
 import pathlane.decision.Gateway.Mode;
+import pathlane.discovery.CatalogueLimits;
 import pathlane.link.Addresses;
 
 /**
@@ -27,7 +28,6 @@
  */
 final class CatalogueFile {
 
-    private static final int LONGEST_NAME = 64;
     private static final long MOST_ID = 0xffffffffL;
     private static final int MOST_CELL = 0xffff;
 
@@ -90,8 +90,9 @@
 
     private void service(Map<String, Content> services) throws IOException {
         String name = json.nextName();
-        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > LONGEST_NAME) {
-            throw error("'" + name + "' is no service's name; right would be 1 to " + LONGEST_NAME + " bytes");
+        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > CatalogueLimits.LONGEST_NAME) {
+            throw error("'" + name + "' is no service's name; right would be 1 to " + CatalogueLimits.LONGEST_NAME
+                    + " bytes");
         }
         String configuration = "";
         List<ServerLine> endpoints = new ArrayList<>();
@@ -99,7 +100,7 @@
         while (json.hasNext()) {
             String key = json.nextName();
             switch (key) {
-                case "configuration" -> configuration = json.nextString();
+                case "configuration" -> configuration = configuration();
                 case "endpoints" -> {
                     json.beginArray();
                     while (json.hasNext()) {
@@ -111,12 +112,25 @@
             }
         }
         json.endObject();
+        if (endpoints.size() > CatalogueLimits.MOST_ENDPOINTS) {
+            throw error("service '" + name + "' has " + endpoints.size() + " endpoints; right would be "
+                    + CatalogueLimits.MOST_ENDPOINTS + " at the most");
+        }
         endpoints.sort(Comparator.comparingLong(ServerLine::id));
         if (services.put(name, new Content(List.copyOf(endpoints), configuration)) != null) {
             throw error("service '" + name + "' is there twice");
         }
     }
 
+    private String configuration() throws IOException {
+        String text = json.nextString();
+        if (text.length() > CatalogueLimits.LONGEST_CONFIGURATION) {
+            throw error("a configuration of " + text.length() + " characters; right would be "
+                    + CatalogueLimits.LONGEST_CONFIGURATION + " at the most");
+        }
+        return text;
+    }
+
     private ServerLine endpoint() throws IOException {
         long id = -1;
         InetSocketAddress address = null;
@@ -158,7 +172,7 @@
 
     private double weight() throws IOException {
         double weight = json.nextDouble();
-        if (!(weight > 0)) {
+        if (!(weight > 0) || Double.isInfinite(weight)) {
             throw error("'weight' is " + weight + "; right would be above 0");
         }
         return weight;
--- a/relay/src/main/java/pathlane/relay/ProgramFile.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFile.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import pathlane.discovery.CatalogueLimits;
 import pathlane.discovery.PublisherTerms;
 import pathlane.discovery.WatchTerms;
 import pathlane.files.TomlFile;
@@ -53,13 +54,24 @@
     /** A service's configuration: its text, or the file that holds it. */
     record ConfigurationText(Optional<Path> file, String text) {
 
-        /** The text as it is now. */
+        /**
+         * The text as it is now.
+         *
+         * @throws IllegalArgumentException with a sentence where the file can't be read, or holds too much
+         */
         String read() {
+            String whole;
             try {
-                return file.isPresent() ? Files.readString(file.get()) : text;
+                whole = file.isPresent() ? Files.readString(file.get()) : text;
             } catch (IOException e) {
                 throw new IllegalArgumentException("the configuration's file " + file.get() + " can't be read", e);
             }
+            if (whole.length() > CatalogueLimits.LONGEST_CONFIGURATION) {
+                throw new IllegalArgumentException("a configuration of " + whole.length() + " characters"
+                        + file.map(path -> " in " + path).orElse("") + "; right would be "
+                        + CatalogueLimits.LONGEST_CONFIGURATION + " at the most");
+            }
+            return whole;
         }
     }
 
