--- a/lab/src/main/java/pathlane/lab/rig/Rig.java
+++ b/lab/src/main/java/pathlane/lab/rig/Rig.java
@@ -187,12 +187,18 @@
                 : Optional.of(new String(first, read.position(), name, StandardCharsets.UTF_8));
     }
 
+    /** The command that starts a JVM as the program is meant to run, up to what names the program. */
+    public static List<String> programCommand() {
+        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        command.addAll(JVM);
+        return command;
+    }
+
     private void add(String name, Path jar, List<String> arguments, Map<String, String> environment) {
         if (!Files.isReadable(jar)) {
             throw new IllegalArgumentException(jar + " is not there: build the project first (mvn -q -DskipTests package)");
         }
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        command.addAll(JVM);
+        List<String> command = programCommand();
         command.add("-jar");
         command.add(jar.toString());
         command.addAll(arguments);
--- a/lab/src/main/java/pathlane/lab/scale/ChildProcess.java
+++ b/lab/src/main/java/pathlane/lab/scale/ChildProcess.java
@@ -6,7 +6,9 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
 /**
@@ -20,6 +22,7 @@
     private final String name;
     private final List<String> command;
     private final Path log;
+    private final Map<String, String> environment = new HashMap<>();
     private Process process;
     private Writer commands;
     private BufferedReader answers;
@@ -30,6 +33,12 @@
         this.log = log;
     }
 
+    /** The same with a variable of its environment. */
+    ChildProcess with(String variable, String value) {
+        environment.put(variable, value);
+        return this;
+    }
+
     String name() {
         return name;
     }
@@ -37,7 +46,10 @@
     /** Starts it, or starts it anew after its end. What it writes as errors goes to its log. */
     void start() {
         try {
-            process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
+            ProcessBuilder builder = new ProcessBuilder(command)
+                    .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()));
+            builder.environment().putAll(environment);
+            process = builder.start();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/lab/src/main/java/pathlane/lab/scale/DayPlayer.java
+++ b/lab/src/main/java/pathlane/lab/scale/DayPlayer.java
@@ -172,7 +172,7 @@
         long madeBefore = changes.made();
         long sentBefore = sentBySource();
         List<ChildProcess> processes = Stream.of(fleet.hollow(), fleet.single(), fleet.relays().values(),
-                List.of(fleet.empty())).flatMap(Collection::stream).toList();
+                fleet.real(), List.of(fleet.empty())).flatMap(Collection::stream).toList();
         CostMeter meter = new CostMeter(processes);
         String note = course.play();
         long revision = source.revision();
@@ -191,7 +191,7 @@
                 rootFigures(revision), meter.controllerCost(fleet.hollow(), fleet.empty(), hollow, withMemory),
                 meter.controllerCost(fleet.single(), fleet.empty(), single, withMemory),
                 holderCosts(meter, Stream.of(fleet.hollow(), fleet.single()).flatMap(List::stream).toList(), all),
-                relayCosts(meter), meter.ownCost(sentBySource() - sentBefore), all.stream().map(Figures::watches).reduce(WatchFigures.NONE, WatchFigures::plus), verify(),
+                fleet.real().stream().map(meter::cost).toList(), relayCosts(meter), meter.ownCost(sentBySource() - sentBefore), all.stream().map(Figures::watches).reduce(WatchFigures.NONE, WatchFigures::plus), verify(),
                 note);
     }
 
--- a/lab/src/main/java/pathlane/lab/scale/DayResult.java
+++ b/lab/src/main/java/pathlane/lab/scale/DayResult.java
@@ -16,6 +16,7 @@
  * @param hollow what a hollow controller costs
  * @param single what a controller in a process of its own costs, above an empty process
  * @param processes each process with controllers
+ * @param real each process of the real program, as a whole
  * @param relays what each relay costs, by name
  * @param source what the run's own process costs, with the source
  * @param watches what all watch clients counted
@@ -23,8 +24,8 @@
  * @param note what else is to be said of the day; may be empty
  */
 record DayResult(Day day, double seconds, long revisions, Histogram inForce, RootFigures root, ControllerCost hollow,
-                 ControllerCost single, List<HolderCost> processes, Map<String, RelayCost> relays, ProcessCost source,
-                 WatchFigures watches, ControlMessage.Verdict verdict, String note) {
+                 ControllerCost single, List<HolderCost> processes, List<ProcessCost> real,
+                 Map<String, RelayCost> relays, ProcessCost source, WatchFigures watches, ControlMessage.Verdict verdict, String note) {
 
     /**
      * How the source saw the day.
--- a/lab/src/main/java/pathlane/lab/scale/FleetLayout.java
+++ b/lab/src/main/java/pathlane/lab/scale/FleetLayout.java
@@ -22,8 +22,10 @@
  */
 final class FleetLayout {
 
-    private static final int SERVER_PORT = 7000;
-    private static final int ADDRESS_TEN = 10;
+    /** Nobody listens there, so that a set-up of a real controller is refused at once. */
+    private static final int SERVER_PORT = 1;
+    private static final int LOOPBACK = 127;
+    private static final int FIRST_BLOCK = 128;
     private static final int BYTE_BITS = 8;
 
     private final ScalePlan.Fleet fleet;
@@ -126,7 +128,8 @@
 
     /** A session server as the catalogue lists it. */
     ServerLine line(int server, Mode mode, Instant startedAt) {
-        byte[] address = {ADDRESS_TEN, (byte) (server >> 2 * BYTE_BITS), (byte) (server >> BYTE_BITS), (byte) server};
+        byte[] address = {LOOPBACK, (byte) (FIRST_BLOCK + (server >> 2 * BYTE_BITS)), (byte) (server >> BYTE_BITS),
+            (byte) server};
         try {
             return new ServerLine(serverId(server), new InetSocketAddress(InetAddress.getByAddress(address), SERVER_PORT), mode,
                     zoneOf(server), 1, startedAt);
--- a/lab/src/main/java/pathlane/lab/scale/ProcessFleet.java
+++ b/lab/src/main/java/pathlane/lab/scale/ProcessFleet.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** The processes of a run beside its own: relays, hollow processes, single ones, and an empty one to compare with. */
+/** The processes of a run beside its own: relays, hollow ones, single ones, real ones, and an empty one to compare with. */
 final class ProcessFleet implements AutoCloseable {
 
     private static final Duration POLL = Duration.ofMillis(100);
@@ -30,6 +30,7 @@
     private final Map<String, ChildProcess> relays = new LinkedHashMap<>();
     private final List<ChildProcess> hollow = new ArrayList<>();
     private final List<ChildProcess> single = new ArrayList<>();
+    private final List<ChildProcess> real = new ArrayList<>();
     private ChildProcess empty;
 
     /** {@code home} is where the project was built. */
@@ -42,7 +43,7 @@
     }
 
     /** Starts all relays, and then all processes with controllers; returns when these can be commanded. */
-    void start(Topology topology) {
+    void start(Topology topology, FleetLayout layout) throws InterruptedException {
         Stream.concat(topology.regionRelays().stream(), topology.zoneRelays().stream())
                 .forEach(relay -> relays.put(relay.name(), relay(relay, topology)));
         Runtime.getRuntime().addShutdownHook(new Thread(this::close));   // relays would outlive a run that is killed
@@ -60,6 +61,12 @@
         empty = holder("empty", 0, 0, plan.processes().hollowHeapMegabytes());
         all().forEach(ChildProcess::start);
         all().forEach(ChildProcess::awaitReady);
+        for (int number = 0; number < plan.processes().real(); number++) {
+            // Beside the controller of this place that the fleet has: both watch the same.
+            RealController controller = new RealController(shared + number, layout, topology, home, folder);
+            real.add(controller.process());
+            controller.start(deadline);
+        }
     }
 
     /** The real program of a relay, from its jar. */
@@ -109,6 +116,11 @@
         return single;
     }
 
+    /** Processes of the real program. */
+    List<ChildProcess> real() {
+        return real;
+    }
+
     /** The process that holds none. */
     ChildProcess empty() {
         return empty;
@@ -181,7 +193,10 @@
 
     @Override
     public void close() {
-        Stream.concat(relays.values().stream(), empty == null ? Stream.empty() : all().stream())
-                .forEach(ChildProcess::close);
+        relays.values().forEach(ChildProcess::close);
+        real.forEach(ChildProcess::close);
+        if (empty != null) {
+            all().forEach(ChildProcess::close);
+        }
     }
 }
--- a/lab/src/main/java/pathlane/lab/scale/RelayFile.java
+++ b/lab/src/main/java/pathlane/lab/scale/RelayFile.java
@@ -26,21 +26,24 @@
                 bookmark-ms = %d
                 """, relay.name(), relay.zone(), relay.region(), relay.host(), relay.port(), keys.getFileName(),
                 limits.subscribers(), limits.bookmarkMillis()));
-        for (PublisherAddress upstream : topology.upstreamsOf(relay)) {
-            text.append(String.format("""
-
-                    [[publishers]]
-                    name = "%s"
-                    address = "%s:%d"
-                    zone = "%s"
-                    region = "%s"
-                    """, upstream.name(), upstream.address().getHostString(), upstream.address().getPort(), upstream.zone(),
-                    upstream.region()));
-        }
+        topology.upstreamsOf(relay).forEach(upstream -> text.append(publisher(upstream)));
         try {
             Files.writeString(file, text);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
+
+    /** A publisher, as the files of relays and controllers name it. */
+    static String publisher(PublisherAddress publisher) {
+        return String.format("""
+
+                [[publishers]]
+                name = "%s"
+                address = "%s:%d"
+                zone = "%s"
+                region = "%s"
+                """, publisher.name(), publisher.address().getHostString(), publisher.address().getPort(), publisher.zone(),
+                publisher.region());
+    }
 }
--- a/lab/src/main/java/pathlane/lab/scale/ScaleFile.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleFile.java
@@ -56,7 +56,7 @@
                 fleet(new Table("fleet", toml)), relays(new Table("relays", toml)), processes(new Table("processes", toml)),
                 days(toml));
         int processes = plan.relays().inRegions() + plan.relays().inZones() + plan.processes().hollow()
-                + plan.processes().single();
+                + plan.processes().single() + plan.processes().real();
         if (processes > MOST_PROCESSES) {
             throw new IllegalArgumentException(file + ": " + processes + " processes are more than " + MOST_PROCESSES);
         }
@@ -86,8 +86,11 @@
 
     private static ScalePlan.Processes processes(Table table) {
         ScalePlan.Processes processes = new ScalePlan.Processes(table.whole("hollow", 1, 100), table.whole("single", 0, 50),
-                table.whole("hollow-heap-mb", 16, 4096), table.whole("seconds-at-most", 1, MOST_SECONDS));
+                table.whole("real", 0, 50), table.whole("hollow-heap-mb", 16, 4096), table.whole("seconds-at-most", 1, MOST_SECONDS));
         table.refuseOthers();
+        if (processes.real() > processes.single()) {
+            throw table.unusable("real", "more than there are single ones, whose services they watch");
+        }
         return processes;
     }
 
--- a/lab/src/main/java/pathlane/lab/scale/ScalePlan.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScalePlan.java
@@ -46,10 +46,11 @@
      *
      * @param hollow processes that share all controllers but the single ones; each second one holds twice as many
      * @param single processes that hold one controller each
+     * @param real processes of the real program, beside the fleet's controllers; each watches what a single one watches
      * @param hollowHeapMegabytes heap of a hollow process
      * @param secondsAtMost the whole run ends with an error after this
      */
-    public record Processes(int hollow, int single, int hollowHeapMegabytes, int secondsAtMost) { }
+    public record Processes(int hollow, int single, int real, int hollowHeapMegabytes, int secondsAtMost) { }
 
     /** The days, each absent where it is not played. */
     public record Days(Optional<Changes> ordinary, Optional<Changes> hundredfold, Optional<ZoneLost> zoneLost,
--- a/lab/src/main/java/pathlane/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleReport.java
@@ -45,10 +45,10 @@
         ScalePlan.Processes processes = result.plan().processes();
         out.printf("%s%n%nCommit %s, %s; %,d controllers and session servers in %,d services (largest %,d), each controller "
                 + "watches the %d that it calls; %d zones in %d regions; %d region relays, %d zone relays, %d hollow "
-                + "processes, %d single ones. All had everything in force %.1f s after the start.%n%n",
+                + "processes, %d single ones, %d of the real program. All had everything in force %.1f s after the start.%n%n",
                 result.plan().title(), origin.commit(), origin.machine(), fleet.controllers(), fleet.services(),
                 result.largestService(), fleet.calls(), fleet.zones(), fleet.regions(), result.plan().relays().inRegions(),
-                result.plan().relays().inZones(), processes.hollow(), processes.single(), result.startSeconds());
+                result.plan().relays().inZones(), processes.hollow(), processes.single(), processes.real(), result.startSeconds());
     }
 
     private void days() {
@@ -100,8 +100,9 @@
             return;
         }
         out.println("| ordinary day, a process's | for each controller, by the line through the hollow processes | of the process "
-                + "itself | the line at one controller | single processes, mean (least to most) |");
-        out.println("| --- | --- | --- | --- | --- |");
+                + "itself | the line at one controller | single processes, mean (least to most) "
+                + "| the real program, mean (least to most) |");
+        out.println("| --- | --- | --- | --- | --- | --- |");
         line("bytes a second", ordinary.get(), ProcessCost::bytesPerSecond);
         line("% of a core", ordinary.get(), ProcessCost::cpuPercent);
         line("MB", ordinary.get(), ProcessCost::memoryMegabytes);
@@ -112,10 +113,18 @@
         SimpleRegression line = new SimpleRegression();
         day.processes().stream().filter(process -> process.controllers() > 1)
                 .forEach(process -> line.addData(process.controllers(), figure.applyAsDouble(process.cost())));
-        DoubleSummaryStatistics single = day.processes().stream().filter(process -> process.controllers() == 1)
-                .mapToDouble(process -> figure.applyAsDouble(process.cost())).summaryStatistics();
-        out.printf("| %s | %.4g | %.4g | %.4g | %.4g (%.4g to %.4g) |%n", title, line.getSlope(), line.getIntercept(),
-                line.predict(1), single.getAverage(), single.getMin(), single.getMax());
+        out.printf("| %s | %.4g | %.4g | %.4g | %s | %s |%n", title, line.getSlope(), line.getIntercept(), line.predict(1),
+                range(day.processes().stream().filter(process -> process.controllers() == 1)
+                        .map(DayResult.HolderCost::cost).toList(), figure),
+                range(day.real(), figure));
+    }
+
+    private static String range(List<ProcessCost> processes, ToDoubleFunction<ProcessCost> figure) {
+        if (processes.isEmpty()) {
+            return "-";
+        }
+        DoubleSummaryStatistics figures = processes.stream().mapToDouble(figure).summaryStatistics();
+        return String.format("%.4g (%.4g to %.4g)", figures.getAverage(), figures.getMin(), figures.getMax());
     }
 
     private void relays() {
--- a/lab/src/main/java/pathlane/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleRun.java
@@ -63,7 +63,7 @@
         try (SourceHost source = new SourceHost(plan, layout, topology, folder);
                 ProcessFleet fleet = new ProcessFleet(plan, planFile, home, folder, deadline)) {
             source.start();
-            fleet.start(topology);
+            fleet.start(topology, layout);
             DayPlayer player = new DayPlayer(plan, layout, topology, source, fleet, folder, deadline);
             Duration start = player.startControllers();
             List<DayResult> days = player.play();
