--- a/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
@@ -76,21 +76,56 @@
     // ---- call controller
 
     private RoleCost controller(Design design, FleetLoad load, Situation situation) {
-        double listed = listed(design);
-        double connections = connections(design);
-        Estimate reports = figures.at("capacity-report-messages-per-second-by-connections", connections);
-        Estimate reportBytes = figures.at("capacity-report-bytes-per-second-by-connections", connections)
-                .plus(reports.times(header()));
         double changes = heard(design, load);
-        Estimate discovery = discoveryBytes(design, changes).plus(Estimate.assumed(resumed(design, load, situation)));
         double discoveryMessages = changes + (design == Design.SCOPED ? 2 : 1) * value("bookmarks-per-second");
-        return new RoleCost(String.format("%,.0f servers listed, %,.0f connections", listed, connections),
-                reports.plus(Estimate.assumed(discoveryMessages)), reportBytes.plus(discovery),
-                controllerCpu(listed, connections, reports, changes, isAnew(load, situation)),
-                controllerMemory(listed, connections),
+        return new RoleCost(String.format("%,.0f servers listed, %,.0f connections", listed(design), connections(design)),
+                reports(design).plus(Estimate.assumed(discoveryMessages)),
+                reportBytes(design).plus(discoveryBytes(design, situation)),
+                figures.at("idle-cpu-ms-per-second-by-listed", listed(design)).plus(reportCpu(design))
+                        .plus(discoveryCpu(design, situation)),
+                controllerMemory(listed(design), connections(design)),
                 design == Design.BROADCAST ? "event bus, whole list" : "watch at its zone's relay");
     }
 
+    private Estimate reports(Design design) {
+        return figures.at("capacity-report-messages-per-second-by-connections", connections(design));
+    }
+
+    /** Bytes a second of servers' capacity reports to one controller. */
+    Estimate reportBytes(Design design) {
+        return figures.at("capacity-report-bytes-per-second-by-connections", connections(design))
+                .plus(reports(design).times(header()));
+    }
+
+    /**
+     * Processor time of servers' capacity reports: what the connections cost while just their servers are listed, and what
+     * the longer list adds to each report.
+     */
+    Estimate reportCpu(Design design) {
+        double connections = connections(design);
+        Estimate longerList = figures.at("module-capacity-report-us", listed(design))
+                .minus(figures.at("module-capacity-report-us", connections)).times(1 / MILLIS_IN_SECOND);
+        return figures.at("idle-cpu-ms-per-second-by-connections", connections)
+                .minus(figures.at("idle-cpu-ms-per-second-by-listed", connections))
+                .plus(longerList.times(reports(design).value()));
+    }
+
+    /** Bytes a second of discovery to and from one controller, one that reconnects where that is the situation. */
+    Estimate discoveryBytes(Design design, Situation situation) {
+        FleetLoad load = FleetLoad.of(situation, assumptions);
+        return discoveryBytes(design, heard(design, load)).plus(Estimate.assumed(resumed(design, load, situation)));
+    }
+
+    /** Processor time of discovery: each event, and a whole list for one that begins anew. */
+    Estimate discoveryCpu(Design design, Situation situation) {
+        FleetLoad load = FleetLoad.of(situation, assumptions);
+        Estimate event = figures.at("discovery-cpu-ms-per-second-by-listed-at-100-events", listed(design))
+                .minus(figures.at("idle-cpu-ms-per-second-by-listed", listed(design))).times(1 / EVENTS_MEASURED_AT);
+        Estimate events = event.times(heard(design, load));
+        return isAnew(load, situation) ? events.plus(figures.at("whole-list-apply-ms", listed(design))
+                .times(1 / value("in-force-seconds"))) : events;
+    }
+
     /** Changes that one controller hears, a second. */
     private double heard(Design design, FleetLoad load) {
         return design == Design.BROADCAST ? load.changes()
@@ -130,22 +165,6 @@
                 : listed(design) * value("snapshot-bytes-per-server") + value("services-called") * value("config-bytes");
     }
 
-    /**
-     * An idle second with these connections, and what the longer list adds to each report, to the idle second and to each
-     * event.
-     */
-    private Estimate controllerCpu(double listed, double connections, Estimate reports, double changes, boolean anew) {
-        Estimate longerReport = figures.at("module-capacity-report-us", listed)
-                .minus(figures.at("module-capacity-report-us", connections)).times(1 / MILLIS_IN_SECOND);
-        Estimate longerIdle = figures.at("idle-cpu-ms-per-second-by-listed", listed)
-                .minus(figures.at("idle-cpu-ms-per-second-by-listed", connections));
-        Estimate event = figures.at("discovery-cpu-ms-per-second-by-listed-at-100-events", listed)
-                .times(1 / EVENTS_MEASURED_AT);
-        Estimate whole = figures.at("whole-list-apply-ms", listed).times(anew ? 1 / value("in-force-seconds") : 0);
-        return figures.at("idle-cpu-ms-per-second-by-connections", connections).plus(longerIdle)
-                .plus(longerReport.times(reports.value())).plus(event.times(changes)).plus(whole);
-    }
-
     /** The front with its list, and what a connection that is up adds. */
     private Estimate controllerMemory(double listed, double connections) {
         Estimate connection = figures.slope("memory-by-server-connections-heap-bytes")
--- a/lab/src/main/java/pathlane/lab/capacity/CapacityTables.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityTables.java
@@ -118,14 +118,14 @@
                         Markdown.number(sources + regions + zones + voters)).text();
     }
 
-    /** What breaks, the smallest size first; of a cost's situations the first to break alone. */
+    /** What breaks, the smallest size first; of a cost's bad situations the first to break alone. */
     private String breaks(Design design) {
         record Break(Limit limit, double size) { }
         Map<String, Break> first = new LinkedHashMap<>();
         for (Limit limit : limits.of(design)) {
             if (limit.at(assumptions).isKnown()) {
                 Break here = new Break(limit, limit.breaksAt(assumptions));
-                first.merge(limit.what().split(",")[0], here, (one, other) -> other.size() < one.size() ? other : one);
+                first.merge(groupOf(limit), here, (one, other) -> other.size() < one.size() ? other : one);
             }
         }
         Markdown table = new Markdown("breaks at servers", "what", "at " + Markdown.number(assumptions.value("servers")),
@@ -135,12 +135,17 @@
             table.row(one.size() <= 1 ? "any" : Markdown.number(one.size()), one.limit().what(),
                     Markdown.quantity(planned, one.limit().unit()),
                     Markdown.quantity(Estimate.exact(one.limit().budget()), one.limit().unit()),
-                    one.limit().isOver(assumptions) ? "**over**" : "within", planned.evidence().text(),
+                    one.limit().isOver(assumptions) ? "**over**" : "within", planned.basis(),
                     one.limit().mechanism());
         });
         return table.text();
     }
 
+    /** All bad situations of a cost are one group. */
+    private static String groupOf(Limit limit) {
+        return limit.what().endsWith(Situation.ORDINARY.text()) ? limit.what() : limit.what().split(",")[0];
+    }
+
     // ---- roles
 
     private String roles(Design design) {
@@ -157,7 +162,7 @@
                         ? "**" + role.text() + "**: " + cost.state() + "; " + cost.mechanism() : role.text(),
                         situations.stream().map(Situation::text).collect(Collectors.joining(", "))));
                 row.addAll(cells);
-                row.add(situations.get(0) == Situation.ORDINARY ? String.join(", ", cost.sources()) : "");
+                row.add(situations.get(0) == Situation.ORDINARY ? cost.basis().sourceNames() : "");
                 table.row(row.toArray(String[]::new));
             });
         }
@@ -173,7 +178,7 @@
         boolean noBudget = limits.budget(role, "processor").isEmpty();
         return List.of(Markdown.number(cost.messages()), Markdown.quantity(cost.bytes(), "B/s"),
                 Markdown.quantity(cost.cpuMillis(), "ms/s"), Markdown.bytes(cost.memoryBytes()),
-                noBudget ? "no budget" : over.isEmpty() ? "" : String.join(", ", over), cost.evidence().text());
+                noBudget ? "no budget" : over.isEmpty() ? "" : String.join(", ", over), cost.basis().basis());
     }
 
     private void note(List<String> over, Role role, String quantity, Estimate cost) {
@@ -203,17 +208,17 @@
         Estimate decisions = model.decisionsCpu(assumptions.value("servers"));
         table.row("processor of decisions over every server, " + Markdown.number(model.callsPerSecond()) + " calls/s",
                 Markdown.number(assumptions.value("servers")), Markdown.quantity(decisions, "ms/s"),
-                decisions.evidence().text(), String.join(", ", decisions.sources()));
+                decisions.basis(), decisions.sourceNames());
         Estimate scoped = model.decisionsCpu(called);
         table.row("the same over a controller's services", Markdown.number(called), Markdown.quantity(scoped, "ms/s"),
-                scoped.evidence().text(), String.join(", ", scoped.sources()));
+                scoped.basis(), scoped.sourceNames());
         return table.text();
     }
 
     private void call(Markdown table, String what, double size, String series, String unit) {
         Estimate figure = figures.at(series, size);
-        table.row(what, Markdown.number(Math.rint(size)), Markdown.quantity(figure, unit), figure.evidence().text(),
-                String.join(", ", figure.sources()));
+        table.row(what, Markdown.number(Math.rint(size)), Markdown.quantity(figure, unit), figure.basis(),
+                figure.sourceNames());
     }
 
     // ---- measurements
@@ -240,7 +245,7 @@
     private void scale(Markdown table, String name, double size, String of, double budget) {
         Estimate figure = figures.at(name, size);
         table.row(name, Markdown.number(Math.rint(size)) + " " + of, Markdown.number(figure), Markdown.number(budget),
-                figure.evidence().text(), figure.isKnown() ? String.join(", ", figure.sources()) : "");
+                figure.basis(), figure.isKnown() ? figure.sourceNames() : "");
     }
 
     private static Set<String> distinct(Collection<Measurement> rows, Function<Measurement, String> of) {
--- a/lab/src/main/java/pathlane/lab/capacity/Evidence.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Evidence.java
@@ -1,6 +1,6 @@
 package pathlane.lab.capacity;
 
-/** How well a figure is known, from best to worst. */
+/** What a figure rests on, from best to worst. */
 public enum Evidence {
     MEASURED("measured"),
     INTERPOLATED("between measured sizes"),
@@ -18,8 +18,4 @@
     public String text() {
         return text;
     }
-
-    Evidence worse(Evidence other) {
-        return compareTo(other) >= 0 ? this : other;
-    }
 }
--- a/lab/src/main/java/pathlane/lab/capacity/Limits.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Limits.java
@@ -12,6 +12,8 @@
     /** The bus feed takes no event of more than 256 KiB, at 27 bytes a server. */
     public static final int LONGEST_LIST = 9_708;
 
+    private static final String REPORTS = "a report a second on each connection";
+
     private final Assumptions planned;
     private final Figures figures;
 
@@ -38,7 +40,19 @@
         for (Role role : roles(design)) {
             add(limits, design, role, "bytes a second", "B/s", RoleCost::bytes);
             add(limits, design, role, "processor", "ms/s", RoleCost::cpuMillis);
-            add(limits, design, role, "memory", "B", RoleCost::memoryBytes);
+            addMemory(limits, design, role);
+        }
+        double bytes = planned.value("controller-bytes-per-second");
+        double cpu = planned.value("controller-cpu-ms");
+        limits.add(new Limit("capacity reports alone: bytes a second", design, "B/s", bytes,
+                at -> model(at).reportBytes(design), REPORTS));
+        limits.add(new Limit("capacity reports alone: processor", design, "ms/s", cpu, at -> model(at).reportCpu(design),
+                REPORTS));
+        for (Situation situation : situations(design)) {
+            limits.add(new Limit("discovery alone: bytes a second, " + situation.text(), design, "B/s", bytes,
+                    at -> model(at).discoveryBytes(design, situation), "event bus or watch"));
+            limits.add(new Limit("discovery alone: processor, " + situation.text(), design, "ms/s", cpu,
+                    at -> model(at).discoveryCpu(design, situation), "event bus or watch"));
         }
         limits.add(new Limit("call controller: resident memory of its process", design, "B",
                 planned.value("controller-memory-bytes"), at -> figures.at("start-memory-resident-bytes",
@@ -65,14 +79,27 @@
                 || role != Role.ZONE_RELAY && role != Role.REGION_RELAY).toList();
     }
 
+    /** Where there are no relays, none is lost. */
+    private static List<Situation> situations(Design design) {
+        return Arrays.stream(Situation.values()).filter(situation -> design == Design.SCOPED
+                || situation != Situation.RELAY_LOST).toList();
+    }
+
     private CapacityModel model(Assumptions at) {
         return new CapacityModel(at, figures);
     }
 
+    /** The state is the same in each situation. */
+    private void addMemory(List<Limit> limits, Design design, Role role) {
+        budget(role, "memory").ifPresent(budget -> limits.add(new Limit(role.text() + ": memory of its state", design, "B",
+                budget, at -> model(at).cost(design, role, Situation.ORDINARY).memoryBytes(),
+                model(planned).cost(design, role, Situation.ORDINARY).mechanism())));
+    }
+
     private void add(List<Limit> limits, Design design, Role role, String quantity, String unit,
                      Function<RoleCost, Estimate> figure) {
         budget(role, quantity).ifPresent(budget -> {
-            for (Situation situation : Situation.values()) {
+            for (Situation situation : situations(design)) {
                 limits.add(new Limit(role.text() + ": " + quantity + ", " + situation.text(), design, unit, budget,
                         at -> figure.apply(model(at).cost(design, role, situation)),
                         model(planned).cost(design, role, situation).mechanism()));
--- a/lab/src/main/java/pathlane/lab/capacity/RoleCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/RoleCost.java
@@ -1,8 +1,6 @@
 package pathlane.lab.capacity;
 
-import java.util.List;
-import java.util.Set;
-import java.util.TreeSet;
+import java.util.stream.Stream;
 
 /**
  * What one holder of a role bears in a situation.
@@ -17,21 +15,9 @@
 public record RoleCost(String state, Estimate messages, Estimate bytes, Estimate cpuMillis, Estimate memoryBytes,
                        String mechanism) {
 
-    /** All figures. */
-    public List<Estimate> estimates() {
-        return List.of(messages, bytes, cpuMillis, memoryBytes);
-    }
-
-    /** What the known figures rest on, by name. */
-    public Set<String> sources() {
-        Set<String> sources = new TreeSet<>();
-        estimates().stream().filter(Estimate::isKnown).forEach(one -> sources.addAll(one.sources()));
-        return sources;
-    }
-
-    /** The worst evidence among the known figures. */
-    public Evidence evidence() {
-        return estimates().stream().filter(Estimate::isKnown).map(Estimate::evidence)
-                .reduce(Evidence.MEASURED, Evidence::worse);
+    /** What the known figures rest on together, as one that is nought. */
+    public Estimate basis() {
+        return Stream.of(messages, bytes, cpuMillis, memoryBytes).filter(Estimate::isKnown).map(one -> one.times(0))
+                .reduce(Estimate::plus).orElse(Estimate.missing(""));
     }
 }
--- a/lab/src/main/java/pathlane/lab/capacity/Series.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Series.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
@@ -71,7 +70,6 @@
     }
 
     private Estimate estimate(double value, Evidence evidence) {
-        return new Estimate(value, evidence, Set.of(String.format("%s (%,.0f to %,.0f)", name, means.firstKey(),
-                means.lastKey())));
+        return Estimate.of(value, evidence, name);
     }
 }
--- a/lab/src/test/java/pathlane/lab/capacity/SeriesTest.java
+++ b/lab/src/test/java/pathlane/lab/capacity/SeriesTest.java
@@ -8,6 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -37,16 +38,16 @@
     @Test
     void aMeasuredSizeGivesItsMean() {
         assertEquals(210, series().at(100).value(), CLOSE);
-        assertEquals(Evidence.MEASURED, series().at(100).evidence());
+        assertEquals(Set.of(Evidence.MEASURED), series().at(100).evidence());
     }
 
     @Test
     void betweenSizesALineIsDrawnAndBeyondThemTheFitIsUsed() {
         assertEquals(20, series().at(5).value(), CLOSE);
-        assertEquals(Evidence.INTERPOLATED, series().at(5).evidence());
+        assertEquals(Set.of(Evidence.INTERPOLATED), series().at(5).evidence());
         assertEquals(2010, series().at(1000).value(), CLOSE);
-        assertEquals(Evidence.EXTRAPOLATED, series().at(1000).evidence());
-        assertEquals(List.of("cost-us (0 to 200)"), List.copyOf(series().at(1000).sources()));
+        assertEquals(Set.of(Evidence.EXTRAPOLATED), series().at(1000).evidence());
+        assertEquals(Set.of("cost-us"), series().at(1000).sources());
     }
 
     @Test
