--- a/lab/src/main/java/pathlane/lab/capacity/measure/StandInPlatform.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/StandInPlatform.java
@@ -34,7 +34,7 @@
     private long events;
 
     StandInPlatform() throws InterruptedException {
-        bus = loop.call(() -> new EventBus(loop, (controller, place) -> serverPort));
+        bus = loop.call(() -> new EventBus(loop, (controller, place) -> NOBODY));
         SessionServer servers = loop.call(() -> new SessionServer("servers", loop, Duration.ZERO, Duration.ZERO,
                 (what, who, peer, call, text) -> { }));
         loop.listen(serverPort, () -> toldByServers.counting(servers.accept("n1")));
