--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -66,7 +66,7 @@
         this.terms = terms;
         this.scheduler = scheduler;
         this.random = random;
-        this.encoder = new UpdateEncoder(catalogue, metrics);
+        this.encoder = new UpdateEncoder(catalogue, metrics, UpdateEncoder.MOST_CACHED_BYTES);
         this.admission = new WatchAdmission(terms.watchesPerSecond(), terms.watchBurst(), scheduler.now(), random);
         this.tickEvery = terms.bookmarkEvery().dividedBy(TICKS);
         catalogue.addListener(new Changes());
--- a/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
+++ b/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
@@ -15,7 +15,7 @@
 final class UpdateEncoder {
 
     /** The snapshots of a fleet of 26,000 endpoints take about 1 MiB, the deltas of a busy second much less. */
-    private static final long MOST_CACHED_BYTES = 16 << 20;
+    static final long MOST_CACHED_BYTES = 16 << 20;
 
     /** What was encoded of one service at its present revision, by what the subscribers hold. */
     private static final class Encoded {
@@ -26,13 +26,15 @@
 
     private final Catalogue catalogue;
     private final PublisherMetrics metrics;
+    private final long mostCachedBytes;
     /** By service, the least recently used first. */
     private final Map<String, Encoded> cache = new LinkedHashMap<>(16, 0.75f, true);
     private long cachedBytes;
 
-    UpdateEncoder(Catalogue catalogue, PublisherMetrics metrics) {
+    UpdateEncoder(Catalogue catalogue, PublisherMetrics metrics, long mostCachedBytes) {
         this.catalogue = catalogue;
         this.metrics = metrics;
+        this.mostCachedBytes = mostCachedBytes;
     }
 
     /** A service has changed: what was encoded of it is of the past. */
@@ -123,9 +125,14 @@
     private void added(Encoded encoded, int bytes) {
         encoded.bytes += bytes;
         cachedBytes += bytes;
-        for (Iterator<Encoded> oldest = cache.values().iterator(); cachedBytes > MOST_CACHED_BYTES; ) {
+        for (Iterator<Encoded> oldest = cache.values().iterator(); cachedBytes > mostCachedBytes; ) {
             cachedBytes -= oldest.next().bytes;
             oldest.remove();
         }
     }
+
+    /** Bytes of encoded changes that are kept. */
+    long cachedBytes() {
+        return cachedBytes;
+    }
 }
