--- a/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -17,16 +17,15 @@
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
 import pathlane.decision.Gateway.Mode;
-import pathlane.discovery.WatchTerms;
 import pathlane.discovery.WatchTerms.PublisherAddress;
 import pathlane.lab.Faults;
 import pathlane.lab.History;
 import pathlane.lab.Witness.What;
 
 /**
- * Discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar, an event bus and
- * watch clients of the rig's own, with a {@link Relay} on every link. Knows what the bus has told, and so what every client
- * must end at. Everything it starts it ends, by its own ids. Used from one thread.
+ * Discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar, an event bus
+ * and watch clients of the rig's own, with a {@link Relay} on every link. Knows what the bus has told, and so what every
+ * client must end at. Everything it starts it ends, by its own ids. Used from one thread.
  */
 public final class DiscoveryRig implements AutoCloseable {
 
@@ -54,8 +53,8 @@
     static final String KEYS = "k1 " + "5a".repeat(32) + "\n";
     private static final String WATCH = "[watch]\nbackoff-first-ms = 50\nbackoff-most-ms = 400\nsilent-after-ms = 2000\n"
             + "return-within-ms = 200\n";
-    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xmx128m",
-            "-Xss512k", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true");
+    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto",
+            "-Xmx128m", "-Xss512k", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true");
 
     private final Shape shape;
     private final Path folder;
@@ -114,7 +113,8 @@
         for (int cell = 0; cell < shape.services.size(); cell++) {
             services.append(shape.services.get(cell)).append(" = [").append(cell).append("]\n");
         }
-        return common("source", SOURCE) + "epoch-file = 's.epoch'\nbus = '" + HOST + ":" + port + "'\n" + services + limits();
+        return common("source", SOURCE) + "epoch-file = 's.epoch'\nbus = '" + HOST + ":" + port + "'\n" + services
+                + limits();
     }
 
     private String relayText(RelayShape one) throws InterruptedException {
--- a/lab/src/main/java/pathlane/lab/rig/WatchClients.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchClients.java
@@ -63,8 +63,8 @@
             nonces.nextBytes(nonce);
             return nonce;
         }, loop, new LimitedLog("rig", loop));
-        WatchTerms terms = new WatchTerms(shape.name(), shape.zone(), shape.region(), publishers, BACKOFF_FIRST, BACKOFF_MOST,
-                SILENT_AFTER, RETURN_WITHIN);
+        WatchTerms terms = new WatchTerms(shape.name(), shape.zone(), shape.region(), publishers, BACKOFF_FIRST,
+                BACKOFF_MOST, SILENT_AFTER, RETURN_WITHIN);
         WatchWitness witness = new WatchWitness(shape.name(), told::hasGone);
         WatchClient client = new WatchClient(terms, dialer, common, loop, random.split(), witness);
         shape.services().forEach(client::watch);
--- a/relay/src/main/java/pathlane/relay/BusSource.java
+++ b/relay/src/main/java/pathlane/relay/BusSource.java
@@ -26,8 +26,8 @@
     /** The bus tells its whole list to whoever knows no event yet. */
     private static final long NO_EVENT = 0;
     private static final Duration LOOK_EVERY = Duration.ofSeconds(1);
-    /** One heartbeat of the bus that is late, or lost with a connection, is not worth a word to every subscriber. */
-    private static final Duration STALE_AFTER = Duration.ofSeconds(2);
+    /** It says something each second; one heartbeat that is late or lost is not worth a word to every subscriber. */
+    private static final Duration STALE_AFTER = Duration.ofMillis(2500);
 
     private final BusOrigin origin;
     private final Source source;
@@ -36,8 +36,7 @@
     private final BusFeed bus;
     private Map<String, String> configurations;
     private boolean hasList;
-    /** Since when each look has found the bus silent. */
-    private Optional<Instant> silentSince = Optional.empty();
+    private Instant startedAt = Instant.MIN;
 
     BusSource(BusOrigin origin, Source source, Dialer dialer, Scheduler scheduler, long seed) {
         this.origin = origin;
@@ -59,6 +58,7 @@
     @Override
     public void start() {
         bus.caughtUp().thenRun(this::completeOnceListed);
+        startedAt = scheduler.now();
         bus.follow(origin.bus());
         followStaleness();
     }
@@ -100,14 +100,17 @@
 
     @Override
     public String details() {
-        return "bus=" + (bus.isCurrent() ? "current" : "silent") + " unassigned=" + directory.unassigned();
+        return "bus=" + (silentSince().isEmpty() ? "current" : "silent") + " unassigned=" + directory.unassigned();
     }
 
     /** What the bus does not tell can't be published: subscribers are told since when. */
     private void followStaleness() {
-        Instant now = scheduler.now();
-        silentSince = bus.isCurrent() ? Optional.empty() : silentSince.or(() -> Optional.of(now));
-        source.publisher().setStaleSince(silentSince.filter(since -> !now.isBefore(since.plus(STALE_AFTER))));
+        source.publisher().setStaleSince(silentSince());
         scheduler.after(LOOK_EVERY, this::followStaleness);
     }
+
+    private Optional<Instant> silentSince() {
+        Instant last = bus.lastFrame().isAfter(startedAt) ? bus.lastFrame() : startedAt;
+        return scheduler.now().isBefore(last.plus(STALE_AFTER)) ? Optional.empty() : Optional.of(last);
+    }
 }
--- a/relay/src/main/java/pathlane/relay/ProgramFile.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFile.java
@@ -45,8 +45,8 @@
      * @param services the cells of each service; no cell is in two
      * @param configurations the configuration of each service that has one
      */
-    record BusOrigin(InetSocketAddress bus, Map<String, Set<Integer>> services, Map<String, ConfigurationText> configurations)
-            implements Origin { }
+    record BusOrigin(InetSocketAddress bus, Map<String, Set<Integer>> services,
+                     Map<String, ConfigurationText> configurations) implements Origin { }
 
     /** A file with the whole catalogue, read again at SIGHUP. */
     record CatalogueOrigin(Path catalogue) implements Origin { }
--- a/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
+++ b/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
@@ -55,7 +55,8 @@
     void aServerThatMovesToAnotherCellLeavesItsFormerService() {
         apply(true, line(4, 1, Mode.RUNNING));
         assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L)),
-                "b", new EndpointChange(List.of(line(4, 3, Mode.RUNNING)), List.of())), apply(false, line(4, 3, Mode.RUNNING)));
+                "b", new EndpointChange(List.of(line(4, 3, Mode.RUNNING)), List.of())),
+                apply(false, line(4, 3, Mode.RUNNING)));
         assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(4L))), apply(false, line(4, 9, Mode.RUNNING)));
         assertEquals(1, directory.unassigned());
     }
--- a/wire/src/main/java/pathlane/bus/BusFeed.java
+++ b/wire/src/main/java/pathlane/bus/BusFeed.java
@@ -55,6 +55,7 @@
     private final Runnable unreachable;
     private Instant lookedElsewhere = Instant.MIN;
     /** When the bus last said something whole. */
+    private Instant lastFrame = Instant.MIN;
     private Instant lastReceived = Instant.MIN;
     private InetSocketAddress bus;
     private long last;
@@ -110,6 +111,14 @@
         return caughtUp;
     }
 
+    /**
+     * When the bus itself last said something whole; {@link Instant#MIN} before. Unlike {@link #isCurrent} it takes no
+     * connection for a word: a bus that accepts connections and tells nothing is silent.
+     */
+    public Instant lastFrame() {
+        return lastFrame;
+    }
+
     /** Whether the bus was heard so lately that it would have told of a change; always where none is followed. */
     public boolean isCurrent() {
         return bus == null || !lastReceived.plus(CURRENT).isBefore(scheduler.now());
@@ -169,6 +178,7 @@
             try {
                 if (assembler.feed(bytes, this::frame) > 0) {
                     lastReceived = scheduler.now();
+                    lastFrame = lastReceived;
                     silence.cancel();   // a whole event came: half of one that then stops is silence too
                     await();
                 }
