--- a/lab/src/main/java/pathlane/lab/scale/BaselineControllers.java
+++ b/lab/src/main/java/pathlane/lab/scale/BaselineControllers.java
@@ -17,8 +17,8 @@
 import pathlane.net.Network;
 
 /**
- * Hollow controllers as they are without scoped watches: each follows the event bus, and its decision module is told of every
- * server. On the loop's thread.
+ * Hollow controllers as they are without scoped watches: each follows the event bus, and its decision module is told of
+ * every server. On the loop's thread.
  */
 final class BaselineControllers {
 
@@ -60,7 +60,7 @@
 
         Controller(int number) {
             logic = new Logic(settings, number, new IdleActions(loop, this::woken));
-            feed = new BusFeed(0, dialer, loop, new SplittableRandom(number), this::told, () -> { });
+            feed = new BusFeed(0, dialer, loop, new SplittableRandom(number), this::told, () -> {});
         }
 
         /** Keeps the list beside the decision module, as the program does. */
--- a/lab/src/main/java/pathlane/lab/scale/BaselineResult.java
+++ b/lab/src/main/java/pathlane/lab/scale/BaselineResult.java
@@ -11,4 +11,4 @@
  * @param changes that were told
  * @param cost of one controller
  */
-record BaselineResult(int servers, long wholeListBytes, boolean wholeListRefused, int changes, ControllerCost cost) { }
+record BaselineResult(int servers, long wholeListBytes, boolean wholeListRefused, int changes, ControllerCost cost) {}
--- a/lab/src/main/java/pathlane/lab/scale/BaselineRun.java
+++ b/lab/src/main/java/pathlane/lab/scale/BaselineRun.java
@@ -26,7 +26,7 @@
     private final Deadline deadline;
 
     BaselineRun(ScalePlan.Baseline baseline, List<ServerLine> list, FleetLayout layout, SourceHost source,
-                ProcessFleet fleet, Deadline deadline) {
+            ProcessFleet fleet, Deadline deadline) {
         this.baseline = baseline;
         this.list = list;
         this.layout = layout;
--- a/lab/src/main/java/pathlane/lab/scale/ControlMessage.java
+++ b/lab/src/main/java/pathlane/lab/scale/ControlMessage.java
@@ -10,46 +10,46 @@
 sealed interface ControlMessage {
 
     /** From the run to a process. */
-    sealed interface Command extends ControlMessage { }
+    sealed interface Command extends ControlMessage {}
 
     /** From a process to the run. */
-    sealed interface Answer extends ControlMessage { }
+    sealed interface Answer extends ControlMessage {}
 
     /** Starts all controllers of the process; answered by {@link Done}. */
-    record StartControllers() implements Command { }
+    record StartControllers() implements Command {}
 
     /** Answered by {@link Status}. */
-    record GetStatus() implements Command { }
+    record GetStatus() implements Command {}
 
     /** Figures start from nought; answered by {@link Done}. */
-    record BeginDay() implements Command { }
+    record BeginDay() implements Command {}
 
     /** Answered by {@link Figures}. */
-    record GetFigures() implements Command { }
+    record GetFigures() implements Command {}
 
     /** Compares all that is in force with the source's digests in a file; answered by {@link Verdict}. */
-    record Verify(String digestFile) implements Command { }
+    record Verify(String digestFile) implements Command {}
 
     /** Breaks all connections at once; answered by {@link Done}. */
-    record BreakConnections() implements Command { }
+    record BreakConnections() implements Command {}
 
     /** Frees memory that nothing refers to; answered by {@link Done}. */
-    record CollectGarbage() implements Command { }
+    record CollectGarbage() implements Command {}
 
     /** The controllers stop, and that many follow the event bus at this address; answered by {@link Done}. */
-    record StartBaseline(int controllers, String host, int port) implements Command { }
+    record StartBaseline(int controllers, String host, int port) implements Command {}
 
     /** Answered by {@link BaselineStatus}. */
-    record GetBaselineStatus() implements Command { }
+    record GetBaselineStatus() implements Command {}
 
     /** The process ends. */
-    record End() implements Command { }
+    record End() implements Command {}
 
     /** The process can be commanded. */
-    record Ready() implements Answer { }
+    record Ready() implements Answer {}
 
     /** A command was carried out. */
-    record Done() implements Answer { }
+    record Done() implements Answer {}
 
     /**
      * How far the controllers are.
@@ -59,7 +59,8 @@
      * @param lowestInForce the least revision in force of all
      * @param furthestBehind the name of a controller that has only that in force; empty where there is none
      */
-    record Status(int controllers, int connected, long connections, long lowestInForce, String furthestBehind) implements Answer { }
+    record Status(int controllers, int connected, long connections, long lowestInForce,
+            String furthestBehind) implements Answer {}
 
     /**
      * What was counted since the day began.
@@ -68,7 +69,7 @@
      * @param endpoints servers in the controllers' lists, added up
      */
     record Figures(int controllers, long endpoints, List<RegionFigures> regions, long bytesReceived, long bytesWritten,
-                   WatchFigures watches) implements Answer { }
+            WatchFigures watches) implements Answer {}
 
     /**
      * What was measured in one region.
@@ -76,11 +77,12 @@
      * @param histogram times from commit to in force in microseconds, an HdrHistogram compressed in Base64
      * @param lastInForceMicros when a change last came in force, in microseconds of Unix time; 0 for never
      */
-    record RegionFigures(String histogram, long lastInForceMicros) { }
+    record RegionFigures(String histogram, long lastInForceMicros) {}
 
     /** The watch clients' counters, added up. */
-    record WatchFigures(long connections, long messages, long snapshots, long deltas, long bookmarks, long refused, long gaps,
-                        long withheld) {
+    record WatchFigures(long connections, long messages, long snapshots, long deltas, long bookmarks, long refused,
+            long gaps,
+            long withheld) {
 
         static final WatchFigures NONE = new WatchFigures(0, 0, 0, 0, 0, 0, 0, 0);
 
@@ -102,7 +104,7 @@
      *
      * @param examples some of what differs, one sentence each
      */
-    record Verdict(long equal, long different, List<String> examples) implements Answer { }
+    record Verdict(long equal, long different, List<String> examples) implements Answer {}
 
     /**
      * How far the controllers are that follow the event bus.
@@ -110,7 +112,7 @@
      * @param lowestEvent the least event in force of all
      * @param bytesReceived since the baseline started
      */
-    record BaselineStatus(int controllers, long lowestEvent, long bytesReceived) implements Answer { }
+    record BaselineStatus(int controllers, long lowestEvent, long bytesReceived) implements Answer {}
 
     /** A message as a line: its type's name, a space and its content as JSON. */
     static String line(ControlMessage message) {
@@ -132,7 +134,7 @@
 
         private static final Gson GSON = new Gson();
 
-        private Lines() { }
+        private Lines() {}
 
         private static Object parse(String line, Class<?> kind) {
             int space = line.indexOf(' ');
--- a/lab/src/main/java/pathlane/lab/scale/CostMeter.java
+++ b/lab/src/main/java/pathlane/lab/scale/CostMeter.java
@@ -66,7 +66,7 @@
 
     /** What one controller of these processes costs, above an empty process. */
     ControllerCost controllerCost(List<ChildProcess> processes, ChildProcess empty, List<ControlMessage.Figures> figures,
-                                  boolean withMemory) {
+            boolean withMemory) {
         long controllers = figures.stream().mapToLong(ControlMessage.Figures::controllers).sum();
         double endpoints = figures.stream().mapToLong(ControlMessage.Figures::endpoints).sum();
         double bytes = figures.stream().mapToLong(one -> one.bytesReceived() + one.bytesWritten()).sum();
--- a/lab/src/main/java/pathlane/lab/scale/CountedDialer.java
+++ b/lab/src/main/java/pathlane/lab/scale/CountedDialer.java
@@ -9,7 +9,7 @@
 import pathlane.link.Dialer;
 import pathlane.link.Protocol;
 
-/** Counts what one controller reads from and writes to its connections, and can break the one that is up. On the loop's thread. */
+/** Counts what one controller reads and writes, and can break the connection that is up. On the loop's thread. */
 final class CountedDialer implements Dialer {
 
     private final Dialer dialer;
--- a/lab/src/main/java/pathlane/lab/scale/DayPlayer.java
+++ b/lab/src/main/java/pathlane/lab/scale/DayPlayer.java
@@ -40,7 +40,7 @@
     private final Deadline deadline;
 
     DayPlayer(ScalePlan plan, FleetLayout layout, Topology topology, SourceHost source, ProcessFleet fleet,
-              RunFolder folder, Deadline deadline) {
+            RunFolder folder, Deadline deadline) {
         this.plan = plan;
         this.layout = layout;
         this.topology = topology;
@@ -191,7 +191,9 @@
                 rootFigures(revision), meter.controllerCost(fleet.hollow(), fleet.empty(), hollow, withMemory),
                 meter.controllerCost(fleet.single(), fleet.empty(), single, withMemory),
                 holderCosts(meter, Stream.of(fleet.hollow(), fleet.single()).flatMap(List::stream).toList(), all),
-                fleet.real().stream().map(meter::cost).toList(), relayCosts(meter), meter.ownCost(sentBySource() - sentBefore), all.stream().map(Figures::watches).reduce(WatchFigures.NONE, WatchFigures::plus), verify(),
+                fleet.real().stream().map(meter::cost).toList(), relayCosts(meter),
+                meter.ownCost(sentBySource() - sentBefore),
+                all.stream().map(Figures::watches).reduce(WatchFigures.NONE, WatchFigures::plus), verify(),
                 note);
     }
 
@@ -200,7 +202,7 @@
     }
 
     private static List<DayResult.HolderCost> holderCosts(CostMeter meter, List<ChildProcess> processes,
-                                                          List<Figures> figures) {
+            List<Figures> figures) {
         return IntStream.range(0, processes.size())
                 .mapToObj(place -> meter.holderCost(processes.get(place), figures.get(place))).toList();
     }
--- a/lab/src/main/java/pathlane/lab/scale/DayResult.java
+++ b/lab/src/main/java/pathlane/lab/scale/DayResult.java
@@ -24,8 +24,9 @@
  * @param note what else is to be said of the day; may be empty
  */
 record DayResult(Day day, double seconds, long revisions, Histogram inForce, RootFigures root, ControllerCost hollow,
-                 ControllerCost single, List<HolderCost> processes, List<ProcessCost> real,
-                 Map<String, RelayCost> relays, ProcessCost source, WatchFigures watches, ControlMessage.Verdict verdict, String note) {
+        ControllerCost single, List<HolderCost> processes, List<ProcessCost> real,
+        Map<String, RelayCost> relays, ProcessCost source, WatchFigures watches, ControlMessage.Verdict verdict,
+        String note) {
 
     /**
      * How the source saw the day.
@@ -35,7 +36,7 @@
      * @param p99Millis 99 in 100 were
      * @param maxMillis all were
      */
-    record RootFigures(long revisions, double p50Millis, double p99Millis, double maxMillis) { }
+    record RootFigures(long revisions, double p50Millis, double p99Millis, double maxMillis) {}
 
     /**
      * One controller's cost, the mean of its kind.
@@ -47,24 +48,25 @@
      * @param memoryMegabytes resident, without what an empty process takes; NaN where it was not measured
      */
     record ControllerCost(long controllers, double meanEndpoints, double bytesPerSecond, double cpuPercent,
-                          double memoryMegabytes) { }
+            double memoryMegabytes) {}
 
     /** One process's cost. */
-    record ProcessCost(double bytesPerSecond, double cpuPercent, double memoryMegabytes) { }
+    record ProcessCost(double bytesPerSecond, double cpuPercent, double memoryMegabytes) {}
 
     /** The cost of a process that holds controllers, as a whole. */
-    record HolderCost(int controllers, ProcessCost cost) { }
+    record HolderCost(int controllers, ProcessCost cost) {}
 
     /**
      * One relay's cost.
      *
      * @param subscribers controllers of its zone, or zone relays of its region, for each relay there
      */
-    record RelayCost(double subscribers, ProcessCost cost) { }
+    record RelayCost(double subscribers, ProcessCost cost) {}
 
     /** Relays that controllers connect to. */
     List<RelayCost> zoneRelays() {
-        return relays.entrySet().stream().filter(relay -> relay.getKey().startsWith("zone-")).map(Map.Entry::getValue).toList();
+        return relays.entrySet().stream().filter(relay -> relay.getKey().startsWith("zone-")).map(Map.Entry::getValue)
+                .toList();
     }
 
     /** Relays that only relays connect to. */
--- a/lab/src/main/java/pathlane/lab/scale/FigureFiles.java
+++ b/lab/src/main/java/pathlane/lab/scale/FigureFiles.java
@@ -96,7 +96,7 @@
         }
     }
 
-    /** The line through the figures of all smaller fleets of the same commit; empty where there are not two sizes of them. */
+    /** The line through the figures of all smaller fleets of the same commit; empty for less than two sizes. */
     Optional<LinearFit> lineBelow(Day day, Quantity quantity, int controllers) throws IOException {
         Path file = folder.resolve(fileName(day, quantity.file));
         if (Files.notExists(file)) {
--- a/lab/src/main/java/pathlane/lab/scale/FleetLayout.java
+++ b/lab/src/main/java/pathlane/lab/scale/FleetLayout.java
@@ -50,7 +50,8 @@
         SplittableRandom random = new SplittableRandom(fleet.seed());
         double[] excess = IntStream.range(0, fleet.services())
                 .mapToDouble(service -> Math.min(fleet.largestService(),
-                        Math.pow(1 - random.nextDouble(), -1 / fleet.sizeShape())) - 1).toArray();
+                        Math.pow(1 - random.nextDouble(), -1 / fleet.sizeShape())) - 1)
+                .toArray();
         double excessTogether = Arrays.stream(excess).sum();
         int toShare = fleet.controllers() - fleet.services();
         int[] sizes = new int[fleet.services()];
@@ -129,9 +130,10 @@
     /** A session server as the catalogue lists it. */
     ServerLine line(int server, Mode mode, Instant startedAt) {
         byte[] address = {LOOPBACK, (byte) (FIRST_BLOCK + (server >> 2 * BYTE_BITS)), (byte) (server >> BYTE_BITS),
-            (byte) server};
+                (byte) server};
         try {
-            return new ServerLine(serverId(server), new InetSocketAddress(InetAddress.getByAddress(address), SERVER_PORT), mode,
+            return new ServerLine(serverId(server), new InetSocketAddress(InetAddress.getByAddress(address), SERVER_PORT),
+                    mode,
                     zoneOf(server), 1, startedAt);
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);   // four bytes are an address
--- a/lab/src/main/java/pathlane/lab/scale/HollowController.java
+++ b/lab/src/main/java/pathlane/lab/scale/HollowController.java
@@ -38,7 +38,7 @@
      * @param dialer opens the connections; each controller counts its own
      */
     record Environment(Dialer dialer, Scheduler scheduler, Keys keys, LimitedLog log, Settings settings,
-                       InForceRecorder recorder) { }
+            InForceRecorder recorder) {}
 
     /** One service's decision module, and the revision that it was told. */
     private final class ListedService {
@@ -195,6 +195,6 @@
         }
 
         @Override
-        public void status(PublisherStatus status) { }
+        public void status(PublisherStatus status) {}
     }
 }
--- a/lab/src/main/java/pathlane/lab/scale/HollowProcess.java
+++ b/lab/src/main/java/pathlane/lab/scale/HollowProcess.java
@@ -34,8 +34,8 @@
     private static final List<Logger> QUIET = List.of(Logger.getLogger("discovery"), Logger.getLogger("bus"));
     private static final int MOST_EXAMPLES = 5;
     /**
-     * Controllers that have started and lack the first state of a service. Guards against a process with thousands of first snapshots
-     * in its one loop: its relays would take its controllers for dead. A real controller is alone in its process.
+     * Controllers that have started and lack the first state of a service. Guards against a process with thousands of first
+     * snapshots in its one loop: its relays would take its controllers for dead. A real controller is alone in its process.
      */
     private static final int MOST_STARTING = 50;
     private static final Duration LOOK_EVERY = Duration.ofMillis(10);
@@ -153,7 +153,8 @@
         int connected = (int) controllers.stream().filter(HollowController::isConnected).count();
         long connections = watches().minus(watchesBefore).connections();
         return controllers.stream().min(Comparator.comparingLong(HollowController::inForce))
-                .map(last -> new ControlMessage.Status(controllers.size(), connected, connections, last.inForce(), last.name()))
+                .map(last -> new ControlMessage.Status(controllers.size(), connected, connections, last.inForce(),
+                        last.name()))
                 .orElse(new ControlMessage.Status(0, 0, 0, Long.MAX_VALUE, ""));
     }
 
--- a/lab/src/main/java/pathlane/lab/scale/IdleActions.java
+++ b/lab/src/main/java/pathlane/lab/scale/IdleActions.java
@@ -22,17 +22,17 @@
     }
 
     @Override
-    public void send(String call, long server, double giveUpAfterMs) { }
+    public void send(String call, long server, double giveUpAfterMs) {}
 
     @Override
-    public void refuse(String call, double adviseMs) { }
+    public void refuse(String call, double adviseMs) {}
 
     @Override
-    public void fail(String call) { }
+    public void fail(String call) {}
 
     @Override
-    public void cancel(String call, int attempt) { }
+    public void cancel(String call, int attempt) {}
 
     @Override
-    public void askForList() { }
+    public void askForList() {}
 }
--- a/lab/src/main/java/pathlane/lab/scale/InForceRecorder.java
+++ b/lab/src/main/java/pathlane/lab/scale/InForceRecorder.java
@@ -32,7 +32,7 @@
         Arrays.fill(lastInForce, Instant.EPOCH);
     }
 
-    /** Everything of one service after {@code held}, up to {@code number}, is in force at a controller of this region now. */
+    /** What one service has after {@code held}, up to {@code number}, is in force at a controller of a region now. */
     void inForce(int region, long held, long number, Instant now) {
         commits.ages(held, number, now, histograms[region]::recordValue);
         lastInForce[region] = now;
--- a/lab/src/main/java/pathlane/lab/scale/OnLoop.java
+++ b/lab/src/main/java/pathlane/lab/scale/OnLoop.java
@@ -12,7 +12,7 @@
 
     private static final int MOST_SECONDS = 60;
 
-    private OnLoop() { }
+    private OnLoop() {}
 
     static <T> T call(EventLoop loop, Callable<T> task) throws InterruptedException {
         CompletableFuture<T> result = new CompletableFuture<>();
--- a/lab/src/main/java/pathlane/lab/scale/ProcessFleet.java
+++ b/lab/src/main/java/pathlane/lab/scale/ProcessFleet.java
@@ -1,5 +1,6 @@
 package pathlane.lab.scale;
 
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -74,7 +75,20 @@
         Path file = folder.folder().resolve(relay.name() + ".toml");
         RelayFile.write(file, topology, relay, plan.relays(), folder.keysFile());
         return child(relay.name(), List.of(SMALL_FIRST_HEAP, "-Xmx" + plan.relays().heapMegabytes() + "m",
-                "-XX:+UseSerialGC", "-jar", home.resolve(RELAY_JAR).toString(), file.toString()));
+                "-XX:+UseSerialGC", "-jar", built(home, RELAY_JAR).toString(), file.toString()));
+    }
+
+    /**
+     * A jar of the project's.
+     *
+     * @throws IllegalArgumentException where it is not there
+     */
+    static Path built(Path home, Path jar) {
+        if (!Files.isReadable(home.resolve(jar))) {
+            throw new IllegalArgumentException(home.resolve(jar)
+                    + " is not there: build the project first (mvn -q -DskipTests package)");
+        }
+        return home.resolve(jar);
     }
 
     /** Each second process holds twice as many, so that a line through them tells a controller's cost from a process's. */
@@ -155,7 +169,7 @@
 
     /** Asks processes at once, and has their answers in their order. */
     static <A extends ControlMessage.Answer> List<A> ask(List<ChildProcess> processes, ControlMessage.Command question,
-                                                         Class<A> answer) {
+            Class<A> answer) {
         processes.forEach(process -> process.send(question));
         return processes.stream().map(process -> process.await(answer)).toList();
     }
--- a/lab/src/main/java/pathlane/lab/scale/RealController.java
+++ b/lab/src/main/java/pathlane/lab/scale/RealController.java
@@ -48,7 +48,8 @@
             throw new UncheckedIOException(e);
         }
         List<String> command = new ArrayList<>(Rig.programCommand());
-        command.addAll(List.of("-jar", home.resolve(JAR).toString(), "serve", "--discovery", discovery.toString()));
+        command.addAll(
+                List.of("-jar", ProcessFleet.built(home, JAR).toString(), "serve", "--discovery", discovery.toString()));
         this.process = new ChildProcess(name, command, folder.logFile(name)).with("RELAY_CONFIG", configuration.toString());
     }
 
@@ -75,8 +76,9 @@
     void start(Deadline deadline) throws InterruptedException {
         process.start();
         try (RigLoop loop = new RigLoop()) {
-            ScriptedCaller caller = loop.call(() -> new ScriptedCaller("caller", 1, (controller, protocol) ->
-                    loop.dial(new InetSocketAddress(HOST, port), DIAL_TIMEOUT, protocol), new History(System::nanoTime)));
+            ScriptedCaller caller = loop.call(() -> new ScriptedCaller("caller", 1,
+                    (controller, protocol) -> loop.dial(new InetSocketAddress(HOST, port), DIAL_TIMEOUT, protocol),
+                    new History(System::nanoTime)));
             while (!loop.call(() -> caller.isConnected(name))) {
                 deadline.check(() -> name + " does not serve");
                 loop.run(() -> caller.connect(name));
--- a/lab/src/main/java/pathlane/lab/scale/RegionGate.java
+++ b/lab/src/main/java/pathlane/lab/scale/RegionGate.java
@@ -9,7 +9,7 @@
 import pathlane.link.Connection;
 import pathlane.link.Protocol;
 
-/** The way from one region to the source: while it is cut, connections are broken, and new ones break as soon as they are up. */
+/** The way from one region to the source: while it is cut, connections break, new ones as soon as they are up. */
 final class RegionGate {
 
     private final Set<Connection> open = new LinkedHashSet<>();
--- a/lab/src/main/java/pathlane/lab/scale/RelayFile.java
+++ b/lab/src/main/java/pathlane/lab/scale/RelayFile.java
@@ -9,7 +9,7 @@
 /** The file of a relay's program, as deploy/relay.toml has it; what it does not name is as usual. */
 final class RelayFile {
 
-    private RelayFile() { }
+    private RelayFile() {}
 
     /** Writes a relay's file, beside that of the keys. */
     static void write(Path file, Topology topology, Topology.Publisher relay, ScalePlan.Relays limits, Path keys) {
--- a/lab/src/main/java/pathlane/lab/scale/RootView.java
+++ b/lab/src/main/java/pathlane/lab/scale/RootView.java
@@ -11,7 +11,7 @@
 import pathlane.discovery.Revision;
 
 /**
- * How the source sees the changes come in force: by the progress that relays report, with messages that grow with the relays.
+ * How the source sees the changes come in force: by the progress that relays report.
  * On the source's loop.
  */
 final class RootView {
--- a/lab/src/main/java/pathlane/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleCommand.java
@@ -11,7 +11,8 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code lab scale FILE}: plays discovery at size, prints its figures and appends them to files. */
-@Command(name = "scale", description = "Plays discovery with thousands of hollow controllers; docs/LAB.md has the file's keys.",
+@Command(name = "scale",
+        description = "Plays discovery with thousands of hollow controllers; docs/LAB.md has the file's keys.",
         mixinStandardHelpOptions = true)
 public final class ScaleCommand implements Callable<Integer> {
 
--- a/lab/src/main/java/pathlane/lab/scale/ScaleFile.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleFile.java
@@ -86,7 +86,8 @@
 
     private static ScalePlan.Processes processes(Table table) {
         ScalePlan.Processes processes = new ScalePlan.Processes(table.whole("hollow", 1, 100), table.whole("single", 0, 50),
-                table.whole("real", 0, 50), table.whole("hollow-heap-mb", 16, 4096), table.whole("seconds-at-most", 1, MOST_SECONDS));
+                table.whole("real", 0, 50), table.whole("hollow-heap-mb", 16, 4096),
+                table.whole("seconds-at-most", 1, MOST_SECONDS));
         table.refuseOthers();
         if (processes.real() > processes.single()) {
             throw table.unusable("real", "more than there are single ones, whose services they watch");
--- a/lab/src/main/java/pathlane/lab/scale/ScalePlan.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScalePlan.java
@@ -28,7 +28,7 @@
      * @param seed of all draws
      */
     public record Fleet(int controllers, int services, int largestService, double sizeShape, int calls,
-                        double callPopularity, int configurationBytes, int regions, int zones, long seed) { }
+            double callPopularity, int configurationBytes, int regions, int zones, long seed) {}
 
     /**
      * The relays.
@@ -39,7 +39,7 @@
      * @param bookmarkMillis time between bookmarks on a connection
      * @param heapMegabytes heap of a relay's process
      */
-    public record Relays(int inRegions, int inZones, int subscribers, int bookmarkMillis, int heapMegabytes) { }
+    public record Relays(int inRegions, int inZones, int subscribers, int bookmarkMillis, int heapMegabytes) {}
 
     /**
      * The processes that hold controllers.
@@ -50,12 +50,12 @@
      * @param hollowHeapMegabytes heap of a hollow process
      * @param secondsAtMost the whole run ends with an error after this
      */
-    public record Processes(int hollow, int single, int real, int hollowHeapMegabytes, int secondsAtMost) { }
+    public record Processes(int hollow, int single, int real, int hollowHeapMegabytes, int secondsAtMost) {}
 
     /** The days, each absent where it is not played. */
     public record Days(Optional<Changes> ordinary, Optional<Changes> hundredfold, Optional<ZoneLost> zoneLost,
-                       Optional<RollingRelease> rollingRelease, Optional<Outage> relayKilled,
-                       Optional<Outage> regionCut, Optional<Changes> allReconnect, Optional<Baseline> baseline) { }
+            Optional<RollingRelease> rollingRelease, Optional<Outage> relayKilled,
+            Optional<Outage> regionCut, Optional<Changes> allReconnect, Optional<Baseline> baseline) {}
 
     /**
      * Changes of configuration and of single servers, evenly spaced.
@@ -63,14 +63,14 @@
      * @param perDay how many in 24 hours
      * @param seconds for how long they are made
      */
-    public record Changes(double perDay, int seconds) { }
+    public record Changes(double perDay, int seconds) {}
 
     /**
      * All servers of one zone go at once, and come back at once when this is in force everywhere.
      *
      * @param zone which zone, from 0
      */
-    public record ZoneLost(int zone) { }
+    public record ZoneLost(int zone) {}
 
     /**
      * Servers drain, go and come back as new processes, service after service.
@@ -78,7 +78,7 @@
      * @param servers how many
      * @param perSecond how many begin to drain in a second
      */
-    public record RollingRelease(int servers, double perSecond) { }
+    public record RollingRelease(int servers, double perSecond) {}
 
     /**
      * A relay, or a region's way to the source, is away for a while; changes are made meanwhile.
@@ -86,7 +86,7 @@
      * @param perDay changes in 24 hours
      * @param seconds how long it is away
      */
-    public record Outage(double perDay, int seconds) { }
+    public record Outage(double perDay, int seconds) {}
 
     /**
      * The whole list over the event bus's protocol.
@@ -95,5 +95,5 @@
      * @param perDay changes in 24 hours
      * @param seconds for how long
      */
-    public record Baseline(int controllers, double perDay, int seconds) { }
+    public record Baseline(int controllers, double perDay, int seconds) {}
 }
--- a/lab/src/main/java/pathlane/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleReport.java
@@ -45,10 +45,11 @@
         ScalePlan.Processes processes = result.plan().processes();
         out.printf("%s%n%nCommit %s, %s; %,d controllers and session servers in %,d services (largest %,d), each controller "
                 + "watches the %d that it calls; %d zones in %d regions; %d region relays, %d zone relays, %d hollow "
-                + "processes, %d single ones, %d of the real program. All had everything in force %.1f s after the start.%n%n",
+                + "processes, %d single ones, %d real ones. All had everything in force %.1f s after the start.%n%n",
                 result.plan().title(), origin.commit(), origin.machine(), fleet.controllers(), fleet.services(),
                 result.largestService(), fleet.calls(), fleet.zones(), fleet.regions(), result.plan().relays().inRegions(),
-                result.plan().relays().inZones(), processes.hollow(), processes.single(), processes.real(), result.startSeconds());
+                result.plan().relays().inZones(), processes.hollow(), processes.single(), processes.real(),
+                result.startSeconds());
     }
 
     private void days() {
@@ -71,7 +72,8 @@
     }
 
     private static String note(DayResult day) {
-        return day.verdict().examples().isEmpty() ? day.note() : day.note() + " " + String.join("; ", day.verdict().examples());
+        return day.verdict().examples().isEmpty() ? day.note()
+                : day.note() + " " + String.join("; ", day.verdict().examples());
     }
 
     private void controllers() {
@@ -99,9 +101,10 @@
         if (ordinary.isEmpty() || ordinary.get().single().controllers() == 0) {
             return;
         }
-        out.println("| ordinary day, a process's | for each controller, by the line through the hollow processes | of the process "
-                + "itself | the line at one controller | single processes, mean (least to most) "
-                + "| the real program, mean (least to most) |");
+        out.println(
+                "| ordinary day, a process's | for each controller, by the hollow processes' line | of the process "
+                        + "itself | the line at one controller | single processes, mean (least to most) "
+                        + "| the real program, mean (least to most) |");
         out.println("| --- | --- | --- | --- | --- | --- |");
         line("bytes a second", ordinary.get(), ProcessCost::bytesPerSecond);
         line("% of a core", ordinary.get(), ProcessCost::cpuPercent);
@@ -128,8 +131,9 @@
     }
 
     private void relays() {
-        out.println("| day | tier | relays | subscribers each | bytes a second each: mean, most | % of a core each: mean, most "
-                + "| MB each: mean, most |");
+        out.println(
+                "| day | tier | relays | subscribers each | bytes a second each: mean, most | % of a core each: mean, most "
+                        + "| MB each: mean, most |");
         out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (DayResult day : result.days()) {
             tier(day.day().title(), "zone", day.zoneRelays());
@@ -149,7 +153,7 @@
     }
 
     private static String meanAndMost(List<DayResult.RelayCost> relays, ToDoubleFunction<DayResult.RelayCost> figure,
-                                      String format) {
+            String format) {
         double mean = relays.stream().mapToDouble(figure).average().orElse(0);
         double most = relays.stream().map(figure::applyAsDouble).max(Comparator.naturalOrder()).orElse(0.0);
         return String.format(format + ", " + format, mean, most);
@@ -160,11 +164,14 @@
             return;
         }
         BaselineResult baseline = result.baseline().get();
-        out.println("| baseline: the whole list to each | controllers | servers in a list | bytes a second | % of a core | MB |");
+        out.println(
+                "| baseline: whole list to each | controllers | servers in a list | bytes a second | % of a core | MB |");
         out.println("| --- | --- | --- | --- | --- | --- |");
         out.printf("| %,d changes%s | %,d | %,d | %.1f | %.4f | %.3f |%n%n", baseline.changes(),
-                baseline.wholeListRefused() ? String.format("; the list as one event of %,d bytes is refused (%,d at most), and "
-                        + "was told in several", baseline.wholeListBytes(), WholeListBus.LONGEST_EVENT) : "",
+                baseline.wholeListRefused()
+                        ? String.format("; the list as one event of %,d bytes is refused (%,d at most), and "
+                                + "was told in several", baseline.wholeListBytes(), WholeListBus.LONGEST_EVENT)
+                        : "",
                 baseline.cost().controllers(), baseline.servers(), baseline.cost().bytesPerSecond(),
                 baseline.cost().cpuPercent(), baseline.cost().memoryMegabytes());
     }
--- a/lab/src/main/java/pathlane/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleRun.java
@@ -27,7 +27,7 @@
      * @param startSeconds from the start of the controllers, one after the other, until each had everything in force
      */
     record Result(ScalePlan plan, int largestService, double startSeconds, List<DayResult> days,
-                  Optional<BaselineResult> baseline) {
+            Optional<BaselineResult> baseline) {
 
         /** Whether all was as at the source at the end of each day. */
         boolean isRight() {
@@ -88,8 +88,9 @@
                 .mapToLong(text -> text.equals("unlimited") ? Long.MAX_VALUE : Long.parseLong(text)).findFirst()
                 .orElse(Long.MAX_VALUE);
         if (needed > limit) {
-            throw new IllegalArgumentException("a process of this run needs " + needed + " descriptors, and may have " + limit
-                    + ": spread the controllers over more processes");
+            throw new IllegalArgumentException(
+                    "a process of this run needs " + needed + " descriptors, and may have " + limit
+                            + ": spread the controllers over more processes");
         }
     }
 }
--- a/lab/src/main/java/pathlane/lab/scale/ScaleTerms.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleTerms.java
@@ -16,7 +16,7 @@
     private static final Duration SILENT_AFTER = Duration.ofSeconds(3);
     private static final Duration RETURN_WITHIN = Duration.ofSeconds(30);
 
-    private ScaleTerms() { }
+    private ScaleTerms() {}
 
     static WatchTerms watch(String name, String zone, String region, List<WatchTerms.PublisherAddress> publishers) {
         return new WatchTerms(name, zone, region, publishers, BACKOFF_FIRST, BACKOFF_MOST, SILENT_AFTER, RETURN_WITHIN);
@@ -25,7 +25,8 @@
     static PublisherTerms publisher(ScalePlan.Relays relays) {
         PublisherTerms usual = PublisherTerms.USUAL;
         return new PublisherTerms(relays.subscribers(), usual.watchesPerSecond(), usual.watchBurst(),
-                usual.unacknowledgedBytes(), usual.updateBytes(), usual.historyChanges(), Duration.ofMillis(relays.bookmarkMillis()),
+                usual.unacknowledgedBytes(), usual.updateBytes(), usual.historyChanges(),
+                Duration.ofMillis(relays.bookmarkMillis()),
                 usual.deadAfter());
     }
 }
--- a/lab/src/main/java/pathlane/lab/scale/Topology.java
+++ b/lab/src/main/java/pathlane/lab/scale/Topology.java
@@ -72,8 +72,8 @@
 
     /** The relay of this name. */
     Publisher relay(String name) {
-        return regionRelays.stream().filter(relay -> relay.name().equals(name)).findFirst().orElseGet(() ->
-                zoneRelays.stream().filter(relay -> relay.name().equals(name)).findFirst().orElseThrow());
+        return regionRelays.stream().filter(relay -> relay.name().equals(name)).findFirst()
+                .orElseGet(() -> zoneRelays.stream().filter(relay -> relay.name().equals(name)).findFirst().orElseThrow());
     }
 
     long zoneRelaysIn(String zone) {
