--- a/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
+++ b/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
@@ -33,7 +33,7 @@
     private static final int STANDING = 48;
     private static final double BETWEEN_MS = 15;
 
-    private record Sent(String call, long server) { }
+    private record Sent(String call, long server) {}
 
     /** Session servers that run. */
     @Param({"24", "300", "1024"})
@@ -125,17 +125,17 @@
     }
 
     @Override
-    public void refuse(String call, double adviseMs) { }
+    public void refuse(String call, double adviseMs) {}
 
     @Override
-    public void fail(String call) { }
+    public void fail(String call) {}
 
     @Override
-    public void cancel(String call, int attempt) { }
+    public void cancel(String call, int attempt) {}
 
     @Override
-    public void wakeAfter(double delayMs) { }
+    public void wakeAfter(double delayMs) {}
 
     @Override
-    public void askForList() { }
+    public void askForList() {}
 }
--- a/bench/src/main/java/pathlane/grpc/CallCost.java
+++ b/bench/src/main/java/pathlane/grpc/CallCost.java
@@ -31,7 +31,7 @@
     private static final int CALLS = 5000;
     private static final byte[] REQUEST = new byte[100];
 
-    private CallCost() { }
+    private CallCost() {}
 
     /** Prints the table. With {@code serve}: is the servers, until its standard input ends. */
     public static void main(String[] args) throws Exception {
@@ -56,7 +56,8 @@
         for (int i = 0; i < 2; i++) {
             servers.add(NettyServerBuilder.forAddress(new InetSocketAddress("127.0.0.1", 0)).directExecutor()
                     .addService(ServerServiceDefinition.builder(GrpcFront.SERVICE).addMethod(GrpcFront.CHECK,
-                            (call, headers) -> echo(call)).build()).build().start());
+                            (call, headers) -> echo(call)).build())
+                    .build().start());
         }
         System.out.println(servers.get(0).getPort() + "," + servers.get(1).getPort());
         while (System.in.read() >= 0) {
--- a/bench/src/main/java/pathlane/grpc/WorthKept.java
+++ b/bench/src/main/java/pathlane/grpc/WorthKept.java
@@ -26,10 +26,10 @@
     private static final long CHECK_PATIENCE = 3150;
     private static final long SIGN_PATIENCE = 2100;
 
-    private WorthKept() { }
+    private WorthKept() {}
 
     /** What a run came to. */
-    private record Result(double worth, boolean fell, double mostOfBudget, long attemptsPerCall100) { }
+    private record Result(double worth, boolean fell, double mostOfBudget, long attemptsPerCall100) {}
 
     /** Prints the table; takes no arguments. */
     public static void main(String[] args) {
--- a/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
+++ b/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
@@ -28,7 +28,7 @@
 
     private static final double KEEP = 9000;
 
-    private record Plain(double putAt, long first, double firstAt, double notBefore, int tries) { }
+    private record Plain(double putAt, long first, double firstAt, double notBefore, int tries) {}
 
     /** Entries held; each operation puts one new call and looks up one that is there and one that is not. */
     @Param({"1024", "16384"})
--- a/core/src/main/java/pathlane/config/Millis.java
+++ b/core/src/main/java/pathlane/config/Millis.java
@@ -10,7 +10,7 @@
     /** Spans are cut to this: longer than anything here lasts, and short of an overflow. */
     private static final double MOST = 1e11;
 
-    private Millis() { }
+    private Millis() {}
 
     /** A span in milliseconds. */
     public static double of(Duration span) {
--- a/core/src/main/java/pathlane/config/Settings.java
+++ b/core/src/main/java/pathlane/config/Settings.java
@@ -14,9 +14,9 @@
  * @param coldSenders empty where servers' speed is not stated: the module then learns it
  */
 public record Settings(List<CallClass> classes, Rules rules, int balancers, int maxAttempts, Duration tick,
-                       Duration repeat, boolean mayCancel, boolean mustAsk, int ownNumber,
-                       Duration dialTimeout, Duration idleClose, Duration mostRetryAfter,
-                       Optional<ColdSenders> coldSenders) {
+        Duration repeat, boolean mayCancel, boolean mustAsk, int ownNumber,
+        Duration dialTimeout, Duration idleClose, Duration mostRetryAfter,
+        Optional<ColdSenders> coldSenders) {
 
     /**
      * Senders that share the cold budget of servers whose speed is stated.
@@ -35,7 +35,7 @@
 
     /** A class of call: how soon it should stand, how long a caller tries, and what it is worth. */
     public record CallClass(String name, Duration aim, Duration deadline, double worth, double lateWorth,
-                            int width, boolean repeatable, List<Integer> allowedPools) {
+            int width, boolean repeatable, List<Integer> allowedPools) {
         public CallClass {
             require(aim.compareTo(Duration.ZERO) > 0, "aim");
             require(deadline.compareTo(Duration.ZERO) > 0, "deadline");
@@ -53,7 +53,7 @@
 
     /** The figures of the cold-start and release rules. */
     public record Rules(double coldFrom, Duration cold, double fallMultiple, Duration fall,
-                        Duration clearWait) {
+            Duration clearWait) {
         public Rules {
             require(coldFrom > 0, "cold-from");
             require(!cold.isNegative(), "cold-ms");
--- a/core/src/main/java/pathlane/config/SettingsReader.java
+++ b/core/src/main/java/pathlane/config/SettingsReader.java
@@ -14,7 +14,7 @@
     private static final double IDLE_CLOSE_MS = 600_000;
     private static final double DIAL_TIMEOUT_MS = 500;
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
     /**
      * Reads the settings.
--- a/core/src/main/java/pathlane/core/CallController.java
+++ b/core/src/main/java/pathlane/core/CallController.java
@@ -30,7 +30,7 @@
 public final class CallController {
 
     /** Makes the way to a server when the list first names it. */
-    public interface ServerPorts extends Function<ServerLine, ServerPort> { }
+    public interface ServerPorts extends Function<ServerLine, ServerPort> {}
 
     /** Added to the rule's wait after a give-up: the give-up may reach its server later than the resend. */
     private static final Duration CLEAR_MARGIN = Duration.ofMillis(15);
--- a/core/src/main/java/pathlane/core/CallEvent.java
+++ b/core/src/main/java/pathlane/core/CallEvent.java
@@ -9,8 +9,8 @@
     String call();
 
     /** Its caller released it; the content is for its server, empty where there is none. */
-    record Released(String call, byte[] content) implements CallEvent { }
+    record Released(String call, byte[] content) implements CallEvent {}
 
     /** It came to its end at its server, or was cut. */
-    record Ended(String call, Ending how) implements CallEvent { }
+    record Ended(String call, Ending how) implements CallEvent {}
 }
--- a/core/src/main/java/pathlane/core/CallReplication.java
+++ b/core/src/main/java/pathlane/core/CallReplication.java
@@ -12,16 +12,16 @@
 public interface CallReplication {
 
     /** No group: nothing is replicated, and nobody else acts. */
-    CallReplication NONE = new CallReplication() { };
+    CallReplication NONE = new CallReplication() {};
 
     /** A set-up is about to be sent and awaited for {@code patience}; {@code ending} has what ends it beside its id. */
-    default void sent(String call, long server, Duration patience, CallerPort caller, Supplier<byte[]> ending) { }
+    default void sent(String call, long server, Duration patience, CallerPort caller, Supplier<byte[]> ending) {}
 
     /** The attempt is over, and the call stands nowhere; nothing is sent for it before so long. */
-    default void attemptOver(String call, long server, Duration wait, CallerPort caller) { }
+    default void attemptOver(String call, long server, Duration wait, CallerPort caller) {}
 
     /** The call stands at a server. */
-    default void stands(String call, long server, CallerPort caller) { }
+    default void stands(String call, long server, CallerPort caller) {}
 
     /** Writes the answer to a call that stands, at once or, for a class that waits for it, once the call is replicated. */
     default void answer(String call, int callClass, Runnable write) {
@@ -29,13 +29,13 @@
     }
 
     /** The end of a call is owed to its caller, whom no connection reaches now. */
-    default void owesCaller(String call, CallerPort caller, Ending how) { }
+    default void owesCaller(String call, CallerPort caller, Ending how) {}
 
     /** The release of a call waits for a connection to its server. */
-    default void owesServer(String call, long server, byte[] ending) { }
+    default void owesServer(String call, long server, byte[] ending) {}
 
     /** Nothing is left to do for the call. */
-    default void over(String call) { }
+    default void over(String call) {}
 
     /** Whether this controller may write anything that concerns a call that stands here. Asked just before it does. */
     default boolean mayAct(String call) {
@@ -43,7 +43,7 @@
     }
 
     /** Keeps what happened while this controller may not act, for itself later or for whoever acts by then. */
-    default void park(CallEvent event) { }
+    default void park(CallEvent event) {}
 
     /**
      * Something happened to a call that is not known here. True: the group is asked who acts on it, and if nobody does,
--- a/core/src/main/java/pathlane/core/CallTrace.java
+++ b/core/src/main/java/pathlane/core/CallTrace.java
@@ -10,7 +10,7 @@
 
     private static final Logger TRACE = System.getLogger("calls");
 
-    private CallTrace() { }
+    private CallTrace() {}
 
     /** {@code values} are for the text's places; spans are written in milliseconds, servers in hex. */
     static void step(String id, String text, Object... values) {
--- a/core/src/main/java/pathlane/core/CallerPort.java
+++ b/core/src/main/java/pathlane/core/CallerPort.java
@@ -19,10 +19,10 @@
     void release(String call, Ending how);
 
     /** What a server answered to something passed on within a call that stands. */
-    default void passBack(String call, byte[] content) { }
+    default void passBack(String call, byte[] content) {}
 
     /** The answer to a set-up goes to another connection of the same caller from now on. */
-    default void takenOver(String call) { }
+    default void takenOver(String call) {}
 
     /** By what name its callers are known to other controllers too; empty where any connection reaches them. */
     default String key() {
--- a/core/src/main/java/pathlane/core/Callers.java
+++ b/core/src/main/java/pathlane/core/Callers.java
@@ -28,7 +28,7 @@
     }
 
     /** A release that found no connection to its caller. */
-    private record Unrelayed(CallerPort own, Ending how, Instant at) { }
+    private record Unrelayed(CallerPort own, Ending how, Instant at) {}
 
     private final Scheduler scheduler;
     private final Map<CallerPort, Held> connections = new LinkedHashMap<>();
--- a/core/src/main/java/pathlane/core/ServerLine.java
+++ b/core/src/main/java/pathlane/core/ServerLine.java
@@ -11,4 +11,4 @@
  * @param startedAt when it started, or the epoch for long ago
  */
 public record ServerLine(long id, InetSocketAddress address, Mode mode, int cell, double weight,
-                         Instant startedAt) { }
+        Instant startedAt) {}
--- a/core/src/main/java/pathlane/core/ServerPort.java
+++ b/core/src/main/java/pathlane/core/ServerPort.java
@@ -45,7 +45,7 @@
     }
 
     /** A call may stand there that another controller set up: what ends it is to be heard here from now on. */
-    default void adopted(String call, byte[] ending) { }
+    default void adopted(String call, byte[] ending) {}
 
     /** The server takes nothing new: what has not left yet comes back, what runs goes on. */
     void drain();
--- a/core/src/main/java/pathlane/core/ServiceDirectory.java
+++ b/core/src/main/java/pathlane/core/ServiceDirectory.java
@@ -14,7 +14,7 @@
     String ONLY_SERVICE = "";
 
     /** All calls and servers are of {@link #ONLY_SERVICE}, whose servers count as known from the start. */
-    ServiceDirectory ONE = new ServiceDirectory() { };
+    ServiceDirectory ONE = new ServiceDirectory() {};
 
     /** The service whose servers may take a call; empty where there is none. */
     default Optional<String> serviceOf(SetUp setUp) {
--- a/core/src/main/java/pathlane/core/SetUp.java
+++ b/core/src/main/java/pathlane/core/SetUp.java
@@ -11,4 +11,4 @@
  * @param description passed on unchanged
  */
 public record SetUp(String id, int callClass, String number, Duration patience, int firstChoice,
-                    byte[] description) { }
+        byte[] description) {}
--- a/core/src/main/java/pathlane/decision/Gateway.java
+++ b/core/src/main/java/pathlane/decision/Gateway.java
@@ -13,34 +13,44 @@
     enum Mode { RUNNING, DRAINING, GONE }
 
     /** One line of the list of core servers; {@code startedMs} is nought for a start long ago. */
-    record Listed(long server, int pool, Mode mode, double startedMs, double size) { }
+    record Listed(long server, int pool, Mode mode, double startedMs, double size) {}
 
     /** A call for the number dialled. In transit, it may go to its destination alone. */
     record Call(String id, int callClass, String number, double graceMs, int firstChoice,
-                boolean inTransit) { }
+            boolean inTransit) {}
 
     /** How an attempt ended. */
     enum Ending {
-        /** The call stood and has ended. */ COMPLETED,
-        /** An error on the way. */ ERROR,
-        /** All lines of the number called are engaged. */ ENGAGED,
-        /** The server turned the set-up away; it never ran. */ REJECTED,
-        /** The server had no free line; it never ran. */ NO_FREE_LINE,
-        /** No answer came in time. */ TIMED_OUT,
-        /** The server could not be reached; the set-up never ran. */ UNREACHABLE,
-        /** The set-up or the standing call was cut. */ RESET,
-        /** The attempt was called off. */ CANCELLED,
-        /** Nothing was sent. */ NOT_SENT
+        /** The call stood and has ended. */
+        COMPLETED,
+        /** An error on the way. */
+        ERROR,
+        /** All lines of the number called are engaged. */
+        ENGAGED,
+        /** The server turned the set-up away; it never ran. */
+        REJECTED,
+        /** The server had no free line; it never ran. */
+        NO_FREE_LINE,
+        /** No answer came in time. */
+        TIMED_OUT,
+        /** The server could not be reached; the set-up never ran. */
+        UNREACHABLE,
+        /** The set-up or the standing call was cut. */
+        RESET,
+        /** The attempt was called off. */
+        CANCELLED,
+        /** Nothing was sent. */
+        NOT_SENT
     }
 
     /** A server's free lines and all its lines, and its own word on its load; a figure that is not reported
      * is NaN. */
     record Report(double freeLines, double lines, double waiting, double setUpsPerSecond, double waitMs,
-                  double busy) { }
+            double busy) {}
 
     /** The end of one attempt; {@code statedWaitMs} is the wait that the server asks for, or nought. */
     record Ended(String call, int attempt, long server, Ending how, boolean closed, double elapsedMs,
-                 double statedWaitMs, Report report) { }
+            double statedWaitMs, Report report) {}
 
     /** What the decisions ask the gateway to do. */
     interface Actions {
--- a/core/src/main/java/pathlane/decision/Logic.java
+++ b/core/src/main/java/pathlane/decision/Logic.java
@@ -310,7 +310,7 @@
             }
             case ENGAGED -> engaged(now, call);
             case ERROR -> call.erredAt = server;
-            default -> { }
+            default -> {}
         }
         if (end.closed() || call.done) {
             calls.remove(end.call());
@@ -591,7 +591,7 @@
 
     /** Whether conditions (4) and (6) hold with their right sides times the margin; lambda is by limit. */
     static boolean feasible(double[] limit, double[] lambda, DoubleUnaryOperator near, double x,
-                            double margin) {
+            double margin) {
         for (int k = 0; k < limit.length; k++) {
             double shorter = 0;
             double repeated = 0;
--- a/core/src/main/java/pathlane/link/Addresses.java
+++ b/core/src/main/java/pathlane/link/Addresses.java
@@ -7,7 +7,7 @@
 
     private static final int MOST_PORT = 65_535;
 
-    private Addresses() { }
+    private Addresses() {}
 
     /**
      * Reads {@code host:port}.
--- a/core/src/main/java/pathlane/link/Connection.java
+++ b/core/src/main/java/pathlane/link/Connection.java
@@ -20,7 +20,7 @@
     void write(byte[] bytes);
 
     /** Has what was written leave now, not at the end of the turn. */
-    default void flush() { }
+    default void flush() {}
 
     /**
      * Takes back a message, so that a set-up that nobody waits for any more does not reach its server.
--- a/core/src/test/java/pathlane/BoundariesTest.java
+++ b/core/src/test/java/pathlane/BoundariesTest.java
@@ -41,13 +41,15 @@
     void theDecisionsKnowNothingButTheSettingsAndTheColdShare() {
         noClasses().that().resideInAPackage("pathlane.decision").should().dependOnClassesThat(
                 resideInAnyPackage("pathlane..").and(DescribedPredicate.not(
-                        resideInAnyPackage("pathlane.decision", "pathlane.config", "pathlane.cold")))).check(CORE);
+                        resideInAnyPackage("pathlane.decision", "pathlane.config", "pathlane.cold"))))
+                .check(CORE);
     }
 
     @Test
     void theSettingsKnowNoOtherPartOfTheProgram() {
         noClasses().that().resideInAPackage("pathlane.config").should().dependOnClassesThat(
                 resideInAnyPackage("pathlane..").and(DescribedPredicate.not(
-                        resideInAnyPackage("pathlane.config")))).check(CORE);
+                        resideInAnyPackage("pathlane.config"))))
+                .check(CORE);
     }
 }
--- a/core/src/test/java/pathlane/core/EarlyTimerTest.java
+++ b/core/src/test/java/pathlane/core/EarlyTimerTest.java
@@ -18,7 +18,7 @@
     private static final Duration LONG = Duration.ofSeconds(9);
     private static final Duration GRAIN = Duration.ofNanos(1000);
 
-    private record Due(Instant at, Runnable task) { }
+    private record Due(Instant at, Runnable task) {}
 
     private static final class Early implements Scheduler {
         private final PriorityQueue<Due> timers = new PriorityQueue<>((one, other) -> one.at.compareTo(other.at));
@@ -55,7 +55,8 @@
     void aBellThatIsEarlyIsNotLost() {
         Settings settings = new Settings(List.of(new Settings.CallClass("check", Duration.ofMillis(1500), LONG, 1, 0, 1,
                 true, List.of())), new Settings.Rules(0.28, Duration.ofSeconds(13), 3, Duration.ofMillis(1500),
-                Duration.ofMillis(200)), 1, 6, Duration.ofMillis(5), Duration.ZERO, true, false, -1,
+                        Duration.ofMillis(200)),
+                1, 6, Duration.ofMillis(5), Duration.ZERO, true, false, -1,
                 Duration.ofMillis(500), LONG, Duration.ZERO, Optional.empty());
         Early time = new Early();
         List<Duration> refusedAfter = new ArrayList<>();
@@ -65,7 +66,7 @@
         });
         CallerPort caller = new CallerPort() {
             @Override
-            public void answer(String call, byte[] description) { }
+            public void answer(String call, byte[] description) {}
 
             @Override
             public void refuse(String call, Duration comeBackAfter) {
@@ -73,10 +74,10 @@
             }
 
             @Override
-            public void fail(String call) { }
+            public void fail(String call) {}
 
             @Override
-            public void release(String call, Ending how) { }
+            public void release(String call, Ending how) {}
         };
         controller.callerOpened(caller);
         controller.setUp(new SetUp("a", 0, "n", LONG, -1, new byte[0]), caller);
--- a/core/src/test/java/pathlane/core/LateAnswerTest.java
+++ b/core/src/test/java/pathlane/core/LateAnswerTest.java
@@ -32,7 +32,7 @@
 
         @Override
         public Timer after(Duration delay, Runnable task) {
-            return () -> { };
+            return () -> {};
         }
     }
 
@@ -67,23 +67,24 @@
         }
 
         @Override
-        public void giveUp(String call) { }
+        public void giveUp(String call) {}
 
         @Override
-        public void release(String call, Ending how, byte[] content) { }
+        public void release(String call, Ending how, byte[] content) {}
 
         @Override
-        public void drain() { }
+        public void drain() {}
 
         @Override
-        public void close() { }
+        public void close() {}
     }
 
     @Test
     void aCallBetweenAttemptsIsNotAnsweredByAServerThatHasGone() {
         Settings settings = new Settings(List.of(new Settings.CallClass("check", Duration.ofMillis(1500), LONG, 1, 0, 1,
                 true, List.of())), new Settings.Rules(0.28, Duration.ofSeconds(13), 3, Duration.ofMillis(1500),
-                Duration.ofMillis(200)), 1, 6, Duration.ofMillis(5), Duration.ZERO, true, false, -1,
+                        Duration.ofMillis(200)),
+                1, 6, Duration.ofMillis(5), Duration.ZERO, true, false, -1,
                 Duration.ofMillis(500), LONG, Duration.ZERO, Optional.empty());
         CallController controller = new CallController(settings, 7, new Still(), line -> new Port());
         Caller caller = new Caller();
--- a/core/src/test/java/pathlane/decision/ColdFleetTest.java
+++ b/core/src/test/java/pathlane/decision/ColdFleetTest.java
@@ -27,7 +27,7 @@
     private static final double RATE = 80;
     private static final double WORK_MS = 30;
 
-    private record Due(double at, long order, Runnable what) { }
+    private record Due(double at, long order, Runnable what) {}
 
     /** One gateway and its traffic. */
     private static final class Sender {
--- a/core/src/test/java/pathlane/decision/EmbeddingTest.java
+++ b/core/src/test/java/pathlane/decision/EmbeddingTest.java
@@ -28,10 +28,18 @@
                  "specifics": {"clear-wait-ms": 200, "t1-ms": 500}}
                 """).getAsJsonObject());
         Gateway gateway = new Logic(settings, 42, new Gateway.Actions() {
-            public void send(String call, long server, double giveUpAfterMs) { done.add("send " + call); }
-            public void refuse(String call, double adviseMs) { done.add("refuse " + call); }
-            public void fail(String call) { done.add("fail " + call); }
-            public void cancel(String call, int attempt) { done.add("cancel " + call); }
+            public void send(String call, long server, double giveUpAfterMs) {
+                done.add("send " + call);
+            }
+            public void refuse(String call, double adviseMs) {
+                done.add("refuse " + call);
+            }
+            public void fail(String call) {
+                done.add("fail " + call);
+            }
+            public void cancel(String call, int attempt) {
+                done.add("cancel " + call);
+            }
             public void wakeAfter(double delayMs) { /* call gateway.woken(now) then */ }
             public void askForList() { /* subscribe to changes of the list */ }
         });
--- a/core/src/test/java/pathlane/decision/LogicHarness.java
+++ b/core/src/test/java/pathlane/decision/LogicHarness.java
@@ -10,9 +10,9 @@
 /** A hand-driven gateway for the tests: the clock moves when the test says so, and every action is kept. */
 final class LogicHarness implements Gateway.Actions {
 
-    record Sent(double at, String call, long server, int attempt) { }
+    record Sent(double at, String call, long server, int attempt) {}
 
-    record Final(double at, String call, boolean refused) { }
+    record Final(double at, String call, boolean refused) {}
 
     static final double GRACE = 3000;
 
--- a/core/src/test/java/pathlane/decision/RulesTest.java
+++ b/core/src/test/java/pathlane/decision/RulesTest.java
@@ -19,8 +19,8 @@
 class RulesTest {
 
     private static final Gateway.Ending[] BAD = {Gateway.Ending.REJECTED, Gateway.Ending.NO_FREE_LINE,
-        Gateway.Ending.UNREACHABLE, Gateway.Ending.RESET, Gateway.Ending.TIMED_OUT, Gateway.Ending.ERROR,
-        Gateway.Ending.NOT_SENT};
+            Gateway.Ending.UNREACHABLE, Gateway.Ending.RESET, Gateway.Ending.TIMED_OUT, Gateway.Ending.ERROR,
+            Gateway.Ending.NOT_SENT};
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -53,7 +53,8 @@
                 }
                 harness.change(new Gateway.Listed(server, (int) server,
                         opens ? Gateway.Mode.RUNNING : random.nextBoolean() ? Gateway.Mode.DRAINING
-                                : Gateway.Mode.GONE, opens ? time : 0, 1));
+                                : Gateway.Mode.GONE,
+                        opens ? time : 0, 1));
             }
             for (LogicHarness.Sent s : new ArrayList<>(out.values())) {
                 boolean late = time >= deadline.get(s.call());
--- a/core/src/test/java/pathlane/retry/FailedTryIndexTest.java
+++ b/core/src/test/java/pathlane/retry/FailedTryIndexTest.java
@@ -11,7 +11,7 @@
 
 class FailedTryIndexTest {
 
-    private record Plain(double firstAt, double notBefore, int tries, double putAt) { }
+    private record Plain(double firstAt, double notBefore, int tries, double putAt) {}
 
     /** Against a plain map that is scanned, over keys that crowd into few slots, with expiry and overflow. */
     @Test
--- a/daemon/src/main/java/pathlane/Main.java
+++ b/daemon/src/main/java/pathlane/Main.java
@@ -17,7 +17,7 @@
  * {@code diameter} one for Diameter peers, {@code simhost} speaks the simulator's wire. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     /**
      * Runs one of the three.
--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -53,7 +53,7 @@
     /** A front: who decides its calls, what meets its callers, and how it parts from its peers at the end, and what it
      * does when its configuration is to be read again. */
     private record Front(CallController controller, Supplier<Protocol> callers, CallerLimits limits, Runnable part,
-                         Runnable reload, Future<Void> current, Optional<GroupNode> group) { }
+            Runnable reload, Future<Void> current, Optional<GroupNode> group) {}
 
     private final EventLoop loop = new EventLoop();
     private final Network network = new Network(loop);
@@ -72,7 +72,7 @@
             Optional<GroupNode> group = node.group(groupFile, config.name(), config.settings());
             PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.ending,
                     configFile::readIfChanged, replication(group));
-            return new Front(platform.controller(), platform::accept, config.callers(), () -> { },
+            return new Front(platform.controller(), platform::accept, config.callers(), () -> {},
                     () -> platform.reload(configFile.read()), platform.current(), group);
         });
     }
@@ -114,8 +114,8 @@
             }
             return new Front(diameter.controller(), diameter::accept, config.callers(),
                     diameter::disconnect, () -> {
-                throw new IllegalArgumentException("the Diameter front reads its file at its start alone");
-            }, CompletableFuture.completedFuture(null), group);
+                        throw new IllegalArgumentException("the Diameter front reads its file at its start alone");
+                    }, CompletableFuture.completedFuture(null), group);
         });
     }
 
--- a/daemon/src/main/java/pathlane/config/file/CallerLimits.java
+++ b/daemon/src/main/java/pathlane/config/file/CallerLimits.java
@@ -18,8 +18,8 @@
  * @param unknownReleaseEvery one more of these is allowed each time so long has passed
  */
 public record CallerLimits(int connections, Duration unfinished, Duration unused, Duration idle, int messages,
-                           Duration messageEvery, int unwritten, int faults, int unknownReleases,
-                           Duration unknownReleaseEvery) {
+        Duration messageEvery, int unwritten, int faults, int unknownReleases,
+        Duration unknownReleaseEvery) {
 
     /** The limits of callers that may hold so many connections. */
     static CallerLimits of(int connections) {
--- a/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
@@ -22,14 +22,14 @@
  * @param collectd where counters are told too, or null
  */
 public record DiameterConfig(String host, String realm, InetSocketAddress listen, Duration watchdog,
-                             List<Peer> peers, List<ServiceClass> classes, Settings settings,
-                             CallerLimits callers, GraphiteConfig graphite, CollectdConfig collectd) {
+        List<Peer> peers, List<ServiceClass> classes, Settings settings,
+        CallerLimits callers, GraphiteConfig graphite, CollectdConfig collectd) {
 
     /** RFC 3539 allows no less. */
     private static final Duration LEAST_WATCHDOG = Duration.ofSeconds(6);
 
     /** A peer at which calls are set up; its place in the list is its cell. */
-    public record Peer(long id, String host, InetSocketAddress address, int cell) { }
+    public record Peer(long id, String host, InetSocketAddress address, int cell) {}
 
     /**
      * How requests of a class are known, and how long their senders wait.
@@ -37,7 +37,7 @@
      * @param service the Service-Identifier, or -1 for requests that bear none or one that is not listed
      * @param index the class's place in the settings
      */
-    public record ServiceClass(int service, int index, Duration patience) { }
+    public record ServiceClass(int service, int index, Duration patience) {}
 
     /**
      * Reads the file.
--- a/daemon/src/main/java/pathlane/config/file/ServerLimits.java
+++ b/daemon/src/main/java/pathlane/config/file/ServerLimits.java
@@ -24,8 +24,8 @@
  * @param firstLines how long a server's first lines on a new connection are waited for then
  */
 public record ServerLimits(int connections, Duration unfinished, Duration overtaken, int waitingReleases,
-                           int waitingUnknown, Duration silence, Duration lines, Duration linesFirst, Duration linesVary,
-                           Duration firstLines, Duration unreached) {
+        int waitingUnknown, Duration silence, Duration lines, Duration linesFirst, Duration linesVary,
+        Duration firstLines, Duration unreached) {
 
     public static final ServerLimits USUAL = new ServerLimits(4, Duration.ofSeconds(1), Duration.ofMillis(100),
             10_000, 64, Duration.ofSeconds(4), Duration.ofSeconds(1), Duration.ofMillis(2500),
--- a/daemon/src/main/java/pathlane/diameter/ClientPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ClientPeer.java
@@ -40,7 +40,7 @@
 
     /** {@code gone} hears that the connection has ended. */
     ClientPeer(CallController controller, DiameterConfig config, LocalNode local, Scheduler scheduler,
-               RandomGenerator random, Consumer<ClientPeer> gone) {
+            RandomGenerator random, Consumer<ClientPeer> gone) {
         this.gone = gone;
         this.controller = controller;
         this.config = config;
@@ -72,7 +72,7 @@
             throw new Fault(ResultCode.COMMAND_UNSUPPORTED, null, "command " + request.command());
         }
         for (int code : new int[] {Avp.SESSION_ID, Avp.ORIGIN_HOST, Avp.ORIGIN_REALM, Avp.DESTINATION_REALM,
-            Avp.AUTH_APPLICATION_ID, Avp.SERVICE_CONTEXT_ID, Avp.CC_REQUEST_NUMBER}) {
+                Avp.AUTH_APPLICATION_ID, Avp.SERVICE_CONTEXT_ID, Avp.CC_REQUEST_NUMBER}) {
             request.require(code);
         }
         request.require(Avp.CC_REQUEST_NUMBER).number();
@@ -142,7 +142,7 @@
         if (subscription == null) {
             return call;
         }
-        for (ByteBuffer inner = ByteBuffer.wrap(subscription.data()); inner.hasRemaining(); ) {
+        for (ByteBuffer inner = ByteBuffer.wrap(subscription.data()); inner.hasRemaining();) {
             Avp avp = Avp.read(inner);
             if (avp.code() == Avp.SUBSCRIPTION_ID_DATA) {
                 return avp.text();
--- a/daemon/src/main/java/pathlane/diameter/DiameterFront.java
+++ b/daemon/src/main/java/pathlane/diameter/DiameterFront.java
@@ -29,13 +29,13 @@
 
     /** In no group. */
     public DiameterFront(DiameterConfig config, long seed, Dialer dialer, Scheduler scheduler,
-                         RandomGenerator random) {
+            RandomGenerator random) {
         this(config, seed, dialer, scheduler, random, CallReplication.NONE);
     }
 
     /** {@code replication} keeps records of calls elsewhere. */
     public DiameterFront(DiameterConfig config, long seed, Dialer dialer, Scheduler scheduler,
-                         RandomGenerator random, CallReplication replication) {
+            RandomGenerator random, CallReplication replication) {
         this.config = config;
         this.scheduler = scheduler;
         this.random = random;
--- a/daemon/src/main/java/pathlane/diameter/ResultCode.java
+++ b/daemon/src/main/java/pathlane/diameter/ResultCode.java
@@ -25,7 +25,7 @@
     private static final int CLASS = 1000;
     private static final int PROTOCOL_ERRORS = 3;
 
-    private ResultCode() { }
+    private ResultCode() {}
 
     /** Whether an answer with this code makes the call stand. */
     static boolean stands(int code) {
--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -42,7 +42,7 @@
     private static final int ADMINISTRATIVE = 4;
     /** What a request that ends a session has from the one that began it, beside its id. */
     private static final int[] ENDING = {Avp.ORIGIN_HOST, Avp.ORIGIN_REALM, Avp.DESTINATION_REALM, Avp.SERVICE_CONTEXT_ID,
-        Avp.CC_REQUEST_NUMBER};
+            Avp.CC_REQUEST_NUMBER};
     /** Ends of sessions that wait for a connection, at most. */
     private static final int MOST_WAITING = 10_000;
 
@@ -66,7 +66,7 @@
     private PeerSession session;
 
     ServerPeer(DiameterConfig.Peer config, LocalNode local, Duration interval, Supplier<CallController> controller,
-               Dialer dialer, Scheduler scheduler, RandomGenerator random, Consumer<Boolean> availability) {
+            Dialer dialer, Scheduler scheduler, RandomGenerator random, Consumer<Boolean> availability) {
         this.config = config;
         this.local = local;
         this.controller = controller;
@@ -164,7 +164,7 @@
     public void adopted(String call, byte[] ending) {
         List<Avp> avps = new ArrayList<>(List.of(Avp.of(Avp.SESSION_ID, call),
                 Avp.of(Avp.AUTH_APPLICATION_ID, DiameterMessage.CREDIT_CONTROL_APPLICATION)));
-        for (ByteBuffer left = ByteBuffer.wrap(ending); left.hasRemaining(); ) {
+        for (ByteBuffer left = ByteBuffer.wrap(ending); left.hasRemaining();) {
             avps.add(Avp.read(left));
         }
         asked.putIfAbsent(call, new DiameterMessage(DiameterMessage.REQUEST | DiameterMessage.PROXIABLE,
@@ -187,7 +187,7 @@
     private DiameterMessage termination(DiameterMessage begun) {
         List<Avp> avps = new ArrayList<>();
         for (int code : new int[] {Avp.SESSION_ID, Avp.ORIGIN_HOST, Avp.ORIGIN_REALM, Avp.DESTINATION_REALM,
-            Avp.AUTH_APPLICATION_ID, Avp.SERVICE_CONTEXT_ID}) {
+                Avp.AUTH_APPLICATION_ID, Avp.SERVICE_CONTEXT_ID}) {
             avps.add(begun.require(code));
         }
         avps.add(Avp.of(Avp.CC_REQUEST_TYPE, TERMINATION));
--- a/daemon/src/main/java/pathlane/diameter/Watchdog.java
+++ b/daemon/src/main/java/pathlane/diameter/Watchdog.java
@@ -108,7 +108,7 @@
                     actions.failBack();
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/daemon/src/main/java/pathlane/directory/DiscoveryFile.java
+++ b/daemon/src/main/java/pathlane/directory/DiscoveryFile.java
@@ -20,7 +20,7 @@
  * @param defaultService the service of set-ups that name no cell; empty where they fail
  */
 public record DiscoveryFile(WatchTerms watch, Path keys, Map<Integer, String> serviceByCell,
-                            Optional<String> defaultService) {
+        Optional<String> defaultService) {
 
     private static final String NAME = "name";
     private static final String KEYS = "keys";
--- a/daemon/src/main/java/pathlane/directory/ServerListFeed.java
+++ b/daemon/src/main/java/pathlane/directory/ServerListFeed.java
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void status(PublisherStatus status) { }
+    public void status(PublisherStatus status) {}
 
     /** A service is not watched any more. */
     void forget(String service) {
--- a/daemon/src/main/java/pathlane/metrics/CollectdReporter.java
+++ b/daemon/src/main/java/pathlane/metrics/CollectdReporter.java
@@ -35,7 +35,7 @@
 
     /** {@code host} is the name under which collectd files the values. */
     public CollectdReporter(CollectdConfig config, String host, Counters counters, Datagrams datagrams,
-                            Scheduler scheduler) {
+            Scheduler scheduler) {
         this.config = config;
         this.host = host;
         this.counters = counters;
--- a/daemon/src/main/java/pathlane/platform/CallerSession.java
+++ b/daemon/src/main/java/pathlane/platform/CallerSession.java
@@ -48,7 +48,7 @@
 
     /** {@code ready} is asked at each test. */
     public CallerSession(CallController controller, CallerLimits limits, Scheduler scheduler, LimitedLog log,
-                         BooleanSupplier ready) {
+            BooleanSupplier ready) {
         this.controller = controller;
         this.limits = limits;
         this.scheduler = scheduler;
@@ -118,7 +118,7 @@
             }
             case Message.TEST -> connection.write(new Message(Message.TEST_RESULT, message.call)
                     .withCause(ready.getAsBoolean() ? 1 : 0).bytes());
-            case Message.PROGRESS, Message.RELEASE_HEARD -> { }
+            case Message.PROGRESS, Message.RELEASE_HEARD -> {}
             default -> throw new BadInput("a message of type " + message.type);
         }
     }
--- a/daemon/src/main/java/pathlane/platform/ConnectionPool.java
+++ b/daemon/src/main/java/pathlane/platform/ConnectionPool.java
@@ -51,7 +51,7 @@
      *                     use by a set-up that is out
      */
     ConnectionPool(ServerLinkContext context, InetSocketAddress address, Supplier<ServerSession> newSession,
-                   Runnable noDescriptor) {
+            Runnable noDescriptor) {
         this.context = context;
         this.address = address;
         this.newSession = newSession;
--- a/daemon/src/main/java/pathlane/platform/KnownEvents.java
+++ b/daemon/src/main/java/pathlane/platform/KnownEvents.java
@@ -14,7 +14,7 @@
 /** The events of the bus that the configuration holds, as JSON. */
 final class KnownEvents {
 
-    private KnownEvents() { }
+    private KnownEvents() {}
 
     /** Reads the events of {@code known}; an event that can't be read is refused with its place. */
     static List<ServerList> read(NodeConfig config) {
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -43,20 +43,20 @@
      *                loop, once a second at the most, while the event bus can't be reached
      */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
-                         Supplier<Optional<NodeConfig>> changed) {
+            Supplier<Optional<NodeConfig>> changed) {
         this(config, dialer, scheduler, ready, changed, CallReplication.NONE);
     }
 
     /** The same with what keeps calls elsewhere. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
-                         Supplier<Optional<NodeConfig>> changed, CallReplication replication) {
+            Supplier<Optional<NodeConfig>> changed, CallReplication replication) {
         this(config, dialer, scheduler, ready, changed, replication, Optional.empty());
     }
 
     /** The same with discovery, where there is any, in place of the event bus and of the events in the configuration. */
     public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
-                         Supplier<Optional<NodeConfig>> changed, CallReplication replication,
-                         Optional<ServerDiscovery> discovery) {
+            Supplier<Optional<NodeConfig>> changed, CallReplication replication,
+            Optional<ServerDiscovery> discovery) {
         this.discovery = discovery;
         this.ready = ready;
         this.changed = changed;
--- a/daemon/src/main/java/pathlane/platform/SentMessage.java
+++ b/daemon/src/main/java/pathlane/platform/SentMessage.java
@@ -7,4 +7,4 @@
  *
  * @param bytes the very array that was written, by which it can be withdrawn
  */
-record SentMessage(Instant sentAt, byte[] bytes) { }
+record SentMessage(Instant sentAt, byte[] bytes) {}
--- a/daemon/src/main/java/pathlane/platform/ServerLink.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLink.java
@@ -199,8 +199,8 @@
         }
         session.endSetUps(end);
         if (!end.isUnneeded()) {
-            session.unconfirmedReleases().forEach((call, bytes) ->
-                    pending.addRelease(call, bytes, context.limits().waitingReleases()));
+            session.unconfirmedReleases()
+                    .forEach((call, bytes) -> pending.addRelease(call, bytes, context.limits().waitingReleases()));
         }
         if (pool.isEmpty()) {
             allEnded(end);
--- a/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
@@ -25,8 +25,8 @@
  * @param startedAt when the program started
  */
 record ServerLinkContext(Settings settings, ServerLimits limits, Supplier<CallController> controller,
-                         BooleanSupplier listCurrent, Dialer dialer, Scheduler scheduler, Admission connections,
-                         ReportPeriod reportPeriod, SplittableRandom random, Instant startedAt) {
+        BooleanSupplier listCurrent, Dialer dialer, Scheduler scheduler, Admission connections,
+        ReportPeriod reportPeriod, SplittableRandom random, Instant startedAt) {
 
     /** An idle connection is closed here after this part of the time after which the other side closes it. */
     private static final int IDLE_PERCENT = 90;
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -290,7 +290,7 @@
             case Message.ANSWER -> answer(message.id(), message.value(Message.DESCRIPTION));
             case Message.RELEASE -> released(message.id(), message);
             case Message.RELEASE_HEARD -> givenUp.remove(message.id());   // nothing more comes of what was given up
-            case Message.PROGRESS, Message.TEST_RESULT -> { }
+            case Message.PROGRESS, Message.TEST_RESULT -> {}
             case Message.GROUP_STATE -> {
                 reports.reported(scheduler.now());
                 link.capacityReported(this, message.text(Message.STATE));
--- a/daemon/src/main/java/pathlane/platform/SetUpReader.java
+++ b/daemon/src/main/java/pathlane/platform/SetUpReader.java
@@ -27,7 +27,7 @@
         }
     }
 
-    private SetUpReader() { }
+    private SetUpReader() {}
 
     static SetUp read(Message message, Settings settings) {
         if (message.call == NO_ID) {
@@ -64,7 +64,7 @@
                     whole(name, value, 1, MOST_WIDTH);
                     width = true;
                 }
-                default -> { }   // such as again:1
+                default -> {}   // such as again:1
             }
         }
         if (firstChoice == Integer.MIN_VALUE || !width) {
--- a/daemon/src/main/java/pathlane/sim/Wire.java
+++ b/daemon/src/main/java/pathlane/sim/Wire.java
@@ -116,7 +116,7 @@
             JsonObject env = JsonParser.parseString(json).getAsJsonObject();
             instances.put(who, new Logic(SettingsReader.read(env), seed, new Writer(who)));
         } catch (JsonParseException | IllegalStateException | UnsupportedOperationException
-                 | IllegalArgumentException e) {
+                | IllegalArgumentException e) {
             throw malformed("env", e.getMessage());
         }
     }
@@ -210,7 +210,7 @@
                 case "can_take" -> perSecond = value;
                 case "avg_ms" -> wait = value;
                 case "cpu" -> busy = value;
-                default -> { }
+                default -> {}
             }
         }
         return new Gateway.Report(free, lines, waiting, perSecond, wait, busy);
--- a/daemon/src/main/java/pathlane/takeover/GroupFile.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupFile.java
@@ -36,8 +36,8 @@
  * @param orphans how long an attempt whose controller went is let be; nought for ever
  */
 public record GroupFile(String name, InetSocketAddress listen, String address, List<InetSocketAddress> voters, Path keys,
-                        int copies, LeaseTerms lease, Duration window, List<String> waiting, Duration waitMost, int pace,
-                        Duration orphans) {
+        int copies, LeaseTerms lease, Duration window, List<String> waiting, Duration waitMost, int pace,
+        Duration orphans) {
 
     private static final Map<String, Set<String>> KNOWN = Map.of(
             "", Set.of("name", "listen", "address", "voters", "keys", "copies", "lease", "records", "takeover"),
--- a/daemon/src/rehearsal/Rehearsal.java
+++ b/daemon/src/rehearsal/Rehearsal.java
@@ -33,7 +33,7 @@
     private static final int ANSWER = 9;
     private static final int RELEASE = 12;
     private static final byte[] REFUSED_FULL = {(byte) 171, 0, 1, 34, (byte) 150, 0, 10, 'q', 'u', 'e', 'u', 'e', '_',
-        'l', 'o', 'n', 'g'};
+            'l', 'o', 'n', 'g'};
     private static final byte[] ERROR = {(byte) 171, 0, 1, 47};
     private static final byte[] OVER = {(byte) 171, 0, 1, 16};
     private static final byte[] DESCRIPTION = {(byte) 174, 0, 2, 'o', 'k'};
@@ -47,7 +47,7 @@
     private final BlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
     private volatile int busPort;
 
-    private Rehearsal() { }
+    private Rehearsal() {}
 
     public static void main(String[] args) throws InterruptedException {
         Path archive = Path.of(args[2]);
--- a/daemon/src/test/java/pathlane/crossings/CallerGoneTest.java
+++ b/daemon/src/test/java/pathlane/crossings/CallerGoneTest.java
@@ -62,8 +62,7 @@
         BlockingQueue<Runnable> held = new ArrayBlockingQueue<>(8);
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening),
-                        dialer -> (address, timeout, protocol) ->
-                                held.add(() -> dialer.dial(address, timeout, protocol)));
+                        dialer -> (address, timeout, protocol) -> held.add(() -> dialer.dial(address, timeout, protocol)));
                 Peer other = Peer.to(controller.address)) {
             Runnable dial = held.poll(20, TimeUnit.SECONDS);
             Peer gone = Peer.to(controller.address);
--- a/daemon/src/test/java/pathlane/directory/ServicesTest.java
+++ b/daemon/src/test/java/pathlane/directory/ServicesTest.java
@@ -36,7 +36,8 @@
     private static final Duration SHORT = Duration.ofMillis(50);
     private static final Settings SETTINGS = new Settings(List.of(new Settings.CallClass("plain", Duration.ofMillis(1500),
             PATIENCE, 1, 0, 1, true, List.of())), new Settings.Rules(0.28, Duration.ofSeconds(13), 3,
-            Duration.ofMillis(1500), Duration.ofMillis(200)), 1, 6, Duration.ofMillis(5), Duration.ZERO, true, false, -1,
+                    Duration.ofMillis(1500), Duration.ofMillis(200)),
+            1, 6, Duration.ofMillis(5), Duration.ZERO, true, false, -1,
             Duration.ofMillis(500), Duration.ofMinutes(10), Duration.ZERO, Optional.empty());
 
     private final VirtualTime time = new VirtualTime();
@@ -93,13 +94,13 @@
         }
 
         @Override
-        public void giveUp(String call) { }
+        public void giveUp(String call) {}
 
         @Override
-        public void release(String call, Ending how, byte[] content) { }
+        public void release(String call, Ending how, byte[] content) {}
 
         @Override
-        public void drain() { }
+        public void drain() {}
 
         @Override
         public void close() {
--- a/daemon/src/test/java/pathlane/exchange/SilentConnection.java
+++ b/daemon/src/test/java/pathlane/exchange/SilentConnection.java
@@ -7,10 +7,10 @@
 class SilentConnection implements Connection {
 
     @Override
-    public void write(byte[] bytes) { }
+    public void write(byte[] bytes) {}
 
     @Override
-    public void close(ConnectionEnd why) { }
+    public void close(ConnectionEnd why) {}
 
     @Override
     public String remote() {
--- a/daemon/src/test/java/pathlane/exchange/StartTest.java
+++ b/daemon/src/test/java/pathlane/exchange/StartTest.java
@@ -32,7 +32,7 @@
     @BeforeEach
     void follow() {
         feed = new BusFeed(1, (address, timeout, protocol) -> dialled.add(protocol), time, new SplittableRandom(1),
-                event -> event.lines().forEach(line -> told.add(line.mode())), () -> { });
+                event -> event.lines().forEach(line -> told.add(line.mode())), () -> {});
         feed.follow(Addresses.parse("127.0.0.1:9092"));
     }
 
--- a/discovery/src/main/java/pathlane/discovery/Catalogue.java
+++ b/discovery/src/main/java/pathlane/discovery/Catalogue.java
@@ -60,7 +60,7 @@
      * @throws IllegalArgumentException where something is beyond {@link CatalogueLimits}; nothing has changed then
      */
     public Revision update(String service, List<ServerLine> upserted, List<Long> removedIds,
-                           Optional<String> configuration) {
+            Optional<String> configuration) {
         CatalogueEntry entry = entries.get(service);
         boolean isNew = entry == null;
         if (isNew) {
--- a/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
@@ -18,7 +18,7 @@
     /** Endpoints of a service, of at most 60 bytes each where their addresses are numbers. */
     public static final int MOST_ENDPOINTS = 65_536;
 
-    private CatalogueLimits() { }
+    private CatalogueLimits() {}
 
     /** {@code size} is the number of endpoints that the service has once this is done. */
     static void check(String service, int size, List<ServerLine> upserted, Optional<String> configuration) {
--- a/discovery/src/main/java/pathlane/discovery/CatalogueListener.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueListener.java
@@ -12,8 +12,8 @@
     void changed(String service, Revision revision, boolean takesAway);
 
     /** Everything up to this revision is held. Follows {@link #changed} at the source, a bookmark at a relay. */
-    default void advanced(Revision revision) { }
+    default void advanced(Revision revision) {}
 
     /** The whole catalogue is held from now on. */
-    default void completed() { }
+    default void completed() {}
 }
--- a/discovery/src/main/java/pathlane/discovery/ChangeHistory.java
+++ b/discovery/src/main/java/pathlane/discovery/ChangeHistory.java
@@ -30,7 +30,7 @@
     }
 
     /** Which parts of a service differ between an earlier revision and the newest one. */
-    record Touched(Set<Long> endpoints, boolean configuration) { }
+    record Touched(Set<Long> endpoints, boolean configuration) {}
 
     private final int most;
     /** Of each service the steps that are kept, oldest first; each one begins where the one before it ends. */
@@ -82,7 +82,7 @@
         Set<Long> endpoints = new TreeSet<>();
         boolean configuration = false;
         // Newest first: who asks is most often one change behind.
-        for (Iterator<Step> newestFirst = kept.descendingIterator(); newestFirst.hasNext(); ) {
+        for (Iterator<Step> newestFirst = kept.descendingIterator(); newestFirst.hasNext();) {
             Step step = newestFirst.next();
             endpoints.addAll(step.endpoints());
             configuration |= step.configuration();
--- a/discovery/src/main/java/pathlane/discovery/InForceTracker.java
+++ b/discovery/src/main/java/pathlane/discovery/InForceTracker.java
@@ -20,9 +20,9 @@
     private static final int MOST_TIMES = 16_384;
 
     /** A revision that every controller has in force, and how long after its commit the last one had. */
-    public record InForce(Revision revision, Duration after) { }
+    public record InForce(Revision revision, Duration after) {}
 
-    private record Committed(Revision revision, Instant at) { }
+    private record Committed(Revision revision, Instant at) {}
 
     private final Deque<Committed> waiting = new ArrayDeque<>();
     private final Deque<Duration> times = new ArrayDeque<>();
--- a/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
+++ b/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
@@ -43,7 +43,7 @@
         final List<Waiting> waiting = new ArrayList<>();
     }
 
-    private record Waiting(Runnable known, Scheduler.Timer timeout) { }
+    private record Waiting(Runnable known, Scheduler.Timer timeout) {}
 
     private final Scheduler scheduler;
     private final Actions actions;
--- a/discovery/src/main/java/pathlane/discovery/ProgressReport.java
+++ b/discovery/src/main/java/pathlane/discovery/ProgressReport.java
@@ -15,8 +15,8 @@
     public static final int MOST_SLOWEST = 8;
 
     /** So many controllers have everything up to this revision in force. */
-    public record Level(Revision inForce, long controllers) { }
+    public record Level(Revision inForce, long controllers) {}
 
     /** A controller that is behind. */
-    public record Slow(String name, Revision inForce) { }
+    public record Slow(String name, Revision inForce) {}
 }
--- a/discovery/src/main/java/pathlane/discovery/PublisherCounters.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherCounters.java
@@ -18,5 +18,5 @@
  * @param unresponsive subscribers that were disconnected since they acknowledged nothing in time
  */
 public record PublisherCounters(int subscribers, long watches, long refused, long bytesSent, long messagesSent,
-                                long snapshotsSent, long deltasSent, long absentsSent, long bookmarksSent,
-                                long snapshotsEncoded, long deltasEncoded, long coalesced, long unresponsive) { }
+        long snapshotsSent, long deltasSent, long absentsSent, long bookmarksSent,
+        long snapshotsEncoded, long deltasEncoded, long coalesced, long unresponsive) {}
--- a/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
@@ -21,13 +21,13 @@
 public final class PublisherSelector {
 
     /** What to do next. */
-    public sealed interface Choice { }
+    public sealed interface Choice {}
 
     /** Dial this publisher now. */
-    public record Dial(PublisherAddress publisher) implements Choice { }
+    public record Dial(PublisherAddress publisher) implements Choice {}
 
     /** Ask again after this time. */
-    public record Wait(Duration delay) implements Choice { }
+    public record Wait(Duration delay) implements Choice {}
 
     /**
      * How long a nearer publisher that refused for the moment is waited for, rather than that a farther one is dialled: some
--- a/discovery/src/main/java/pathlane/discovery/PublisherStatus.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherStatus.java
@@ -9,4 +9,4 @@
  * @param revision the newest revision of the catalogue that it holds
  * @param staleFor how long ago it lost its way to the source; zero while it is connected
  */
-public record PublisherStatus(boolean complete, Revision revision, Duration staleFor) { }
+public record PublisherStatus(boolean complete, Revision revision, Duration staleFor) {}
--- a/discovery/src/main/java/pathlane/discovery/PublisherTerms.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherTerms.java
@@ -15,7 +15,7 @@
  * @param deadAfter a subscriber that has acknowledged nothing for so long, while something is under way, is disconnected
  */
 public record PublisherTerms(int subscribers, double watchesPerSecond, int watchBurst, int unacknowledgedBytes,
-                             int updateBytes, int historyChanges, Duration bookmarkEvery, Duration deadAfter) {
+        int updateBytes, int historyChanges, Duration bookmarkEvery, Duration deadAfter) {
 
     public static final PublisherTerms USUAL = new PublisherTerms(2_000, 200, 100, 256 * 1024, 64 * 1024, 8_192,
             Duration.ofSeconds(1), Duration.ofSeconds(10));
--- a/discovery/src/main/java/pathlane/discovery/Relay.java
+++ b/discovery/src/main/java/pathlane/discovery/Relay.java
@@ -30,7 +30,7 @@
 
     /** Dials nothing yet. */
     public Relay(WatchTerms upstream, PublisherTerms terms, SealedLink.Common common, Dialer dialer, Scheduler scheduler,
-                 RandomGenerator random) {
+            RandomGenerator random) {
         this.common = common;
         this.scheduler = scheduler;
         this.catalogue = new Catalogue(terms.historyChanges());
--- a/discovery/src/main/java/pathlane/discovery/SendWindow.java
+++ b/discovery/src/main/java/pathlane/discovery/SendWindow.java
@@ -9,7 +9,7 @@
 /** What is under way to one subscriber and not acknowledged: bounded in bytes, and in time. */
 final class SendWindow {
 
-    private record Batch(long number, int bytes) { }
+    private record Batch(long number, int bytes) {}
 
     private final int mostBytes;
     private final Duration deadAfter;
--- a/discovery/src/main/java/pathlane/discovery/ServiceChange.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChange.java
@@ -34,8 +34,8 @@
      * @param configuration the new configuration, where it has changed
      */
     record Delta(String service, Revision from, Revision revision, long digest, List<ServerLine> upserted,
-                 List<Long> removed, Optional<String> configuration) implements ServiceChange { }
+            List<Long> removed, Optional<String> configuration) implements ServiceChange {}
 
     /** The catalogue has no such service at this revision. */
-    record Absent(String service, Revision revision) implements ServiceChange { }
+    record Absent(String service, Revision revision) implements ServiceChange {}
 }
--- a/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
@@ -29,7 +29,7 @@
     private static final int IPV6_BYTES = 16;
     private static final int MOST_PORT = 0xffff;
 
-    private ServiceChangeCodec() { }
+    private ServiceChangeCodec() {}
 
     static void write(MessagePacker packer, ServiceChange change) throws IOException {
         if (change instanceof Snapshot snapshot) {
--- a/discovery/src/main/java/pathlane/discovery/ServiceDigest.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceDigest.java
@@ -19,7 +19,7 @@
     private static final byte ENDPOINT = 1;
     private static final byte CONFIGURATION = 2;
 
-    private ServiceDigest() { }
+    private ServiceDigest() {}
 
     /** The digest of a whole content; the order of the endpoints is of no account. */
     public static long of(List<ServerLine> endpoints, String configuration) {
--- a/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
@@ -16,19 +16,19 @@
 public final class ServiceReplica {
 
     /** What became of a change. */
-    public sealed interface Result { }
+    public sealed interface Result {}
 
     /** The change is in force. */
-    public record Applied() implements Result { }
+    public record Applied() implements Result {}
 
     /** The change is no newer than what is in force. */
-    public record Ignored() implements Result { }
+    public record Ignored() implements Result {}
 
     /** The change can't be applied; the service must be sent whole. */
-    public record NeedsSnapshot(String reason) implements Result { }
+    public record NeedsSnapshot(String reason) implements Result {}
 
     /** The sender does not hold the whole catalogue yet, and the change would take away what may exist. */
-    public record Withheld(String reason) implements Result { }
+    public record Withheld(String reason) implements Result {}
 
     private static final Comparator<ServerLine> BY_ID = Comparator.comparingLong(ServerLine::id);
 
--- a/discovery/src/main/java/pathlane/discovery/ServiceState.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceState.java
@@ -14,4 +14,4 @@
  * @param configuration the service's configuration, opaque text; empty where it has none
  */
 public record ServiceState(String service, Revision revision, long digest, List<ServerLine> endpoints,
-                           String configuration) { }
+        String configuration) {}
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -48,7 +48,7 @@
     private Instant heartbeatAt = Instant.MIN;
 
     SubscriberSession(Publisher publisher, UpdateEncoder encoder, PublisherMetrics metrics, PublisherTerms terms,
-                      SubscriberPort port, Instant now) {
+            SubscriberPort port, Instant now) {
         this.publisher = publisher;
         this.encoder = encoder;
         this.metrics = metrics;
--- a/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
+++ b/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
@@ -125,7 +125,7 @@
     private void added(Encoded encoded, int bytes) {
         encoded.bytes += bytes;
         cachedBytes += bytes;
-        for (Iterator<Encoded> oldest = cache.values().iterator(); cachedBytes > mostCachedBytes; ) {
+        for (Iterator<Encoded> oldest = cache.values().iterator(); cachedBytes > mostCachedBytes;) {
             cachedBytes -= oldest.next().bytes;
             oldest.remove();
         }
--- a/discovery/src/main/java/pathlane/discovery/WatchClient.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchClient.java
@@ -52,7 +52,7 @@
 
     /** Dials nothing yet. */
     public WatchClient(WatchTerms terms, Dialer dialer, SealedLink.Common common, Scheduler scheduler,
-                       RandomGenerator random, WatchListener listener) {
+            RandomGenerator random, WatchListener listener) {
         this.terms = terms;
         this.dialer = dialer;
         this.common = common;
@@ -328,7 +328,7 @@
             case ASK_FOR_SNAPSHOT -> askForSnapshots(List.of(change.service()));
             case UNUSABLE_PUBLISHER -> throw new BadInput("a snapshot of '" + change.service()
                     + "' that differs from its digest");
-            case DONE -> { }
+            case DONE -> {}
         }
     }
 
--- a/discovery/src/main/java/pathlane/discovery/WatchCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchCodec.java
@@ -39,7 +39,7 @@
     /** Guards sums of times against overflow. */
     private static final Duration LONGEST_DURATION = Duration.ofDays(3_650);
 
-    private WatchCodec() { }
+    private WatchCodec() {}
 
     /** Encodes a message. */
     public static byte[] bytes(WatchMessage message) {
--- a/discovery/src/main/java/pathlane/discovery/WatchCounters.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchCounters.java
@@ -14,7 +14,7 @@
  * @param withheld changes of an incomplete publisher that were not believed
  */
 public record WatchCounters(long connections, long bytesReceived, long messagesReceived, long snapshots, long deltas,
-                            long bookmarks, long refused, long gaps, long withheld) {
+        long bookmarks, long refused, long gaps, long withheld) {
 
     /** The counters while they are counted. */
     static final class Tally {
--- a/discovery/src/main/java/pathlane/discovery/WatchFields.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchFields.java
@@ -17,7 +17,7 @@
     /** As in the opening of a connection. */
     private static final int LONGEST_SUBSCRIBER = 255;
 
-    private WatchFields() { }
+    private WatchFields() {}
 
     /** Writes one item of a list. */
     interface ItemWriter<T> {
--- a/discovery/src/main/java/pathlane/discovery/WatchListener.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchListener.java
@@ -13,8 +13,8 @@
     void status(PublisherStatus status);
 
     /** Everything that the watch concerns up to this revision is in force now. */
-    default void inForce(Revision revision) { }
+    default void inForce(Revision revision) {}
 
     /** The connection to the publisher that had accepted the watch is lost; the last state stays in force. */
-    default void disconnected() { }
+    default void disconnected() {}
 }
--- a/discovery/src/main/java/pathlane/discovery/WatchSession.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchSession.java
@@ -40,7 +40,7 @@
     private boolean ended;
 
     WatchSession(PublisherAddress publisher, SealedLink.Common common, Scheduler scheduler, Duration silentAfter,
-                 WatchCounters.Tally tally, Owner owner) {
+            WatchCounters.Tally tally, Owner owner) {
         this.publisher = publisher;
         this.scheduler = scheduler;
         this.silentAfter = silentAfter;
--- a/discovery/src/main/java/pathlane/discovery/WatchTerms.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchTerms.java
@@ -19,8 +19,8 @@
  *                     span after the preferred one can be reached again
  */
 public record WatchTerms(String name, String zone, String region, List<PublisherAddress> publishers, Duration backoffFirst,
-                         Duration backoffMost, Duration silentAfter, Duration returnWithin) {
+        Duration backoffMost, Duration silentAfter, Duration returnWithin) {
 
     /** A relay or source that can be dialled. */
-    public record PublisherAddress(String name, InetSocketAddress address, String zone, String region) { }
+    public record PublisherAddress(String name, InetSocketAddress address, String zone, String region) {}
 }
--- a/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
+++ b/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
@@ -141,7 +141,7 @@
         List<Revision> advanced = new ArrayList<>();
         relay.addListener(new CatalogueListener() {
             @Override
-            public void changed(String service, Revision revision, boolean takesAway) { }
+            public void changed(String service, Revision revision, boolean takesAway) {}
 
             @Override
             public void advanced(Revision revision) {
--- a/discovery/src/test/java/pathlane/discovery/RelayTest.java
+++ b/discovery/src/test/java/pathlane/discovery/RelayTest.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public void status(PublisherStatus status) { }
+        public void status(PublisherStatus status) {}
     }
 
     private static WatchTerms terms(String name, InetSocketAddress publisher) {
--- a/discovery/src/test/java/pathlane/discovery/Samples.java
+++ b/discovery/src/test/java/pathlane/discovery/Samples.java
@@ -15,7 +15,7 @@
 
     static final String SERVICE = "billing";
 
-    private Samples() { }
+    private Samples() {}
 
     static ServerLine endpoint(long id, Mode mode) {
         return new ServerLine(id, new InetSocketAddress("127.0.0.1", 1000 + (int) id), mode, 1, 1, Instant.EPOCH);
--- a/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
+++ b/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void up(SealedLink up, String subscriber) { }
+    public void up(SealedLink up, String subscriber) {}
 
     @Override
     public void message(byte[] payload) {
--- a/discovery/src/test/java/pathlane/discovery/WatchClientTest.java
+++ b/discovery/src/test/java/pathlane/discovery/WatchClientTest.java
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public void status(PublisherStatus status) { }
+        public void status(PublisherStatus status) {}
     }
 
     @BeforeEach
--- a/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
+++ b/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
@@ -115,8 +115,8 @@
     @Test
     void anEndpointTakesAtMostSixtyBytes() {
         int without = WatchCodec.bytes(SMALL_DELTA).length;
-        int with = WatchCodec.bytes(new Delta("b", Revision.NONE, REVISION, 7, List.of(ODD), List.of(), Optional.empty()))
-                .length;
+        int with = WatchCodec
+                .bytes(new Delta("b", Revision.NONE, REVISION, 7, List.of(ODD), List.of(), Optional.empty())).length;
         assertTrue(with - without <= 60, with - without + " bytes");
     }
 }
--- a/example/grpc/src/main/java/example/SigningExample.java
+++ b/example/grpc/src/main/java/example/SigningExample.java
@@ -27,7 +27,7 @@
 /** An application that checks and signs over the plug-in, with a stand-in server in the same process. */
 public final class SigningExample {
 
-    private SigningExample() { }
+    private SigningExample() {}
 
     /** Makes a few calls, one of them with a retry loop of its own, and says what came of each. */
     public static void main(String[] args) throws Exception {
--- a/files/src/main/java/pathlane/files/WatchTables.java
+++ b/files/src/main/java/pathlane/files/WatchTables.java
@@ -32,7 +32,7 @@
     private static final Duration SILENT_AFTER = Duration.ofSeconds(3);
     private static final Duration RETURN_WITHIN = Duration.ofSeconds(30);
 
-    private WatchTables() { }
+    private WatchTables() {}
 
     /** A name of 1 to 64 bytes. */
     public static String name(TomlFile table, String key) {
--- a/group/src/main/java/pathlane/group/Command.java
+++ b/group/src/main/java/pathlane/group/Command.java
@@ -16,25 +16,26 @@
      * @param emptied whether all keepers of the last lease's records have said that they dropped them
      */
     record Join(String name, long incarnation, String address, long last, int copies, boolean emptied)
-            implements Command { }
+            implements
+                Command {}
 
     /** Leases go on: tokens, and how often each has been renewed. Gathered by the leader over a short span. */
-    record Renew(List<Renewal> renewals) implements Command { }
+    record Renew(List<Renewal> renewals) implements Command {}
 
     /** One lease goes on; the number grows with each renewal. */
-    record Renewal(long token, long number) { }
+    record Renewal(long token, long number) {}
 
     /** A planned end: whatever is left may be claimed at once. */
-    record Leave(long token) implements Command { }
+    record Leave(long token) implements Command {}
 
     /** The leader has not seen this lease renewed for so long that it has surely ended; void if it was renewed since. */
-    record Expire(long token, long number) implements Command { }
+    record Expire(long token, long number) implements Command {}
 
     /** All of a member's records are where this view places them. */
-    record Replicated(long token, long view) implements Command { }
+    record Replicated(long token, long view) implements Command {}
 
     /** A member wants to act for one that has gone, in these slots. */
-    record Claim(long claimer, long estate, List<Integer> slots) implements Command { }
+    record Claim(long claimer, long estate, List<Integer> slots) implements Command {}
 
     /**
      * The process whose lease that was has a new one, and takes back what nobody has claimed: nobody can from then on.
@@ -42,8 +43,8 @@
      * @param token its new lease
      * @param former the one that has ended
      */
-    record Reclaim(long token, long former, List<Integer> slots) implements Command { }
+    record Reclaim(long token, long former, List<Integer> slots) implements Command {}
 
     /** What was claimed stands in the claimer's own records now: the former owner's can be dropped. */
-    record Settle(long claimer, long estate, List<Integer> slots) implements Command { }
+    record Settle(long claimer, long estate, List<Integer> slots) implements Command {}
 }
--- a/group/src/main/java/pathlane/group/ExpiryWatch.java
+++ b/group/src/main/java/pathlane/group/ExpiryWatch.java
@@ -13,7 +13,7 @@
  */
 public final class ExpiryWatch {
 
-    private record Seen(long renewals, long atNanos) { }
+    private record Seen(long renewals, long atNanos) {}
 
     private final LeaseTerms terms;
     private final Map<Long, Seen> seen = new HashMap<>();
@@ -34,7 +34,7 @@
                 due.add(new Command.Expire(member.token(), renewals));
             }
         }
-        for (Iterator<Long> tokens = seen.keySet().iterator(); tokens.hasNext(); ) {
+        for (Iterator<Long> tokens = seen.keySet().iterator(); tokens.hasNext();) {
             if (!register.isLive(tokens.next())) {
                 tokens.remove();
             }
--- a/group/src/main/java/pathlane/group/Keys.java
+++ b/group/src/main/java/pathlane/group/Keys.java
@@ -17,7 +17,7 @@
     private static final int LEAST_BYTES = 16;
 
     /** One secret; 16 bytes at the least. */
-    public record Key(String name, byte[] secret) { }
+    public record Key(String name, byte[] secret) {}
 
     /**
      * Reads the file's text.
--- a/group/src/main/java/pathlane/group/LeaseHolder.java
+++ b/group/src/main/java/pathlane/group/LeaseHolder.java
@@ -65,7 +65,7 @@
      * @param nanos the monotonic clock
      */
     public LeaseHolder(String name, long incarnation, String address, int copies, LeaseTerms terms, Registrar registrar,
-                Scheduler scheduler, LongSupplier nanos, Listener listener) {
+            Scheduler scheduler, LongSupplier nanos, Listener listener) {
         this.name = name;
         this.incarnation = incarnation;
         this.address = address;
--- a/group/src/main/java/pathlane/group/Member.java
+++ b/group/src/main/java/pathlane/group/Member.java
@@ -8,4 +8,4 @@
  * @param address where other members reach it, as {@code host:port}
  * @param token the number of its lease: greater than that of every lease before
  */
-public record Member(String name, long incarnation, String address, long token) { }
+public record Member(String name, long incarnation, String address, long token) {}
--- a/group/src/main/java/pathlane/group/Placement.java
+++ b/group/src/main/java/pathlane/group/Placement.java
@@ -18,7 +18,7 @@
 
     private static final Hasher64 HASH = Hashing.komihash5_0();
 
-    private Placement() { }
+    private Placement() {}
 
     /** The slot of a call, from 0 to {@link #SLOTS} less one. */
     public static int slot(String call) {
@@ -33,7 +33,7 @@
      * @param copies how many keep a record; fewer where there are fewer members
      */
     public static List<Member> keepers(int slot, List<Member> members, long owner, int copies) {
-        record Scored(Member member, long score) { }
+        record Scored(Member member, long score) {}
         List<Scored> scored = new ArrayList<>(members.size());
         for (Member member : members) {
             if (member.token() != owner) {
--- a/group/src/main/java/pathlane/group/Register.java
+++ b/group/src/main/java/pathlane/group/Register.java
@@ -86,7 +86,7 @@
     }
 
     /** Slots of one that has gone which nobody can claim: nobody has its records. Its process may take them back. */
-    record Abandoned(Member former, BitSet slots) { }
+    record Abandoned(Member former, BitSet slots) {}
 
     /** Guards the register's size against names that never come back: the oldest go first. */
     private static final int MOST_ABANDONED = 1_024;
@@ -411,7 +411,7 @@
 
     /** All of it, for {@link RegisterCodec}. */
     record Whole(long lastToken, long view, int copies, SortedMap<Long, Lease> leases, SortedMap<Long, Estate> estates,
-                 SortedMap<Long, Abandoned> abandoned, SortedMap<Long, List<Member>> views) { }
+            SortedMap<Long, Abandoned> abandoned, SortedMap<Long, List<Member>> views) {}
 
     Whole whole() {
         return new Whole(lastToken, view, copies, leases, estates, abandoned, views);
--- a/group/src/main/java/pathlane/group/RegisterClient.java
+++ b/group/src/main/java/pathlane/group/RegisterClient.java
@@ -54,7 +54,7 @@
     private Session session;
     private boolean stopped;
 
-    private record Waiting(Consumer<Optional<Reply>> answered, Scheduler.Timer timer) { }
+    private record Waiting(Consumer<Optional<Reply>> answered, Scheduler.Timer timer) {}
 
     /**
      * Dials nothing yet.
@@ -182,7 +182,7 @@
                     seen.apply(RegisterCodec.command(binary(unpacker)));
                     changed.run();
                 }
-                case ALIVE -> { }
+                case ALIVE -> {}
                 default -> throw new BadInput("a message of kind " + kind + " from a voter");
             }
         }
--- a/group/src/main/java/pathlane/group/RegisterCodec.java
+++ b/group/src/main/java/pathlane/group/RegisterCodec.java
@@ -34,8 +34,7 @@
     /** Guards memory against lengths that no group has. */
     private static final int MOST_ITEMS = 1 << 20;
 
-
-    private RegisterCodec() { }
+    private RegisterCodec() {}
 
     public static byte[] bytes(Command command) {
         return packed(packer -> write(packer, command));
--- a/group/src/main/java/pathlane/group/SealedLink.java
+++ b/group/src/main/java/pathlane/group/SealedLink.java
@@ -56,7 +56,7 @@
      * @param random fills 16 bytes that are never the same again
      */
     public record Common(String name, Supplier<Keys> keys, Supplier<byte[]> random, Scheduler scheduler,
-                         LimitedLog log) { }
+            LimitedLog log) {}
 
     private final Common common;
     private final boolean dialled;
@@ -178,7 +178,7 @@
     }
 
     private static byte[] sign(Mac mac, byte[] signer, byte[] other, boolean bySideThatDialled, long number,
-                               byte[] payload, int size) {
+            byte[] payload, int size) {
         mac.update((byte) (bySideThatDialled ? 1 : 0));
         mac.update(signer);
         mac.update(other);
--- a/group/src/test/java/pathlane/group/LeaseExplorationTest.java
+++ b/group/src/test/java/pathlane/group/LeaseExplorationTest.java
@@ -33,11 +33,13 @@
     private static final int MOST_STATES = 3_000_000;
 
     /** What is left out, to see that the exploration would notice. */
-    private enum Without { NOTHING, WAITING_FOR_THE_END, THE_OWN_CHECK, AGREEMENT, AGREEMENT_ON_TAKING_BACK }
+    private enum Without {
+        NOTHING, WAITING_FOR_THE_END, THE_OWN_CHECK, AGREEMENT, AGREEMENT_ON_TAKING_BACK
+    }
 
     /** {@code noted} has, as TOKEN:CALL, by which leases there are records of which calls. */
     private record State(int now, byte[] register, List<Self> selves, Set<String> onTheWay, boolean started,
-                         Set<String> noted) {
+            Set<String> noted) {
 
         HashValue128 key() {
             byte[] rest = (now + "" + selves + onTheWay + started + noted).getBytes(StandardCharsets.UTF_8);
@@ -51,7 +53,7 @@
      * @param sureUntil by when its lease is no longer valid, in its own clock, which is right here
      * @param holds which of the calls it believes to be its own to act on
      */
-    private record Self(long token, int validUntil, int renewals, boolean stopped, boolean dead, Set<Integer> holds) { }
+    private record Self(long token, int validUntil, int renewals, boolean stopped, boolean dead, Set<Integer> holds) {}
 
     private int states;
     private String violation;
@@ -158,7 +160,7 @@
                 long owner = estate.former().token();
                 if (!state.noted.contains(owner + ":" + call)
                         || !estate.holders().containsKey(SLOTS[call]) || register.heirs(estate, SLOTS[call]).stream()
-                        .noneMatch(heir -> heir.token() == self.token)) {
+                                .noneMatch(heir -> heir.token() == self.token)) {
                     continue;
                 }
                 Register after = RegisterCodec.register(state.register);
--- a/grpc/src/main/java/pathlane/grpc/Attempt.java
+++ b/grpc/src/main/java/pathlane/grpc/Attempt.java
@@ -156,7 +156,7 @@
             if (info.isHedging()) {
                 owner.seenHedging();
             }
-            return streams.incrementAndGet() == 1 ? new Tracer() : new ClientStreamTracer() { };
+            return streams.incrementAndGet() == 1 ? new Tracer() : new ClientStreamTracer() {};
         }
     }
 
--- a/grpc/src/main/java/pathlane/grpc/BusNameResolver.java
+++ b/grpc/src/main/java/pathlane/grpc/BusNameResolver.java
@@ -46,7 +46,7 @@
     @Override
     public void start(Listener2 to) {
         listener = to;
-        new BusFeed(0, dialer, time, new SplittableRandom(), this::event, () -> { }).follow(bus);
+        new BusFeed(0, dialer, time, new SplittableRandom(), this::event, () -> {}).follow(bus);
     }
 
     private void event(ServerList list) {
--- a/grpc/src/main/java/pathlane/grpc/Endings.java
+++ b/grpc/src/main/java/pathlane/grpc/Endings.java
@@ -21,9 +21,9 @@
      *                 stream that a GOAWAY names
      * @param pushback the server's {@code grpc-retry-pushback-ms}, as it stands in the trailers
      */
-    record StreamEnd(Status.Code code, boolean fromServer, boolean neverRan, Optional<String> pushback) { }
+    record StreamEnd(Status.Code code, boolean fromServer, boolean neverRan, Optional<String> pushback) {}
 
-    private Endings() { }
+    private Endings() {}
 
     /** The end of an attempt before its call stood. COMPLETED: the status is the server's answer, and goes on. */
     static Ending ofAttempt(StreamEnd end) {
@@ -36,8 +36,8 @@
         return switch (end.code()) {
             case OK -> Ending.COMPLETED;
             case INVALID_ARGUMENT, NOT_FOUND, ALREADY_EXISTS, PERMISSION_DENIED, UNAUTHENTICATED, FAILED_PRECONDITION,
-                 OUT_OF_RANGE, UNIMPLEMENTED, ABORTED, DATA_LOSS ->
-                    end.fromServer() ? Ending.COMPLETED : Ending.ERROR;
+                    OUT_OF_RANGE, UNIMPLEMENTED, ABORTED, DATA_LOSS ->
+                end.fromServer() ? Ending.COMPLETED : Ending.ERROR;
             case UNKNOWN, INTERNAL -> end.fromServer() ? Ending.ERROR : Ending.RESET;
             case RESOURCE_EXHAUSTED -> end.fromServer() ? Ending.REJECTED : Ending.ERROR;
             case UNAVAILABLE -> end.fromServer() ? Ending.REJECTED : Ending.RESET;
--- a/grpc/src/main/java/pathlane/grpc/Pathlane.java
+++ b/grpc/src/main/java/pathlane/grpc/Pathlane.java
@@ -91,7 +91,7 @@
      * @param retries further tries of calls that had ended in vain, by their marks or by what they ask
      * @param heldBack tries that had to wait for the release of an earlier one's lost attempt
      */
-    public record Tries(long calls, long retries, long heldBack) { }
+    public record Tries(long calls, long retries, long heldBack) {}
 
     /** Calls and their tries since the start. */
     public Tries tries() {
@@ -123,7 +123,7 @@
         private Long seed;
         private Function<SynchronizationContext, Scheduler> time;
 
-        private Builder() { }
+        private Builder() {}
 
         /**
          * The settings as JSON: the object {@code settings} of a daemon's configuration, with an object
--- a/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancer.java
+++ b/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancer.java
@@ -35,7 +35,7 @@
     /** What keeps the policy from serving at all; null while nothing does. */
     private Status broken;
 
-    private record Entry(Subchannel subchannel, ServerPath path) { }
+    private record Entry(Subchannel subchannel, ServerPath path) {}
 
     PathlaneLoadBalancer(Helper helper) {
         this.helper = helper;
--- a/grpc/src/main/java/pathlane/grpc/PathlaneOptions.java
+++ b/grpc/src/main/java/pathlane/grpc/PathlaneOptions.java
@@ -20,5 +20,5 @@
     /** The number (cell) of the server of first choice, from 0. Absent: none. */
     public static final CallOptions.Key<Integer> FIRST_CHOICE = CallOptions.Key.create("pathlane-first-choice");
 
-    private PathlaneOptions() { }
+    private PathlaneOptions() {}
 }
--- a/grpc/src/main/java/pathlane/grpc/Refusal.java
+++ b/grpc/src/main/java/pathlane/grpc/Refusal.java
@@ -25,7 +25,7 @@
         } else {
             status = Status.UNAVAILABLE.withDescription("turned away after an attempt that ended as " + last
                     + (lastStatus == null ? "" : " (" + lastStatus.getCode()
-                    + (lastStatus.getDescription() == null ? ")" : ": " + lastStatus.getDescription() + ")")));
+                            + (lastStatus.getDescription() == null ? ")" : ": " + lastStatus.getDescription() + ")")));
         }
         return comeBackAfter.isZero() ? new Refusal(status, new Metadata()) : withAdvice(status, comeBackAfter);
     }
--- a/grpc/src/test/java/pathlane/grpc/ChannelTest.java
+++ b/grpc/src/test/java/pathlane/grpc/ChannelTest.java
@@ -187,7 +187,7 @@
     private static final class Hedger implements io.grpc.ClientInterceptor {
         @Override
         public <Q, R> io.grpc.ClientCall<Q, R> interceptCall(io.grpc.MethodDescriptor<Q, R> method, CallOptions options,
-                                                             io.grpc.Channel next) {
+                io.grpc.Channel next) {
             return new io.grpc.ForwardingClientCall.SimpleForwardingClientCall<Q, R>(next.newCall(method, options)) {
                 @Override
                 public void halfClose() {
@@ -320,10 +320,10 @@
 
     @Test
     void theProvidersAreFoundByTheirNames() {
-        assertTrue(io.grpc.LoadBalancerRegistry.getDefaultRegistry().getProvider("pathlane")
-                instanceof PathlaneLoadBalancerProvider);
-        assertTrue(io.grpc.NameResolverRegistry.getDefaultRegistry().getProviderForScheme("pathlane-bus")
-                instanceof BusNameResolverProvider);
+        assertTrue(io.grpc.LoadBalancerRegistry.getDefaultRegistry()
+                .getProvider("pathlane") instanceof PathlaneLoadBalancerProvider);
+        assertTrue(io.grpc.NameResolverRegistry.getDefaultRegistry()
+                .getProviderForScheme("pathlane-bus") instanceof BusNameResolverProvider);
         assertEquals("dns", io.grpc.NameResolverRegistry.getDefaultRegistry().getDefaultScheme());
     }
 }
--- a/grpc/src/test/java/pathlane/grpc/FixedResolver.java
+++ b/grpc/src/test/java/pathlane/grpc/FixedResolver.java
@@ -48,7 +48,7 @@
             }
 
             @Override
-            public void shutdown() { }
+            public void shutdown() {}
         };
     }
 }
--- a/grpc/src/test/java/pathlane/grpc/PluginHarness.java
+++ b/grpc/src/test/java/pathlane/grpc/PluginHarness.java
@@ -59,7 +59,7 @@
         int closes;
         double closedAt;
         double firstAt = Double.NaN;
-        Runnable onClose = () -> { };
+        Runnable onClose = () -> {};
 
         @Override
         public void onMessage(byte[] message) {
@@ -163,7 +163,7 @@
     }
 
     Response call(ManagedChannel channel, MethodDescriptor<byte[], byte[]> method, CallOptions options, String key,
-               String request) {
+            String request) {
         Response response = new Response();
         ClientCall<byte[], byte[]> call = channel.newCall(method, options);
         response.call = call;
--- a/grpc/src/test/java/pathlane/grpc/PluginTest.java
+++ b/grpc/src/test/java/pathlane/grpc/PluginTest.java
@@ -210,7 +210,7 @@
             ManagedChannel channel = harness.channel();
             for (int i = 0; i < 300; i++) {
                 harness.check(channel, "n" + i);
-                harness.sign(channel, "s" + i).onClose = () -> { };
+                harness.sign(channel, "s" + i).onClose = () -> {};
                 harness.time.pass(120);
             }
             harness.time.pass(70_000);
--- a/grpc/src/test/java/pathlane/grpc/RawServer.java
+++ b/grpc/src/test/java/pathlane/grpc/RawServer.java
@@ -34,8 +34,10 @@
 final class RawServer implements AutoCloseable {
 
     /** What may be done with a stream. */
-    enum Act { ANSWER, REFUSE_STREAM, RESET_CANCEL, RESET_INTERNAL, GO_AWAY_BEFORE_IT, DROP, HEADERS_THEN_DROP,
-        ENHANCE_CALM, SILENCE }
+    enum Act {
+        ANSWER, REFUSE_STREAM, RESET_CANCEL, RESET_INTERNAL, GO_AWAY_BEFORE_IT, DROP, HEADERS_THEN_DROP,
+        ENHANCE_CALM, SILENCE
+    }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Queue<Act> script = new ConcurrentLinkedQueue<>();
@@ -100,7 +102,7 @@
                 case DROP -> context.close();
                 case HEADERS_THEN_DROP -> context.writeAndFlush(new DefaultHttp2HeadersFrame(ok(), false).stream(stream))
                         .addListener(done -> context.close());
-                case SILENCE -> { }
+                case SILENCE -> {}
             }
         }
 
--- a/grpc/src/test/java/pathlane/grpc/RetryTest.java
+++ b/grpc/src/test/java/pathlane/grpc/RetryTest.java
@@ -19,14 +19,14 @@
 
     /** Tries until it stands, each given up after so long and followed at once by the next. */
     private static List<Response> loop(PluginHarness harness, ManagedChannel channel, CallOptions options, String key,
-                                    boolean sameRequest, long eachMs) {
+            boolean sameRequest, long eachMs) {
         List<Response> tries = new ArrayList<>();
         tryOnce(harness, channel, options, key, sameRequest, eachMs, tries);
         return tries;
     }
 
     private static void tryOnce(PluginHarness harness, ManagedChannel channel, CallOptions options, String key,
-                                boolean sameRequest, long eachMs, List<Response> tries) {
+            boolean sameRequest, long eachMs, List<Response> tries) {
         String request = sameRequest ? key : key + ", try " + tries.size();
         Response response = harness.call(channel, GrpcFront.CHECK, options, key, request);
         tries.add(response);
--- a/grpc/src/test/java/pathlane/grpc/SharedColdTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SharedColdTest.java
@@ -57,7 +57,7 @@
         }
 
         @Override
-        public void release(String call, Ending how) { }
+        public void release(String call, Ending how) {}
     }
 
     /** Both ends of a connection, in virtual time. */
@@ -192,7 +192,7 @@
     }
 
     private static void play(PluginHarness harness, CallController daemon, Callers callers, ManagedChannel channel,
-                             List<Response> response, int seconds, int daemonRate, int pluginRate) {
+            List<Response> response, int seconds, int daemonRate, int pluginRate) {
         int steps = 1000 / 5;
         for (int step = 0; step < seconds * steps; step++) {
             int inSecond = step % steps;
--- a/grpc/src/test/java/pathlane/grpc/SocketTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SocketTest.java
@@ -40,8 +40,8 @@
     /** The stream ends in this way, the module tries again, and the second one is answered. */
     @ParameterizedTest
     @CsvSource({"REFUSE_STREAM, ATTEMPTS_UNREACHABLE", "GO_AWAY_BEFORE_IT, ATTEMPTS_UNREACHABLE",
-        "RESET_CANCEL, ATTEMPTS_RESET", "RESET_INTERNAL, ATTEMPTS_RESET", "DROP, ATTEMPTS_RESET",
-        "HEADERS_THEN_DROP, ATTEMPTS_RESET", "ENHANCE_CALM, ATTEMPTS_IN_ERROR"})
+            "RESET_CANCEL, ATTEMPTS_RESET", "RESET_INTERNAL, ATTEMPTS_RESET", "DROP, ATTEMPTS_RESET",
+            "HEADERS_THEN_DROP, ATTEMPTS_RESET", "ENHANCE_CALM, ATTEMPTS_IN_ERROR"})
     void aStreamThatEndsSoIsCountedSoAndTriedAgainByTheModuleAlone(Act act, Name counted) {
         try (RawServer server = new RawServer(act);
                 Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
--- a/handover/src/main/java/pathlane/handover/AdoptedCalls.java
+++ b/handover/src/main/java/pathlane/handover/AdoptedCalls.java
@@ -29,10 +29,10 @@
     /** The bus may name a server up to 9.5 s late: an adopted call's is waited for so long. */
     private static final Duration NAMED_BY = Duration.ofSeconds(10);
 
-    private record Place(long owner, int slot) { }
+    private record Place(long owner, int slot) {}
 
     /** An attempt that was out when its owner went. */
-    private record OpenAttempt(CallRecord record, Instant orphanAt) { }
+    private record OpenAttempt(CallRecord record, Instant orphanAt) {}
 
     private final Terms terms;
     private final Scheduler scheduler;
@@ -53,7 +53,7 @@
 
     /** {@code handler} handles an event that was stored for a call whose attempt was out. */
     AdoptedCalls(Terms terms, Scheduler scheduler, Registrar registrar, Links links, ReplicationLog replicationLog,
-                 ReplicaStore replicaStore, Consumer<CallEvent> handler) {
+            ReplicaStore replicaStore, Consumer<CallEvent> handler) {
         this.terms = terms;
         this.scheduler = scheduler;
         this.registrar = registrar;
@@ -84,7 +84,7 @@
                 over(record.call());
                 controller.owedToServer(record.call(), record.server(), record.ending());
             }
-            case OVER -> { }
+            case OVER -> {}
         }
         changedAt.put(place, replicationLog.changes());
     }
--- a/handover/src/main/java/pathlane/handover/CallRecord.java
+++ b/handover/src/main/java/pathlane/handover/CallRecord.java
@@ -14,7 +14,7 @@
  * @param lasts how long an attempt may be out, or nothing may be sent, from when the record was made
  */
 public record CallRecord(String call, Kind kind, long server, String caller, Ending how, Duration lasts,
-                         byte[] ending) {
+        byte[] ending) {
 
     /** What is left to do. The place in this list is the number in messages. */
     public enum Kind {
--- a/handover/src/main/java/pathlane/handover/GracefulLeave.java
+++ b/handover/src/main/java/pathlane/handover/GracefulLeave.java
@@ -31,7 +31,7 @@
 
     /** {@code window} is how long a change of the records may wait for others. */
     GracefulLeave(Scheduler scheduler, Registrar registrar, LeaseHolder leaseHolder, ReplicationLog replicationLog,
-                  Duration window) {
+            Duration window) {
         this.scheduler = scheduler;
         this.registrar = registrar;
         this.leaseHolder = leaseHolder;
--- a/handover/src/main/java/pathlane/handover/Handover.java
+++ b/handover/src/main/java/pathlane/handover/Handover.java
@@ -66,7 +66,7 @@
      * @param nanos the monotonic clock
      */
     public Handover(Terms terms, long incarnation, List<InetSocketAddress> voters, Dialer dialer,
-                    SealedLink.Common common, LongSupplier nanos) {
+            SealedLink.Common common, LongSupplier nanos) {
         this.terms = terms;
         this.scheduler = common.scheduler();
         this.client = new RegisterClient(voters, dialer, common, this::registerChanged);
--- a/handover/src/main/java/pathlane/handover/IncomingMessages.java
+++ b/handover/src/main/java/pathlane/handover/IncomingMessages.java
@@ -24,7 +24,7 @@
     private final EventHandler eventHandler;
 
     IncomingMessages(Registrar registrar, ReplicaStore replicaStore, ReplicationLog replicationLog, Succession succession,
-                     OrphanedEvents orphanedEvents, ReplicaRelease replicaRelease, EventHandler eventHandler) {
+            OrphanedEvents orphanedEvents, ReplicaRelease replicaRelease, EventHandler eventHandler) {
         this.registrar = registrar;
         this.replicaStore = replicaStore;
         this.replicationLog = replicationLog;
--- a/handover/src/main/java/pathlane/handover/Links.java
+++ b/handover/src/main/java/pathlane/handover/Links.java
@@ -53,7 +53,7 @@
         void received(long from, long stream, PeerMessage message, Consumer<PeerMessage> answer);
     }
 
-    private record Waiting(byte[] message, Instant until) { }
+    private record Waiting(byte[] message, Instant until) {}
 
     private final Dialer dialer;
     private final SealedLink.Common common;
--- a/handover/src/main/java/pathlane/handover/OrphanedEvents.java
+++ b/handover/src/main/java/pathlane/handover/OrphanedEvents.java
@@ -53,7 +53,7 @@
      * @param unowned receives events of calls that no member knows
      */
     OrphanedEvents(Registrar registrar, Scheduler scheduler, ReplicaStore replicaStore, ReplicationLog.Transport transport,
-                   LongSupplier self, Consumer<CallEvent> unowned) {
+            LongSupplier self, Consumer<CallEvent> unowned) {
         this.registrar = registrar;
         this.scheduler = scheduler;
         this.replicaStore = replicaStore;
--- a/handover/src/main/java/pathlane/handover/PeerCodec.java
+++ b/handover/src/main/java/pathlane/handover/PeerCodec.java
@@ -36,7 +36,7 @@
     private static final Kind[] KINDS = Kind.values();
     private static final Ending[] ENDINGS = Ending.values();
 
-    private PeerCodec() { }
+    private PeerCodec() {}
 
     static byte[] bytes(PeerMessage message) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
@@ -137,7 +137,7 @@
                 packer.packLong(record.server());
                 binary(packer, record.ending());
             }
-            case OVER -> { }
+            case OVER -> {}
         }
     }
 
--- a/handover/src/main/java/pathlane/handover/ReplicaRelease.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaRelease.java
@@ -25,7 +25,7 @@
 
     /** {@code released} runs once all keepers have dropped their replicas. */
     ReplicaRelease(Scheduler scheduler, LeaseHolder leaseHolder, ReplicationLog replicationLog, Links links,
-                   Runnable released) {
+            Runnable released) {
         this.scheduler = scheduler;
         this.leaseHolder = leaseHolder;
         this.replicationLog = replicationLog;
--- a/handover/src/main/java/pathlane/handover/ReplicaStore.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaStore.java
@@ -24,7 +24,7 @@
 final class ReplicaStore {
 
     /** A slot as it was kept: how far it goes, in the owner's count of its changes. */
-    record Copy(long upTo, List<CallRecord> records) { }
+    record Copy(long upTo, List<CallRecord> records) {}
 
     private static final class KeptSlot {
         long stream;
@@ -252,7 +252,7 @@
         heldBack.values().removeIf(until -> until.isBefore(now));
         freed.removeIf(owner -> owner <= register.lastToken() && !register.isLive(owner)
                 && register.estate(owner).isEmpty());
-        for (Iterator<Map.Entry<Long, Kept>> each = owners.entrySet().iterator(); each.hasNext(); ) {
+        for (Iterator<Map.Entry<Long, Kept>> each = owners.entrySet().iterator(); each.hasNext();) {
             Map.Entry<Long, Kept> one = each.next();
             long owner = one.getKey();
             if (owner > register.lastToken() || one.getValue().newest > register.view()) {
--- a/handover/src/main/java/pathlane/handover/ReplicationLog.java
+++ b/handover/src/main/java/pathlane/handover/ReplicationLog.java
@@ -69,7 +69,7 @@
         long placedSent;
     }
 
-    private record Waiting(long change, Set<Long> keepers, Runnable then, Scheduler.Timer timer) { }
+    private record Waiting(long change, Set<Long> keepers, Runnable then, Scheduler.Timer timer) {}
 
     private final Registrar registrar;
     private final Scheduler scheduler;
@@ -300,7 +300,7 @@
                 }
             }
         }
-        for (Iterator<Map.Entry<Long, Feed>> each = feeds.entrySet().iterator(); each.hasNext(); ) {
+        for (Iterator<Map.Entry<Long, Feed>> each = feeds.entrySet().iterator(); each.hasNext();) {
             Map.Entry<Long, Feed> one = each.next();
             if (!wanted.containsKey(one.getKey())) {
                 each.remove();
@@ -362,7 +362,7 @@
         }
         feed.keptUpTo = Math.max(feed.keptUpTo, kept.upTo());
         feed.placed = Math.max(feed.placed, kept.view());
-        for (Iterator<Waiting> each = waiting.values().iterator(); each.hasNext(); ) {
+        for (Iterator<Waiting> each = waiting.values().iterator(); each.hasNext();) {
             Waiting one = each.next();
             if (one.change <= kept.upTo()) {
                 one.keepers.remove(keeper);
--- a/handover/src/main/java/pathlane/handover/Succession.java
+++ b/handover/src/main/java/pathlane/handover/Succession.java
@@ -59,7 +59,7 @@
         void send(long member, PeerMessage message);
     }
 
-    private record Place(long owner, int slot) { }
+    private record Place(long owner, int slot) {}
 
     /** A slot that this member has claimed. */
     private static final class Task {
@@ -86,7 +86,7 @@
     }
 
     /** A copy of one's records of a slot that a member may have. */
-    private record Ask(long owner, long heir) { }
+    private record Ask(long owner, long heir) {}
 
     private final Registrar registrar;
     private final LeaseHolder leaseHolder;
@@ -158,7 +158,7 @@
         }
         openSince.keySet().retainAll(open);
         claimedAt.keySet().retainAll(open);
-        for (Iterator<Task> each = tasks.values().iterator(); each.hasNext(); ) {
+        for (Iterator<Task> each = tasks.values().iterator(); each.hasNext();) {
             Task task = each.next();
             Optional<Register.Estate> estate = register.estate(task.place.owner());
             Long holder = estate.isEmpty() ? null : estate.get().holders().get(task.place.slot());
--- a/handover/src/main/java/pathlane/handover/Terms.java
+++ b/handover/src/main/java/pathlane/handover/Terms.java
@@ -19,4 +19,4 @@
  * @param clearWait how long nothing is sent for a call after an attempt was lost
  */
 public record Terms(String name, String address, int copies, LeaseTerms lease, Duration window, Set<Integer> waiting,
-                    Duration waitMost, int pace, Duration orphans, Duration clearWait) { }
+        Duration waitMost, int pace, Duration orphans, Duration clearWait) {}
--- a/lab/src/main/java/pathlane/lab/Checker.java
+++ b/lab/src/main/java/pathlane/lab/Checker.java
@@ -125,7 +125,7 @@
                     }
                 }
                 case ENDED, HEARD_RELEASE -> standsAt.remove(event.who());
-                case GONE -> { }
+                case GONE -> {}
                 case ANSWERED, REFUSED, FAILED -> {
                     if (++answers > 1) {
                         fail("one final answer", call + " was answered again", events, event);
@@ -141,7 +141,7 @@
                     callerHasIt = false;
                     told++;
                 }
-                default -> { }
+                default -> {}
             }
         }
         if (ended) {
@@ -160,7 +160,7 @@
     }
 
     private record End(boolean asked, int answers, int told, boolean callerHasIt, boolean callerLeft,
-                       Set<String> standsAt) { }
+            Set<String> standsAt) {}
 
     private void judgeEnd(String call, List<Event> events, End end) {
         Event last = events.get(events.size() - 1);
--- a/lab/src/main/java/pathlane/lab/EventBus.java
+++ b/lab/src/main/java/pathlane/lab/EventBus.java
@@ -25,7 +25,7 @@
     private static final int WEIGHT = 1000;
 
     /** A change: a server's place in the list, and its state as on the wire: 0 ready, 1 draining, 2 gone. */
-    record Change(long id, int place, int state, long startedMillis) { }
+    record Change(long id, int place, int state, long startedMillis) {}
 
     private final Scheduler time;
     private final BiFunction<String, Integer, Integer> port;
--- a/lab/src/main/java/pathlane/lab/FleetConfig.java
+++ b/lab/src/main/java/pathlane/lab/FleetConfig.java
@@ -7,7 +7,7 @@
 /** The configuration of a controller of the rig's, as the platform would write it to {@code RELAY_CONFIG}. */
 public final class FleetConfig {
 
-    private FleetConfig() { }
+    private FleetConfig() {}
 
     /**
      * The text.
--- a/lab/src/main/java/pathlane/lab/Folders.java
+++ b/lab/src/main/java/pathlane/lab/Folders.java
@@ -10,7 +10,7 @@
 /** What runs leave behind. */
 public final class Folders {
 
-    private Folders() { }
+    private Folders() {}
 
     /** Deletes a folder that a run was given, with all that is in it. */
     public static void delete(Path folder) throws IOException {
--- a/lab/src/main/java/pathlane/lab/LabMain.java
+++ b/lab/src/main/java/pathlane/lab/LabMain.java
@@ -20,7 +20,8 @@
 /** The lab by hand: {@code java -jar lab/target/pathlane-lab.jar run SCENARIO}, from the project's root. */
 @Command(name = "lab", description = "Plays groups of call controllers with faults between their parts.",
         subcommands = {LabMain.Run.class, LabMain.Takeover.class, MeasureCommand.class, CapacityCommand.class,
-            ScaleCommand.class}, mixinStandardHelpOptions = true)
+                ScaleCommand.class},
+        mixinStandardHelpOptions = true)
 public final class LabMain implements Runnable {
 
     /** Runs a command and ends with its status: 0 kept, 1 broken, 2 for a command that can't be used. */
@@ -87,8 +88,8 @@
 
         @Command(description = "From a kill to the last call owned again.")
         void owned(@Option(names = "--controllers", defaultValue = "3") int controllers,
-                   @Option(names = "--calls", defaultValue = "1000") int calls,
-                   @Option(names = "--virtual", description = "in virtual time, in one thread") boolean virtual)
+                @Option(names = "--calls", defaultValue = "1000") int calls,
+                @Option(names = "--virtual", description = "in virtual time, in one thread") boolean virtual)
                 throws IOException, InterruptedException {
             Histogram times = virtual ? VirtualTakeover.owned(controllers, calls, runs)
                     : new ProcessTakeover(home).owned(controllers, calls, runs);
@@ -108,7 +109,7 @@
 
         @Command(description = "What a call costs its controller, with a group and without, in turn.")
         void owner(@Option(names = "--calls", defaultValue = "20000") int calls,
-                   @Option(names = "--each-second", defaultValue = "1000") int eachSecond)
+                @Option(names = "--each-second", defaultValue = "1000") int eachSecond)
                 throws IOException, InterruptedException {
             for (int run = 1; run <= runs; run++) {
                 for (boolean grouped : new boolean[] {true, false}) {
--- a/lab/src/main/java/pathlane/lab/Path.java
+++ b/lab/src/main/java/pathlane/lab/Path.java
@@ -120,7 +120,7 @@
 
     /** Opens both ends at once. */
     public Path(Scheduler scheduler, Faults faults, Duration latency, String nearName, Protocol near, String farName,
-         Protocol far) {
+            Protocol far) {
         this.scheduler = scheduler;
         this.faults = faults;
         this.latency = latency;
--- a/lab/src/main/java/pathlane/lab/ScriptedCaller.java
+++ b/lab/src/main/java/pathlane/lab/ScriptedCaller.java
@@ -38,7 +38,7 @@
     private final Map<String, String> standing = new LinkedHashMap<>();
     private long calls;
     private final long base;
-    private Consumer<String> onRefused = call -> { };
+    private Consumer<String> onRefused = call -> {};
 
     /** {@code base} keeps its calls' ids apart from those of others. */
     public ScriptedCaller(String name, long base, Front front, Witness history) {
--- a/lab/src/main/java/pathlane/lab/SessionServer.java
+++ b/lab/src/main/java/pathlane/lab/SessionServer.java
@@ -178,7 +178,7 @@
                     write(new Message(Message.RELEASE_HEARD, id));
                 }
                 case Message.TEST -> write(new Message(Message.TEST_RESULT, id).withCause(1));
-                default -> { }
+                default -> {}
             }
         }
 
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -40,7 +40,7 @@
 
     /** Figures of a fleet. */
     public record Shape(int controllers, int servers, int voters, int copies, LeaseTerms lease, Duration work,
-                        Duration holds, int pace) { }
+            Duration holds, int pace) {}
 
     /** A controller's process. */
     public final class Controller {
--- a/lab/src/main/java/pathlane/lab/VirtualTakeover.java
+++ b/lab/src/main/java/pathlane/lab/VirtualTakeover.java
@@ -19,7 +19,7 @@
     private static final int COPIES = 3;
     private static final int TICK_MILLIS = 10;
 
-    private VirtualTakeover() { }
+    private VirtualTakeover() {}
 
     private static VirtualFleet fleet(int controllers, long seed) {
         VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(controllers, SERVERS, VOTERS, COPIES, LeaseTerms.USUAL,
--- a/lab/src/main/java/pathlane/lab/VirtualVoter.java
+++ b/lab/src/main/java/pathlane/lab/VirtualVoter.java
@@ -31,7 +31,7 @@
     private RaftLog log;
 
     VirtualVoter(String name, Scheduler world, Faults faults, SplittableRandom random, LeaseTerms lease,
-                 Keys keys) {
+            Keys keys) {
         this.name = name;
         this.world = world;
         this.faults = faults;
--- a/lab/src/main/java/pathlane/lab/capacity/Assumptions.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Assumptions.java
@@ -101,7 +101,7 @@
         double factor = servers / value("servers");
         Assumptions scaled = this;
         for (String name : new String[] {"servers", "services", "calls-per-second", "config-changes-per-day",
-            "restarts-per-day", "failures-per-day"}) {
+                "restarts-per-day", "failures-per-day"}) {
             scaled = scaled.with(name, value(name) * factor);
         }
         return scaled;
--- a/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
@@ -130,7 +130,7 @@
     private double heard(Design design, FleetLoad load) {
         return design == Design.BROADCAST ? load.changes()
                 : load.serverEvents() * listed(design) / servers()
-                + load.configChanges() * Math.min(1, value("services-called") / value("services"));
+                        + load.configChanges() * Math.min(1, value("services-called") / value("services"));
     }
 
     private Estimate discoveryBytes(Design design, double changes) {
@@ -248,7 +248,8 @@
         String state = String.format("%,.0f leases", members);
         if (situation != Situation.ORDINARY) {
             return new RoleCost(state, Estimate.missing("register-voter-messages"), Estimate.missing("register-voter-bytes"),
-                    Estimate.missing("register-voter-cpu"), Estimate.missing("register-voter-memory"), "one register of all");
+                    Estimate.missing("register-voter-cpu"), Estimate.missing("register-voter-memory"),
+                    "one register of all");
         }
         return new RoleCost(state, Estimate.missing("register-voter-messages"),
                 figures.at("register-voter-bytes-per-second", members)
@@ -259,7 +260,8 @@
 
     private RoleCost gatherer(Design design) {
         if (design == Design.BROADCAST) {
-            return new RoleCost("nothing: nobody acknowledges", Estimate.assumed(0), Estimate.assumed(0), Estimate.assumed(0),
+            return new RoleCost("nothing: nobody acknowledges", Estimate.assumed(0), Estimate.assumed(0),
+                    Estimate.assumed(0),
                     Estimate.assumed(0), "none today");
         }
         double relays = value("regions");
--- a/lab/src/main/java/pathlane/lab/capacity/CapacityPage.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityPage.java
@@ -10,7 +10,7 @@
     private static final Pattern BLOCK = Pattern.compile(
             "(<!-- begin generated: (\\S+) -->\\n).*?(<!-- end generated: \\2 -->)", Pattern.DOTALL);
 
-    private CapacityPage() { }
+    private CapacityPage() {}
 
     /**
      * The page with each block filled anew.
--- a/lab/src/main/java/pathlane/lab/capacity/CapacityTables.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityTables.java
@@ -60,7 +60,7 @@
     // ---- sensitivity
 
     /** A result that the page follows through all changes of assumptions. */
-    private record Outcome(String name, Function<CapacityModel, Estimate> figure, String unit) { }
+    private record Outcome(String name, Function<CapacityModel, Estimate> figure, String unit) {}
 
     private static final List<Outcome> OUTCOMES = List.of(
             new Outcome("servers a controller lists", model -> Estimate.assumed(model.listed(Design.SCOPED)), "servers"),
@@ -115,12 +115,13 @@
                 .row("region relays", Markdown.number(regions)).row("zone relays", Markdown.number(zones))
                 .row("voters of the register", Markdown.number(voters))
                 .row("together, of " + Markdown.number(assumptions.value("control-machines")),
-                        Markdown.number(sources + regions + zones + voters)).text();
+                        Markdown.number(sources + regions + zones + voters))
+                .text();
     }
 
     /** What breaks, the smallest size first; of a cost's bad situations the first to break alone. */
     private String breaks(Design design) {
-        record Break(Limit limit, double size) { }
+        record Break(Limit limit, double size) {}
         Map<String, Break> first = new LinkedHashMap<>();
         for (Limit limit : limits.of(design)) {
             if (limit.at(assumptions).isKnown()) {
@@ -182,8 +183,8 @@
     }
 
     private void note(List<String> over, Role role, String quantity, Estimate cost) {
-        limits.budget(role, quantity).filter(budget -> cost.value() > budget).ifPresent(budget ->
-                over.add(String.format(Locale.ROOT, "**%s** %s times", quantity, Markdown.number(cost.value() / budget))));
+        limits.budget(role, quantity).filter(budget -> cost.value() > budget).ifPresent(budget -> over
+                .add(String.format(Locale.ROOT, "**%s** %s times", quantity, Markdown.number(cost.value() / budget))));
     }
 
     // ---- calls
@@ -276,7 +277,7 @@
             table.row(series.name(), scientific(fit.slope()), scientific(fit.intercept()), scientific(fit.residual()),
                     Double.isNaN(fit.rSquare()) ? UNCHANGED : String.format(Locale.ROOT, "%.3f", fit.rSquare()),
                     fit.sizes() + ", " + Markdown.number(fit.smallest()) + " to " + Markdown.number(fit.largest())
-                    + (fit.sizes() < LinearFit.LEAST_SIZES ? " (too few for a slope)" : ""));
+                            + (fit.sizes() < LinearFit.LEAST_SIZES ? " (too few for a slope)" : ""));
         }
         return table.text();
     }
--- a/lab/src/main/java/pathlane/lab/capacity/Limit.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Limit.java
@@ -13,7 +13,7 @@
  * @param mechanism what carries it
  */
 record Limit(String what, Design design, String unit, double budget, Function<Assumptions, Estimate> cost,
-             String mechanism) {
+        String mechanism) {
 
     /** Beyond so many times the planned size nobody looks. */
     private static final double MOST_TIMES = 100;
--- a/lab/src/main/java/pathlane/lab/capacity/Limits.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Limits.java
@@ -56,7 +56,8 @@
         }
         limits.add(new Limit("call controller: resident memory of its process", design, "B",
                 planned.value("controller-memory-bytes"), at -> figures.at("start-memory-resident-bytes",
-                model(at).listed(design)), "the JVM and the program"));
+                        model(at).listed(design)),
+                "the JVM and the program"));
         limits.add(new Limit("one decision over all that is listed", design, "us", planned.value("added-latency-us"),
                 at -> model(at).decisionMicros(model(at).listed(design)), "decision module, one list"));
         limits.add(new Limit("call controller: p99 added to a call at 400 calls/s", design, "us",
@@ -97,7 +98,7 @@
     }
 
     private void add(List<Limit> limits, Design design, Role role, String quantity, String unit,
-                     Function<RoleCost, Estimate> figure) {
+            Function<RoleCost, Estimate> figure) {
         budget(role, quantity).ifPresent(budget -> {
             for (Situation situation : situations(design)) {
                 limits.add(new Limit(role.text() + ": " + quantity + ", " + situation.text(), design, unit, budget,
--- a/lab/src/main/java/pathlane/lab/capacity/LinearFit.java
+++ b/lab/src/main/java/pathlane/lab/capacity/LinearFit.java
@@ -15,7 +15,7 @@
  * @param largest the largest of them
  */
 public record LinearFit(double slope, double intercept, double residual, double rSquare, int sizes, double smallest,
-                        double largest) {
+        double largest) {
 
     /** A slope needs at least so many sizes; fewer show no shape. */
     public static final int LEAST_SIZES = 4;
--- a/lab/src/main/java/pathlane/lab/capacity/Measurement.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Measurement.java
@@ -9,4 +9,4 @@
  * @param repetition from 1
  * @param figure in the unit that the file's name says
  */
-public record Measurement(String commit, String machine, double size, int repetition, double figure) { }
+public record Measurement(String commit, String machine, double size, int repetition, double figure) {}
--- a/lab/src/main/java/pathlane/lab/capacity/MeasurementFile.java
+++ b/lab/src/main/java/pathlane/lab/capacity/MeasurementFile.java
@@ -21,7 +21,7 @@
     private static final MathContext DIGITS = new MathContext(6);
     private static final CSVFormat FORMAT = CSVFormat.DEFAULT.builder().setRecordSeparator("\n").get();
 
-    private MeasurementFile() { }
+    private MeasurementFile() {}
 
     /** Reads all rows, in their order. */
     public static List<Measurement> read(Path file) throws IOException {
--- a/lab/src/main/java/pathlane/lab/capacity/RoleCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/RoleCost.java
@@ -13,7 +13,7 @@
  * @param mechanism what carries it
  */
 public record RoleCost(String state, Estimate messages, Estimate bytes, Estimate cpuMillis, Estimate memoryBytes,
-                       String mechanism) {
+        String mechanism) {
 
     /** What the known figures rest on together, as one that is nought. */
     public Estimate basis() {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/AddedLatency.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/AddedLatency.java
@@ -61,7 +61,7 @@
     }
 
     private void window(ControllerProcess controller, PacedCaller through, PacedCaller direct, int rate, int listed,
-                        int repetition) throws IOException, InterruptedException {
+            int repetition) throws IOException, InterruptedException {
         through.takeLatencies();
         direct.takeLatencies();
         long answered = through.answered();
@@ -81,7 +81,7 @@
     }
 
     private void quantile(String name, double percentile, Histogram through, Histogram direct, int rate, int listed,
-                          int repetition) {
+            int repetition) {
         recorder.record("added-latency-" + name + "-us-at-" + rate, listed, repetition,
                 through.getValueAtPercentile(percentile) - direct.getValueAtPercentile(percentile));
         recorder.record("direct-latency-" + name + "-us-at-" + rate, listed, repetition,
--- a/lab/src/main/java/pathlane/lab/capacity/measure/BusFrames.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/BusFrames.java
@@ -17,7 +17,7 @@
     private static final int LOOPBACK = 0x7f000001;
     private static final int WEIGHT = 1000;
 
-    private BusFrames() { }
+    private BusFrames() {}
 
     /** The whole list of so many servers that are ready. */
     static byte[] whole(long number, int servers, int port) {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/DecisionCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/DecisionCost.java
@@ -41,7 +41,7 @@
              "rules": {"cold-from": 0.28, "cold-ms": 13000, "fall-multiple": 3, "fall-ms": 1500},
              "specifics": {"clear-wait-ms": 200, "t1-ms": 500}}""";
 
-    private record Sent(String call, long server) { }
+    private record Sent(String call, long server) {}
 
     private final int servers;
     private final Logic logic;
@@ -108,7 +108,7 @@
     }
 
     /** Means over the calls that were decided: of the arrival alone, and of all three events of a call. */
-    private record Decided(double arrivalNanos, double arrivalBytes, double callNanos) { }
+    private record Decided(double arrivalNanos, double arrivalBytes, double callNanos) {}
 
     private Decided decide(Duration most) {
         long arrivalNanos = 0;
@@ -126,7 +126,8 @@
             rounds++;
             ended = System.nanoTime();
         }
-        return new Decided((double) arrivalNanos / rounds, (double) arrivalBytes / rounds, (double) (ended - begun) / rounds);
+        return new Decided((double) arrivalNanos / rounds, (double) arrivalBytes / rounds,
+                (double) (ended - begun) / rounds);
     }
 
     private void arrive() {
@@ -194,17 +195,17 @@
     }
 
     @Override
-    public void refuse(String call, double adviseMs) { }
+    public void refuse(String call, double adviseMs) {}
 
     @Override
-    public void fail(String call) { }
+    public void fail(String call) {}
 
     @Override
-    public void cancel(String call, int attempt) { }
+    public void cancel(String call, int attempt) {}
 
     @Override
-    public void wakeAfter(double delayMs) { }
+    public void wakeAfter(double delayMs) {}
 
     @Override
-    public void askForList() { }
+    public void askForList() {}
 }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
@@ -47,7 +47,7 @@
     private static final double MICROS = 1e3;
     private static final double MILLIS = 1e6;
 
-    private ListCost() { }
+    private ListCost() {}
 
     static void measure(Recorder recorder, int repetitions) {
         Logger.getLogger("").setLevel(Level.OFF);
@@ -186,7 +186,7 @@
         }
 
         @Override
-        public void write(byte[] bytes) { }
+        public void write(byte[] bytes) {}
 
         @Override
         public void close(ConnectionEnd why) {
@@ -201,21 +201,21 @@
 
     private static final class IgnoredActions implements Gateway.Actions {
         @Override
-        public void send(String call, long server, double giveUpAfterMs) { }
+        public void send(String call, long server, double giveUpAfterMs) {}
 
         @Override
-        public void refuse(String call, double adviseMs) { }
+        public void refuse(String call, double adviseMs) {}
 
         @Override
-        public void fail(String call) { }
+        public void fail(String call) {}
 
         @Override
-        public void cancel(String call, int attempt) { }
+        public void cancel(String call, int attempt) {}
 
         @Override
-        public void wakeAfter(double delayMs) { }
+        public void wakeAfter(double delayMs) {}
 
         @Override
-        public void askForList() { }
+        public void askForList() {}
     }
 }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/Pace.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/Pace.java
@@ -11,7 +11,7 @@
     private static final long SPUN_NANOS = 150_000;
     private static final double NANOS_IN_SECOND = 1e9;
 
-    private Pace() { }
+    private Pace() {}
 
     /** A step of a paced run. */
     interface Step {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/Recorder.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/Recorder.java
@@ -47,7 +47,8 @@
     /** Appends one figure to {@code NAME.csv}. */
     void record(String name, double size, int repetition, double figure) {
         try {
-            MeasurementFile.append(folder.resolve(name + ".csv"), new Measurement(commit, machine, size, repetition, figure));
+            MeasurementFile.append(folder.resolve(name + ".csv"),
+                    new Measurement(commit, machine, size, repetition, figure));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/RegisterCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/RegisterCost.java
@@ -10,7 +10,7 @@
 
     private static final int[] MEMBERS = {3, 6, 12, 24};
 
-    private RegisterCost() { }
+    private RegisterCost() {}
 
     static void measure(Path home, Recorder recorder, int repetitions) throws IOException, InterruptedException {
         for (int members : MEMBERS) {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/StandingCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/StandingCost.java
@@ -98,8 +98,8 @@
         while (caller.answered() < size) {
             long missing = size - caller.answered() - caller.open();
             if (missing > 0) {
-                Pace.run(RATE, Duration.ofNanos(missing * 1_000_000_000L / RATE), meant ->
-                        caller.ask(++calls, (int) (calls % SERVERS), meant));
+                Pace.run(RATE, Duration.ofNanos(missing * 1_000_000_000L / RATE),
+                        meant -> caller.ask(++calls, (int) (calls % SERVERS), meant));
             }
             Thread.sleep(STEP.toMillis());
             if (System.nanoTime() > until) {
--- a/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
@@ -34,7 +34,7 @@
     private Revision greatestInForce = Revision.NONE;
 
     ControllerProcess(DiscoveryFleet fleet, String name, String zone, String region, int port, List<RelayProcess> relays,
-                      ControllerInvariants invariants) {
+            ControllerInvariants invariants) {
         super(fleet, name, zone, region, port);
         this.relays = relays;
         this.invariants = invariants;
--- a/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
@@ -98,7 +98,7 @@
     }
 
     private void addRelay(List<RelayProcess> tier, String name, String zone, String region,
-                          List<? extends FleetProcess> upstreams) {
+            List<? extends FleetProcess> upstreams) {
         int port = RELAY_PORT + regionRelays.size() + zoneRelays.size();
         RelayProcess relay = new RelayProcess(this, name, zone, region, port, upstreams);
         tier.add(relay);
@@ -146,8 +146,8 @@
     }
 
     WatchTerms watchTerms(FleetProcess subscriber, List<? extends FleetProcess> publishers) {
-        List<WatchTerms.PublisherAddress> addresses = publishers.stream().map(one ->
-                new WatchTerms.PublisherAddress(one.name(), one.address(), one.zone(), one.region())).toList();
+        List<WatchTerms.PublisherAddress> addresses = publishers.stream()
+                .map(one -> new WatchTerms.PublisherAddress(one.name(), one.address(), one.zone(), one.region())).toList();
         return new WatchTerms(subscriber.name(), subscriber.zone(), subscriber.region(), addresses, BACKOFF_FIRST,
                 BACKOFF_MOST, SILENT_AFTER, RETURN_WITHIN);
     }
@@ -159,7 +159,7 @@
     }
 
     private void dial(FleetProcess subscriber, ProcessTime life, InetSocketAddress address, Duration timeout,
-                      Protocol protocol) {
+            Protocol protocol) {
         FleetProcess publisher = listeners.get(address.getPort());
         String from = subscriber.name();
         String to = publisher.name();
@@ -259,7 +259,7 @@
 
     /** Passes time, with the progress checked on the way; ends early at a violation. */
     void pass(Duration time) {
-        for (Duration left = time; !left.isZero() && violations.isEmpty(); ) {
+        for (Duration left = time; !left.isZero() && violations.isEmpty();) {
             Duration step = left.compareTo(CHECK_EVERY) < 0 ? left : CHECK_EVERY;
             world.pass(step);
             progress.check();
@@ -269,8 +269,8 @@
 
     /** Passes time until this holds; false where it did not in so long. */
     boolean until(Duration most, BooleanSupplier holds) {
-        for (Duration left = most; !left.isNegative() && violations.isEmpty() && !holds.getAsBoolean();
-                left = left.minus(CHECK_EVERY)) {
+        for (Duration left = most; !left.isNegative() && violations.isEmpty() && !holds.getAsBoolean(); left =
+                left.minus(CHECK_EVERY)) {
             pass(CHECK_EVERY);
         }
         return holds.getAsBoolean();
--- a/lab/src/main/java/pathlane/lab/discovery/EventTrace.java
+++ b/lab/src/main/java/pathlane/lab/discovery/EventTrace.java
@@ -18,7 +18,7 @@
 
     /** A trace that is only hashed. */
     EventTrace(Scheduler time) {
-        this(time, line -> { }, false);
+        this(time, line -> {}, false);
     }
 
     /** A trace whose lines are handed on as well. */
--- a/lab/src/main/java/pathlane/lab/discovery/FleetShape.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FleetShape.java
@@ -15,7 +15,7 @@
  * @param terms limits of every publisher
  */
 public record FleetShape(int regions, int zones, int relaysOfZone, int controllers, int services, int servers,
-                         PublisherTerms terms) {
+        PublisherTerms terms) {
 
     /** Limits that small fleets run into, with times that let a schedule end soon. */
     public static final PublisherTerms TIGHT = new PublisherTerms(40, 10, 4, 1_200, 400, 24, Duration.ofSeconds(1),
--- a/lab/src/main/java/pathlane/lab/discovery/RelayProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/RelayProcess.java
@@ -13,7 +13,7 @@
     private Relay relay;
 
     RelayProcess(DiscoveryFleet fleet, String name, String zone, String region, int port,
-                 List<? extends FleetProcess> upstreams) {
+            List<? extends FleetProcess> upstreams) {
         super(fleet, name, zone, region, port);
         this.upstreams = upstreams;
     }
--- a/lab/src/main/java/pathlane/lab/discovery/ServiceContents.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ServiceContents.java
@@ -19,7 +19,7 @@
 
     /** A change of one service, as the source is told of it; a removed service has nothing else. */
     record Change(String service, boolean removesService, List<ServerLine> upserted, List<Long> removed,
-                  Optional<String> configuration) { }
+            Optional<String> configuration) {}
 
     /** One service. */
     static final class Content {
@@ -76,7 +76,7 @@
                         removeService(service);
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
--- a/lab/src/main/java/pathlane/lab/discovery/SourceProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/SourceProcess.java
@@ -25,7 +25,7 @@
     private Source source;
 
     SourceProcess(DiscoveryFleet fleet, String zone, String region, int port, ServiceContents contents,
-                  SourceHistory history) {
+            SourceHistory history) {
         super(fleet, "source", zone, region, port);
         this.contents = contents;
         this.history = history;
--- a/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -35,10 +35,10 @@
     public static final String BUS = "bus";
 
     /** A relay, and whom it watches. */
-    public record RelayShape(String name, String zone, String region, List<String> upstreams) { }
+    public record RelayShape(String name, String zone, String region, List<String> upstreams) {}
 
     /** A watch client, whom it may watch, and which services. */
-    public record ClientShape(String name, String zone, String region, List<String> publishers, List<String> services) { }
+    public record ClientShape(String name, String zone, String region, List<String> publishers, List<String> services) {}
 
     /**
      * What there is.
@@ -46,7 +46,7 @@
      * @param services the services by the cells 0, 1, ...
      * @param limits lines of the publishers' {@code [limits]}
      */
-    public record Shape(List<String> services, List<RelayShape> relays, List<ClientShape> clients, String limits) { }
+    public record Shape(List<String> services, List<RelayShape> relays, List<ClientShape> clients, String limits) {}
 
     private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
     private static final String HOST = "127.0.0.1";
--- a/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
+++ b/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
@@ -18,7 +18,7 @@
     private static final Duration SETTLED = Duration.ofSeconds(2);
     private static final Duration WINDOW = Duration.ofSeconds(2);
 
-    private IdleGroup() { }
+    private IdleGroup() {}
 
     /**
      * One member's and one voter's second, as a mean over all of them.
@@ -31,11 +31,11 @@
      * @param voterCpuMillis processor time of a voter
      */
     public record Second(double memberToVoters, double memberToMembers, double voterToMembers, double voterToVoters,
-                         double memberCpuMillis, double voterCpuMillis) { }
+            double memberCpuMillis, double voterCpuMillis) {}
 
     /** A group's whole figures so far. */
     private record Totals(long memberToVoters, long memberToMembers, long voterToMembers, long voterToVoters,
-                          Duration memberCpu, Duration voterCpu) { }
+            Duration memberCpu, Duration voterCpu) {}
 
     /** Measures a group of so many members as often as asked, one window after the other. */
     public static List<Second> measure(Path home, int members, int windows) throws IOException, InterruptedException {
--- a/lab/src/main/java/pathlane/lab/rig/Ports.java
+++ b/lab/src/main/java/pathlane/lab/rig/Ports.java
@@ -18,7 +18,7 @@
     private static final AtomicInteger NEXT = new AtomicInteger(
             FIRST + (int) (ProcessHandle.current().pid() * EACH_PROCESS % (LAST - FIRST)));
 
-    private Ports() { }
+    private Ports() {}
 
     /** One that nobody listens at on 127.0.0.1. */
     public static int free() {
--- a/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
+++ b/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
@@ -113,7 +113,7 @@
      * @param cut by their server's end: their callers were told
      * @param left that stand at a server for nobody
      */
-    public record Ends(int ended, int ofEnded, int released, int ofReleased, int cut, int ofCut, int left) { }
+    public record Ends(int ended, int ofEnded, int released, int ofReleased, int cut, int ofCut, int left) {}
 
     /** Seven of ten controllers are killed, with so many calls each; then all calls end, in three ways. */
     public Ends herd(int calls, boolean grouped, long seed) throws IOException, InterruptedException {
@@ -156,8 +156,8 @@
         Thread.sleep(Duration.ofSeconds(8).toMillis());
         Map<What, Set<String>> seen = new HashMap<>();
         List<Event> events = rig.history().events();
-        events.subList(from, events.size()).forEach(event ->
-                seen.computeIfAbsent(event.what(), any -> new HashSet<>()).add(event.call()));
+        events.subList(from, events.size())
+                .forEach(event -> seen.computeIfAbsent(event.what(), any -> new HashSet<>()).add(event.call()));
         List.of(ended, released, cut).forEach(calls -> calls.retainAll(theirs));
         return new Ends(both(ended, seen.get(What.TOLD_OVER)), ended.size(), both(released, seen.get(What.HEARD_RELEASE)),
                 released.size(), both(cut, seen.get(What.TOLD_OVER)), cut.size(),
@@ -175,7 +175,7 @@
      * @param bytes written to other members
      * @param answers from set-up to answer, in microseconds
      */
-    public record Cost(double cpuMicros, double bytes, Histogram answers) { }
+    public record Cost(double cpuMicros, double bytes, Histogram answers) {}
 
     /** So many calls a second for so many calls at one of three controllers, each released as soon as it stands. */
     public Cost owner(int calls, int eachSecond, boolean grouped, long seed) throws IOException, InterruptedException {
--- a/lab/src/main/java/pathlane/lab/rig/Relay.java
+++ b/lab/src/main/java/pathlane/lab/rig/Relay.java
@@ -61,7 +61,7 @@
         private ConnectionEnd socketEnd;
 
         Protocol socketSide(Runnable opened) {
-            return socketSide(opened, end -> { });
+            return socketSide(opened, end -> {});
         }
 
         Protocol socketSide(Runnable opened, java.util.function.Consumer<ConnectionEnd> neverUp) {
@@ -123,7 +123,7 @@
         private final InetSocketAddress target;
         private final List<byte[]> before = new ArrayList<>();
         private final Joint near = new Joint();
-        private final Protocol onSocket = near.socketSide(() -> { });
+        private final Protocol onSocket = near.socketSide(() -> {});
         private boolean dialled;
         private boolean joined;
         private boolean closed;
--- a/lab/src/main/java/pathlane/lab/rig/Rig.java
+++ b/lab/src/main/java/pathlane/lab/rig/Rig.java
@@ -43,7 +43,7 @@
      * @param orphans how long an attempt that was left open is let be; whole seconds
      */
     public record Shape(int controllers, int servers, int voters, int copies, LeaseTerms lease, Duration work, int pace,
-                        Duration orphans) { }
+            Duration orphans) {}
 
     private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
     private static final String LOOPBACK = "127.0.0.1:";
--- a/lab/src/main/java/pathlane/lab/rig/WatchClients.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchClients.java
@@ -36,7 +36,7 @@
     private static final Duration SILENT_AFTER = Duration.ofSeconds(2);
     private static final Duration RETURN_WITHIN = Duration.ofMillis(200);
 
-    private record Watching(ClientShape shape, WatchClient client, WatchWitness witness) { }
+    private record Watching(ClientShape shape, WatchClient client, WatchWitness witness) {}
 
     private final RigLoop loop;
     private final ToldServers told;
--- a/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
+++ b/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
@@ -47,8 +47,9 @@
         WatchTerms terms = new WatchTerms("controller", "z1", "r1", List.of(new WatchTerms.PublisherAddress("relay",
                 new InetSocketAddress("127.0.0.1", 9_000), "z1", "r1")), Duration.ofMillis(50), Duration.ofSeconds(1),
                 Duration.ofSeconds(60), Duration.ofSeconds(1));
-        client = new WatchClient(terms, (address, timeout, protocol) -> world.after(LATENCY, () ->
-                new Path(world, faults, LATENCY, "controller", protocol, "relay", accept(status))),
+        client = new WatchClient(terms,
+                (address, timeout, protocol) -> world.after(LATENCY,
+                        () -> new Path(world, faults, LATENCY, "controller", protocol, "relay", accept(status))),
                 common("controller"), world, random.split(), new Recorder());
         client.watch(SERVICE);
         client.start();
@@ -67,7 +68,7 @@
         batch = 0;
         link = new SealedLink(common("relay"), false, new SealedLink.Upper() {
             @Override
-            public void up(SealedLink up, String name) { }
+            public void up(SealedLink up, String name) {}
 
             @Override
             public void message(byte[] payload) {
@@ -79,7 +80,7 @@
             }
 
             @Override
-            public void down(ConnectionEnd end) { }
+            public void down(ConnectionEnd end) {}
         });
         return link;
     }
@@ -127,6 +128,6 @@
         }
 
         @Override
-        public void status(PublisherStatus status) { }
+        public void status(PublisherStatus status) {}
     }
 }
--- a/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
+++ b/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
@@ -46,7 +46,7 @@
         void play(DiscoveryRig rig) throws InterruptedException;
     }
 
-    private record Scenario(Shape shape, Story story) { }
+    private record Scenario(Shape shape, Story story) {}
 
     private static ClientShape client(String name, String zone, String region, String... publishers) {
         return new ClientShape(name, zone, region, List.of(publishers), SERVICES);
--- a/net/src/main/java/pathlane/net/Driver.java
+++ b/net/src/main/java/pathlane/net/Driver.java
@@ -34,7 +34,7 @@
     private static final int MESSAGE_OVERHEAD = 64;
 
     /** A message that the channel has been handed and has not said to have left. */
-    private record Handed(byte[] message, ChannelFuture left) { }
+    private record Handed(byte[] message, ChannelFuture left) {}
 
     private final Protocol protocol;
     private final LimitedLog log;
@@ -156,7 +156,7 @@
 
     @Override
     public Withdrawal withdraw(byte[] bytes) {
-        for (Iterator<byte[]> one = waiting.iterator(); one.hasNext(); ) {
+        for (Iterator<byte[]> one = waiting.iterator(); one.hasNext();) {
             if (one.next() == bytes) {
                 one.remove();
                 waitingBytes -= bytes.length + MESSAGE_OVERHEAD;
--- a/net/src/main/java/pathlane/net/Network.java
+++ b/net/src/main/java/pathlane/net/Network.java
@@ -72,7 +72,7 @@
      * @throws IllegalArgumentException where the address can't be had
      */
     public InetSocketAddress listen(InetSocketAddress address, Supplier<Protocol> protocols, int most,
-                                    long mostUnwritten) {
+            long mostUnwritten) {
         Admission admission = new Admission(most);
         ServerBootstrap server = new ServerBootstrap().group(loop.netty()).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
--- a/net/src/test/java/pathlane/net/WholeMillisTest.java
+++ b/net/src/test/java/pathlane/net/WholeMillisTest.java
@@ -48,7 +48,7 @@
             }
 
             @Override
-            public void wakeup() { }
+            public void wakeup() {}
 
             @Override
             public boolean isCompatible(Class<? extends IoHandle> type) {
--- a/relay/src/main/java/pathlane/relay/BusSource.java
+++ b/relay/src/main/java/pathlane/relay/BusSource.java
@@ -44,7 +44,7 @@
         this.scheduler = scheduler;
         this.directory = new ServerDirectory(origin.services());
         this.configurations = readConfigurations();
-        this.bus = new BusFeed(NO_EVENT, dialer, scheduler, new SplittableRandom(seed), this::changed, () -> { });
+        this.bus = new BusFeed(NO_EVENT, dialer, scheduler, new SplittableRandom(seed), this::changed, () -> {});
     }
 
     private Map<String, String> readConfigurations() {
--- a/relay/src/main/java/pathlane/relay/CatalogueFeed.java
+++ b/relay/src/main/java/pathlane/relay/CatalogueFeed.java
@@ -26,8 +26,8 @@
         Map<String, CatalogueFile.Content> services = CatalogueFile.read(file);
         source.catalogue().services().stream().filter(service -> !services.containsKey(service))
                 .forEach(source.catalogue()::remove);
-        services.forEach((service, content) ->
-                source.catalogue().replace(service, content.endpoints(), content.configuration()));
+        services.forEach(
+                (service, content) -> source.catalogue().replace(service, content.endpoints(), content.configuration()));
     }
 
     @Override
--- a/relay/src/main/java/pathlane/relay/CatalogueFile.java
+++ b/relay/src/main/java/pathlane/relay/CatalogueFile.java
@@ -32,7 +32,7 @@
     private static final int MOST_CELL = 0xffff;
 
     /** What the file says of one service. */
-    record Content(List<ServerLine> endpoints, String configuration) { }
+    record Content(List<ServerLine> endpoints, String configuration) {}
 
     private final Path file;
     private final JsonReader json;
--- a/relay/src/main/java/pathlane/relay/ProgramFile.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFile.java
@@ -37,7 +37,7 @@
     }
 
     /** Where a source has its content from. */
-    sealed interface Origin { }
+    sealed interface Origin {}
 
     /**
      * The platform's event bus.
@@ -46,10 +46,10 @@
      * @param configurations the configuration of each service that has one
      */
     record BusOrigin(InetSocketAddress bus, Map<String, Set<Integer>> services,
-            Map<String, ConfigurationText> configurations) implements Origin { }
+            Map<String, ConfigurationText> configurations) implements Origin {}
 
     /** A file with the whole catalogue, read again at SIGHUP. */
-    record CatalogueOrigin(Path catalogue) implements Origin { }
+    record CatalogueOrigin(Path catalogue) implements Origin {}
 
     /** A service's configuration: its text, or the file that holds it. */
     record ConfigurationText(Optional<Path> file, String text) {
@@ -76,10 +76,10 @@
     }
 
     /** A source. */
-    record SourceFile(Common common, Path epochFile, Origin origin) implements ProgramFile { }
+    record SourceFile(Common common, Path epochFile, Origin origin) implements ProgramFile {}
 
     /** A relay: what it watches by, and whom. */
-    record RelayFile(Common common, WatchTerms upstream) implements ProgramFile { }
+    record RelayFile(Common common, WatchTerms upstream) implements ProgramFile {}
 
     /**
      * Reads the file.
--- a/relay/src/main/java/pathlane/relay/SourceRole.java
+++ b/relay/src/main/java/pathlane/relay/SourceRole.java
@@ -31,7 +31,7 @@
     }
 
     private static ContentFeed.Factory factory(ProgramFile.Origin origin, Dialer dialer, Scheduler scheduler,
-                                               RandomGenerator random) {
+            RandomGenerator random) {
         if (origin instanceof CatalogueOrigin file) {
             CatalogueFile.read(file.catalogue());
             return source -> new CatalogueFeed(file.catalogue(), source);
--- a/standin/src/main/java/pathlane/standin/Processor.java
+++ b/standin/src/main/java/pathlane/standin/Processor.java
@@ -30,7 +30,7 @@
      * @param rules the figures of the cold start
      */
     public record Model(double setUp, double answer, double reject, double repeat, Duration repeatAfter,
-                        Duration longestWait, Rules rules) {
+            Duration longestWait, Rules rules) {
 
         /** A processor that does so many calls a second when warm. */
         public static Model of(double callsPerSecond, Rules rules) {
@@ -202,7 +202,7 @@
         stopRepeats(call);
         if (call.standing) {
             calls.remove(id);
-            enter(model.answer(), () -> { });
+            enter(model.answer(), () -> {});
         } else {
             call.givenUp = true;
         }
@@ -212,7 +212,7 @@
         if (!gap.isZero()) {
             call.repeat = time.after(gap, () -> {
                 if (calls.get(id) == call && !call.standing && !call.givenUp) {
-                    enter(model.repeat(), () -> { });
+                    enter(model.repeat(), () -> {});
                     repeatAfter(id, call, gap.multipliedBy(2));
                 }
             });
--- a/voter/src/main/java/pathlane/voter/RaftCodec.java
+++ b/voter/src/main/java/pathlane/voter/RaftCodec.java
@@ -279,7 +279,7 @@
     public Serializer<RaftEndpointPersistentState> raftEndpointPersistentStateSerializer() {
         return serializer(state -> packer -> packer.packString((String) state.getLocalEndpoint().getId())
                 .packBoolean(state.isVoting()), in -> models.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new RaftLog.Name(in.unpackString())).setVoting(in.unpackBoolean()).build());
+                        .setLocalEndpoint(new RaftLog.Name(in.unpackString())).setVoting(in.unpackBoolean()).build());
     }
 
     @Override
--- a/voter/src/main/java/pathlane/voter/RaftLog.java
+++ b/voter/src/main/java/pathlane/voter/RaftLog.java
@@ -72,7 +72,7 @@
      * @param nanos the monotonic clock
      */
     public RaftLog(String name, List<String> voters, Voter voter, Scheduler scheduler, LongSupplier nanos, Sender send,
-                   RaftStore store, Optional<RestoredRaftState> restored, Random random) {
+            RaftStore store, Optional<RestoredRaftState> restored, Random random) {
         this.voter = voter;
         this.self = new Name(name);
         RaftConfig config = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MS)
@@ -80,7 +80,7 @@
                 .setCommitCountToTakeSnapshot(SNAPSHOT_EACH).setRaftNodeReportPublishPeriodSecs(REPORT_S).build();
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP).setConfig(config)
                 .setExecutor(new Executor(scheduler)).setTransport(new Away(send)).setStateMachine(new Machine())
-                .setStore(store).setRandom(random).setClock(new FastClock(nanos)).setRaftNodeReportListener(report -> { });
+                .setStore(store).setRandom(random).setClock(new FastClock(nanos)).setRaftNodeReportListener(report -> {});
         if (restored.isPresent()) {
             builder.setRestoredState(restored.get());
         } else {
--- a/voter/src/main/java/pathlane/voter/VoterFile.java
+++ b/voter/src/main/java/pathlane/voter/VoterFile.java
@@ -25,7 +25,7 @@
  * @param store the folder of its log
  */
 public record VoterFile(String name, InetSocketAddress members, Map<String, InetSocketAddress> voters, Path keys,
-                        Path store, LeaseTerms lease) {
+        Path store, LeaseTerms lease) {
 
     private static final Set<String> KNOWN = Set.of("name", "members", "voters", "keys", "store", "lease",
             "lease.length-ms", "lease.drift", "lease.write-lag-ms");
--- a/wire/src/main/java/pathlane/bus/BusFeed.java
+++ b/wire/src/main/java/pathlane/bus/BusFeed.java
@@ -75,7 +75,7 @@
      *                    {@link #follow}
      */
     public BusFeed(long last, Dialer dialer, Scheduler scheduler, SplittableRandom random,
-                   Consumer<ServerList> events, Runnable unreachable) {
+            Consumer<ServerList> events, Runnable unreachable) {
         this.unreachable = unreachable;
         this.last = last;
         this.dialer = dialer;
--- a/wire/src/main/java/pathlane/wire/Cause.java
+++ b/wire/src/main/java/pathlane/wire/Cause.java
@@ -15,7 +15,7 @@
     private static final int OUT_OF_ORDER = 47;
     private static final int NOT_SENT = 102;
 
-    private Cause() { }
+    private Cause() {}
 
     /** How an attempt or a standing call ended, from a session server's release. */
     public static Ending ending(int cause, String note) {
