--- a/lab/src/main/java/pathlane/lab/Faults.java
+++ b/lab/src/main/java/pathlane/lab/Faults.java
@@ -58,6 +58,12 @@
         way(from, to).cut = true;
     }
 
+    /** The same in both directions. */
+    public void partition(String one, String other) {
+        cut(one, other);
+        cut(other, one);
+    }
+
     /** What was held goes on its way. */
     public void restore(String from, String to) {
         Way way = way(from, to);
--- a/lab/src/test/java/pathlane/lab/discovery/DiscoveryHardCasesTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/DiscoveryHardCasesTest.java
@@ -56,8 +56,7 @@
     }
 
     private static void cut(DiscoveryFleet fleet, FleetProcess one, FleetProcess other) {
-        fleet.faults().cut(one.name(), other.name());
-        fleet.faults().cut(other.name(), one.name());
+        fleet.faults().partition(one.name(), other.name());
     }
 
     private static Map<String, ServiceState> states(ControllerProcess controller) {
@@ -358,8 +357,7 @@
         DiscoveryFleet fleet = fleet(1, 2, 4, TERMS);
         ControllerProcess controller = fleet.controllers().get(0);
         String first = controller.client().publisher().orElseThrow();
-        fleet.faults().cut(controller.name(), first);
-        fleet.faults().cut(first, controller.name());
+        fleet.faults().partition(controller.name(), first);
         fleet.change(contents -> contents.configure(SERVICE));
         keepsInvariants(fleet, TERMS.deadAfter().plusSeconds(8));
         assertEquals(Optional.empty(), fleet.lag());
