--- a/lab/src/main/java/pathlane/lab/discovery/ControllerInvariants.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerInvariants.java
@@ -75,6 +75,19 @@
         }
     }
 
+    /** A controller has everything up to a revision in force, as it says: each service as it was then, or newer. */
+    void inForce(ControllerProcess controller, Revision revision) {
+        for (String service : controller.watched()) {
+            Optional<ServiceState> published = history.at(service, revision);
+            boolean isHeld = published.isPresent() ? !published.get().revision().isAfter(controller.revision(service))
+                    : controller.revision(service).isAfter(revision) || controller.servers(service).isEmpty();
+            if (!isHeld) {
+                violations.report(controller.name(), "says that " + revision + " is in force, and has " + service + " at "
+                        + controller.revision(service) + " where the source had " + published);
+            }
+        }
+    }
+
     private void checkWithdrawn(ControllerProcess controller, ServiceChange.Delta delta) {
         delta.removed().forEach(server -> checkNothingSent(controller, delta, server));
         delta.upserted().stream().filter(line -> line.mode() == Mode.DRAINING).map(ServerLine::id)
--- a/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
@@ -64,20 +64,31 @@
         return watched;
     }
 
+    /** Watches a service, once the process runs if it is stopped. */
     void watch(String service) {
-        if (watched.add(service) && isUp()) {
-            time().run(() -> client.watch(service));
+        if (!isUp()) {
+            watched.add(service);
+            return;
         }
+        time().run(() -> {
+            if (watched.add(service)) {
+                client.watch(service);
+            }
+        });
     }
 
     void unwatch(String service) {
-        if (watched.remove(service) && isUp()) {
-            time().run(() -> {
+        if (!isUp()) {
+            watched.remove(service);
+            return;
+        }
+        time().run(() -> {
+            if (watched.remove(service)) {
                 client.unwatch(service);
                 servers.remove(service);
                 revisions.remove(service);
-            });
-        }
+            }
+        });
     }
 
     /** The revision of a service's servers here. */
--- a/lab/src/main/java/pathlane/lab/discovery/FleetObserver.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FleetObserver.java
@@ -14,6 +14,8 @@
     private final ControllerInvariants controllers;
     /** The revisions that a controller held of each service of the update that it handles. */
     private final Deque<Revision> before = new ArrayDeque<>();
+    /** What a controller had in force before the bookmark that it handles. */
+    private Revision inForceBefore = Revision.NONE;
 
     FleetObserver(PublisherInvariants publishers, ControllerInvariants controllers) {
         this.publishers = publishers;
@@ -54,6 +56,8 @@
                 && link.subscriber instanceof ControllerProcess controller) {
             before.clear();
             update.changes().forEach(change -> before.add(controller.revision(change.service())));
+        } else if (link.subscriber instanceof ControllerProcess controller) {
+            inForceBefore = controller.client().inForce();
         }
     }
 
@@ -64,7 +68,11 @@
                 controllers.handled(controller, change, before.remove(), link.lastStatus());
             }
             controller.greatestInForce();
-        } else if (link.subscriber instanceof ControllerProcess controller) {
+        } else if (message instanceof WatchMessage.Bookmark && link.subscriber instanceof ControllerProcess controller) {
+            Revision inForce = controller.client().inForce();
+            if (controller.isRunning() && inForce.isAfter(inForceBefore)) {
+                controllers.inForce(controller, inForce);
+            }
             controller.greatestInForce();
         }
     }
--- a/lab/src/test/java/pathlane/lab/discovery/WrongPublisherTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/WrongPublisherTest.java
@@ -120,4 +120,29 @@
         }
         assertEquals(1, publisher.client.state(SERVICE).orElseThrow().endpoints().size());
     }
+
+    @Test
+    void aServiceThatHasGoneAfterTheBookmarkIsNotGivenBackAtAnEarlierRevision() {
+        ScriptedPublisher publisher = withSnapshotInForce(true);
+        publisher.client.watchEverything();
+        publisher.pass();
+        publisher.update(new ServiceChange.Absent(SERVICE, THIRD));
+        publisher.send(new WatchMessage.Bookmark(FIRST));
+        publisher.update(snapshot(SECOND, servers(3)));
+        assertEquals(Optional.empty(), publisher.client.state(SERVICE));
+        assertEquals(List.of(SERVICE), publisher.absent);
+    }
+
+    @Test
+    void aRevisionIsNotInForceWhileASnapshotIsAwaited() {
+        ScriptedPublisher publisher = withSnapshotInForce(true);
+        publisher.update(removal(SECOND, THIRD, 4, servers(3)));
+        publisher.send(new WatchMessage.Bookmark(THIRD));
+        publisher.pass();
+        assertEquals(Revision.NONE, publisher.client.inForce());
+        publisher.update(snapshot(THIRD, servers(3)));
+        publisher.send(new WatchMessage.Bookmark(THIRD));
+        publisher.pass();
+        assertEquals(THIRD, publisher.client.inForce());
+    }
 }
