--- a/lab/src/main/java/pathlane/lab/capacity/measure/MeasureCommand.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/MeasureCommand.java
@@ -52,9 +52,13 @@
         processes().start();
     }
 
-    @Command(description = "What an idle second costs the program, by listed servers and by connections to servers.")
+    @Command(description = "What an idle second costs the program, by listed servers.")
     void idle() throws IOException, InterruptedException {
         processes().idleByListed();
+    }
+
+    @Command(description = "What servers' capacity reports cost the program, by connections to servers.")
+    void reports() throws IOException, InterruptedException {
         processes().idleByConnections();
     }
 
@@ -86,6 +90,7 @@
         lists();
         start();
         idle();
+        reports();
         discovery();
         standing();
         for (int rate : AddedLatency.RATES) {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ProcessCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ProcessCost.java
@@ -22,7 +22,8 @@
     /** A start visits each listed server within 4 s. */
     private static final Duration SETTLED = Duration.ofSeconds(5);
     private static final Duration WARM = Duration.ofMillis(1000);
-    private static final Duration WINDOW = Duration.ofMillis(1500);
+    /** Whole seconds: servers report once a second, all at the same time. */
+    private static final Duration WINDOW = Duration.ofSeconds(2);
 
     private final Path home;
     private final Recorder recorder;
