--- a/lab/src/main/java/pathlane/lab/capacity/measure/ProcessCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ProcessCost.java
@@ -94,6 +94,9 @@
             with(connected, connected, (controller, platform) -> {
                 Thread.sleep(SETTLED.toMillis());
                 long open = platform.toldByServers().open();
+                if (open < connected) {
+                    System.out.println(open + " of " + connected + " listed servers are connected");
+                }
                 for (int repetition = 1; repetition <= repetitions; repetition++) {
                     ProcessorTime cpu = controller.processorTime();
                     long bytes = platform.toldByServers().bytes();
--- a/lab/src/main/java/pathlane/lab/capacity/measure/StandInPlatform.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/StandInPlatform.java
@@ -16,6 +16,8 @@
 
     /** Enough descriptors for a connection to each of some thousand listed servers. */
     private static final int MANY_DESCRIPTORS = 16_384;
+    /** A start dials hundreds of listed servers at once, and all come to the one port. */
+    private static final int MANY_AT_ONCE = 4_096;
     private static final int CONTROLLERS = 100;
     private static final long SEED = 7;
     private static final Duration TICK = Duration.ofMillis(10);
@@ -37,7 +39,7 @@
         bus = loop.call(() -> new EventBus(loop, (controller, place) -> NOBODY));
         SessionServer servers = loop.call(() -> new SessionServer("servers", loop, Duration.ZERO, Duration.ZERO,
                 (what, who, peer, call, text) -> { }));
-        loop.listen(serverPort, () -> toldByServers.counting(servers.accept("n1")));
+        loop.listen(serverPort, MANY_AT_ONCE, () -> toldByServers.counting(servers.accept("n1")));
         loop.listen(busPort, () -> toldByBus.counting(bus.accept("n1")));
     }
 
