--- a/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
@@ -13,7 +13,6 @@
     private static final double BUS_EVENT_BYTES = 40;
     private static final double BUS_BEAT_BYTES = 13;
     private static final double BUS_LISTED_BYTES = 27;
-    private static final double EVENTS_MEASURED_AT = 100;
 
     private final Assumptions assumptions;
     private final Figures figures;
@@ -116,11 +115,13 @@
         return discoveryBytes(design, heard(design, load)).plus(Estimate.assumed(resumed(design, load, situation)));
     }
 
-    /** Processor time of discovery: each event, and a whole list for one that begins anew. */
+    /**
+     * Processor time of discovery: each event as the whole front applies it, without its reading and its line in the log, and
+     * a whole list for one that begins anew.
+     */
     Estimate discoveryCpu(Design design, Situation situation) {
         FleetLoad load = FleetLoad.of(situation, assumptions);
-        Estimate event = figures.at("discovery-cpu-ms-per-second-by-listed-at-100-events", listed(design))
-                .minus(figures.at("idle-cpu-ms-per-second-by-listed", listed(design))).times(1 / EVENTS_MEASURED_AT);
+        Estimate event = figures.at("event-apply-us", listed(design)).times(1 / MILLIS_IN_SECOND);
         Estimate events = event.times(heard(design, load));
         return isAnew(load, situation) ? events.plus(figures.at("whole-list-apply-ms", listed(design))
                 .times(1 / value("in-force-seconds"))) : events;
@@ -135,8 +136,8 @@
 
     private Estimate discoveryBytes(Design design, double changes) {
         if (design == Design.BROADCAST) {
-            return figures.at("discovery-bytes-per-second-by-events", changes)
-                    .plus(figures.at("discovery-messages-per-second-by-events", changes).times(header()));
+            return Estimate.assumed(changes * updateBytes(design)
+                    + value("bookmarks-per-second") * (BUS_BEAT_BYTES + header()));
         }
         return Estimate.assumed(changes * (value("update-bytes") + header())
                 + 2 * value("bookmarks-per-second") * (value("bookmark-bytes") + header()));
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ProcessCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ProcessCost.java
@@ -22,6 +22,9 @@
     /** A start visits each listed server within 4 s. */
     private static final Duration SETTLED = Duration.ofSeconds(5);
     private static final Duration WARM = Duration.ofMillis(1000);
+    /** Until the code that takes an event is compiled. */
+    private static final Duration COMPILING = Duration.ofSeconds(2);
+    private static final int COMPILING_EVENTS = 500;
     /** Whole seconds: servers report once a second, all at the same time. */
     private static final Duration WINDOW = Duration.ofSeconds(2);
 
@@ -131,6 +134,8 @@
             if (listed > LISTED_USUAL) {
                 Thread.sleep(SETTLED.toMillis());
             }
+            platform.tellEvents(COMPILING_EVENTS, listed);
+            Thread.sleep(COMPILING.toMillis());
             platform.tellEvents(rate, listed);
             Thread.sleep(WARM.toMillis());
             for (int repetition = 1; repetition <= repetitions; repetition++) {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/StandInPlatform.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/StandInPlatform.java
@@ -20,6 +20,7 @@
     private static final int MANY_AT_ONCE = 4_096;
     private static final int CONTROLLERS = 100;
     private static final long SEED = 7;
+    private static final double NANOS_IN_SECOND = 1e9;
     private static final Duration TICK = Duration.ofMillis(10);
     private static final int USUAL_DESCRIPTORS = 1024;
     /** A port at which nobody listens. */
@@ -32,8 +33,8 @@
     private final int serverPort = Ports.free();
     private final int busPort = Ports.free();
     private final EventBus bus;
-    private double eventsOwed;
-    private long events;
+    private volatile int rates;
+    private volatile long events;
 
     StandInPlatform() throws InterruptedException {
         bus = loop.call(() -> new EventBus(loop, (controller, place) -> NOBODY));
@@ -53,16 +54,23 @@
 
     /** From now on the bus tells so many changes a second, each of one server that cannot be reached. */
     void tellEvents(int perSecond, int listed) throws InterruptedException {
-        loop.run(() -> tick(perSecond, listed));
+        long begun = System.nanoTime();
+        long before = events;
+        int generation = ++rates;
+        loop.run(() -> tick(perSecond, listed, begun, before, generation));
     }
 
-    private void tick(int perSecond, int listed) {
-        eventsOwed += perSecond * TICK.toMillis() / 1e3;
-        for (; eventsOwed >= 1; eventsOwed--) {
+    /** As many events as are due by the clock: a tick that is late loses none. */
+    private void tick(int perSecond, int listed, long begun, long before, int generation) {
+        if (generation != rates) {
+            return;   // another rate is told now
+        }
+        long due = before + (long) ((System.nanoTime() - begun) / NANOS_IN_SECOND * perSecond);
+        while (events < due) {
             int place = (int) (events / 2 % listed);
             bus.tell(place + 1, place, events++ % 2 == 0 ? BusFrames.DRAINING : BusFrames.READY, 0);
         }
-        loop.after(TICK, () -> tick(perSecond, listed));
+        loop.after(TICK, () -> tick(perSecond, listed, begun, before, generation));
     }
 
     CountedBytes toldByBus() {
--- a/lab/src/test/java/pathlane/lab/capacity/CapacityModelTest.java
+++ b/lab/src/test/java/pathlane/lab/capacity/CapacityModelTest.java
@@ -30,8 +30,6 @@
                 .resolve("assumptions.toml")).with("header-bytes", 0).with("server-connections-most", 500);
         figures = new Figures(List.of(line("capacity-report-messages-per-second-by-connections", 0, 1),
                 line("capacity-report-bytes-per-second-by-connections", 0, 40),
-                line("discovery-messages-per-second-by-events", 1, 1),
-                line("discovery-bytes-per-second-by-events", 13, 40),
                 line("decision-time-us", 10, 1)));
     }
 
