--- a/lab/src/main/java/pathlane/lab/capacity/measure/StandInPlatform.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/StandInPlatform.java
@@ -39,7 +39,7 @@
     StandInPlatform() throws InterruptedException {
         bus = loop.call(() -> new EventBus(loop, (controller, place) -> NOBODY));
         SessionServer servers = loop.call(() -> new SessionServer("servers", loop, Duration.ZERO, Duration.ZERO,
-                (what, who, peer, call, text) -> { }));
+                (what, who, peer, call, text) -> {}));
         loop.listen(serverPort, MANY_AT_ONCE, () -> toldByServers.counting(servers.accept("n1")));
         loop.listen(busPort, () -> toldByBus.counting(bus.accept("n1")));
     }
--- a/lab/src/main/java/pathlane/lab/rig/RigLoop.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigLoop.java
@@ -147,7 +147,8 @@
     /** The same with so many connections that may wait to be taken; only one with a few can be {@link Listener#shut}. */
     public Listener listen(int port, int backlog, Supplier<Protocol> protocols) throws InterruptedException {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, backlog).childOption(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, backlog)
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
