--- a/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Processor time of discovery: each event as the whole front applies it, without its reading and its line in the log, and
-     * a whole list for one that begins anew.
+     * Processor time of discovery: each event as the whole front applies it, without its reading and its line in the log,
+     * and a whole list for one that begins anew.
      */
     Estimate discoveryCpu(Design design, Situation situation) {
         FleetLoad load = FleetLoad.of(situation, assumptions);
--- a/lab/src/test/java/pathlane/lab/discovery/DiscoveryHardCasesTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/DiscoveryHardCasesTest.java
@@ -176,8 +176,7 @@
         DiscoveryFleet fleet = fleet(1, 2, 4, TERMS);
         ControllerProcess controller = fleet.controllers().get(0);
         String first = controller.client().publisher().orElseThrow();
-        fleet.faults().cut(controller.name(), first);
-        fleet.faults().cut(first, controller.name());
+        fleet.faults().partition(controller.name(), first);
         fleet.change(contents -> contents.configure(SERVICE));
         keepsInvariants(fleet, TERMS.deadAfter().plusSeconds(8));
         assertEquals(Optional.empty(), fleet.lag());
--- a/lab/src/test/java/pathlane/lab/discovery/FleetAssertions.java
+++ b/lab/src/test/java/pathlane/lab/discovery/FleetAssertions.java
@@ -21,7 +21,7 @@
     static final PublisherTerms TERMS = FleetShape.TIGHT;
     static final String SERVICE = "service-1";
 
-    private FleetAssertions() { }
+    private FleetAssertions() {}
 
     static DiscoveryFleet fleet(int regions, int relaysOfZone, int controllers, PublisherTerms terms) {
         DiscoveryFleet fleet = new DiscoveryFleet(new FleetShape(regions, 1, relaysOfZone, controllers, 3, 4, terms), 7);
@@ -47,8 +47,7 @@
     }
 
     static void cut(DiscoveryFleet fleet, FleetProcess one, FleetProcess other) {
-        fleet.faults().cut(one.name(), other.name());
-        fleet.faults().cut(other.name(), one.name());
+        fleet.faults().partition(one.name(), other.name());
     }
 
     static Map<String, ServiceState> states(ControllerProcess controller) {
