--- a/daemon/src/main/java/pathlane/platform/ConnectionPool.java
+++ b/daemon/src/main/java/pathlane/platform/ConnectionPool.java
@@ -157,6 +157,11 @@
         return leastBusy(session -> session.mayTakeSetUp(call));
     }
 
+    /** The connection for what comes next but for one that is about to end, or null where no other can be written to. */
+    ServerSession leastBusyBeside(ServerSession ending) {
+        return leastBusy(session -> session != ending && session.isWritable());
+    }
+
     private ServerSession leastBusy(Predicate<ServerSession> usable) {
         ServerSession best = null;
         for (ServerSession session : sessions) {
--- a/daemon/src/main/java/pathlane/platform/ServerLink.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLink.java
@@ -1,6 +1,7 @@
 package pathlane.platform;
 
 import java.time.Duration;
+import java.util.Collection;
 import java.util.List;
 import java.util.Optional;
 import pathlane.bus.ServerList;
@@ -78,6 +79,22 @@
         }
     }
 
+    /**
+     * Guards the rule of one attempt where a connection is broken off: the server may have answered there unheard, so that
+     * the calls stand. What is written here leaves at once, and so ahead of the next attempts.
+     */
+    void giveUpBeside(ServerSession broken, Collection<String> calls) {
+        ServerSession beside = pool.leastBusyBeside(broken);
+        if (beside != null) {
+            List.copyOf(calls).forEach(beside::tellGivenUp);
+        }
+    }
+
+    /** Whether an attempt of the call is out at this server, or waits for a connection to it, or the call stands. */
+    boolean isOutOrStands(String call) {
+        return outstanding.sessionOf(call).isPresent() || hasPendingSetUp(call) || stands(call);
+    }
+
     @Override
     public void release(String call, Ending how, byte[] content) {
         byte[] bytes = new Message(Message.RELEASE, call).withCause(Cause.ofRelease(how)).bytes();
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -49,6 +49,7 @@
     private final Map<String, Instant> givenUp = new LinkedHashMap<>();
     private final UnconfirmedReleases unconfirmedReleases;
     private final ReportIntervals reports;
+    private final OvertakenCheck overtakenCheck;
     private Connection connection;
     private Scheduler.Timer idleTimer;
     private Scheduler.Timer silenceTimer;
@@ -69,6 +70,7 @@
         this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(), () -> end(ConnectionEnd.UNFINISHED));
         this.unconfirmedReleases = new UnconfirmedReleases(limits.waitingReleases());
         this.reports = new ReportIntervals(context.reportPeriod());
+        this.overtakenCheck = new OvertakenCheck(context, link.outstanding(), () -> lastReceived, this::endAsOvertaken);
     }
 
     /** Whether the connection has not come up, and has not since failed to. */
@@ -98,7 +100,7 @@
         return sent.size();
     }
 
-    /** Whether the server may still answer an attempt of this call that was given up here. */
+    /** Whether the server may still answer an attempt of this call that was given up. */
     boolean hasGivenUp(String call) {
         return givenUp.containsKey(call);
     }
@@ -108,7 +110,7 @@
      * server can't answer an attempt of the same call that was given up.
      */
     boolean mayTakeSetUp(String call) {
-        return isWritable() && !hasGivenUp(call);
+        return isWritable() && !overtakenCheck.isSuspected() && !hasGivenUp(call);
     }
 
     /** One with nothing out on it may give way to a connection to another server; one with calls last. */
@@ -154,19 +156,17 @@
             connection.abort(ConnectionEnd.OVERFLOW);
             return;
         }
-        forgetGivenUp();
-        givenUp.put(call, scheduler.now());
-        write(overRelease(call));
-        connection.flush();
-        if (isOvertaken(setUp.sentAt())) {
-            end(ConnectionEnd.OVERTAKEN);
-        }
+        tellGivenUp(call);
+        overtakenCheck.look(setUp.sentAt());
     }
 
-    /** No call is tried for longer than its caller may wait. */
-    private void forgetGivenUp() {
-        Instant old = scheduler.now().minus(longestPatience);
-        givenUp.values().removeIf(at -> at.isBefore(old));
+    /** Tells the server that an attempt is given up, sent here or elsewhere; no call is tried for longer than its patience. */
+    void tellGivenUp(String call) {
+        Instant now = scheduler.now();
+        givenUp.values().removeIf(at -> at.isBefore(now.minus(longestPatience)));
+        givenUp.put(call, now);
+        write(overRelease(call));
+        connection.flush();
     }
 
     /**
@@ -214,8 +214,7 @@
     private void closeIfIdle() {
         Duration left = Duration.between(scheduler.now(), lastUsed.plus(idleTimeout));
         if (left.compareTo(Duration.ZERO) > 0 || isBusy() || link.isDraining()) {
-            Duration wait = left.compareTo(IDLE_RECHECK) > 0 ? left : IDLE_RECHECK;
-            idleTimer = scheduler.after(wait, this::closeIfIdle);
+            idleTimer = scheduler.after(left.compareTo(IDLE_RECHECK) > 0 ? left : IDLE_RECHECK, this::closeIfIdle);
         } else {
             end(ConnectionEnd.IDLE);
         }
@@ -236,17 +235,17 @@
         }
     }
 
-    /**
-     * Guards against a connection on which nothing comes any more though the server works: it takes set-ups in turn, so
-     * one that it answered on another connection, sent well after this one, was overtaken by it.
-     */
-    private boolean isOvertaken(Instant sentAt) {
-        return !lastReceived.isAfter(sentAt)
-                && !link.outstanding().answeredUpTo().isBefore(sentAt.plus(limits.overtaken()));
+    private void lookIfOvertaken() {
+        if (isUp() && isBusy()) {
+            overtakenCheck.look(sent.values().iterator().next().sentAt());
+        }
     }
 
-    private void endIfOvertaken() {
-        if (isUp() && isBusy() && isOvertaken(sent.values().iterator().next().sentAt())) {
+    /** What the server has not been heard to answer here is given up on another connection, ahead of the next attempts. */
+    private void endAsOvertaken() {
+        if (isUp()) {
+            link.giveUpBeside(this, sent.keySet());
+            link.giveUpBeside(this, givenUp.keySet().stream().filter(call -> !link.isOutOrStands(call)).toList());
             end(ConnectionEnd.OVERTAKEN);
         }
     }
@@ -354,7 +353,7 @@
         SentMessage setUp = sent.remove(call);
         if (setUp != null) {
             link.outstanding().answered(call, setUp.sentAt());
-            link.sessions().forEach(ServerSession::endIfOvertaken);
+            link.sessions().forEach(ServerSession::lookIfOvertaken);
         }
     }
 
@@ -369,6 +368,7 @@
 
     private void stopTimers() {
         frameDeadline.stop();
+        overtakenCheck.stop();
         if (idleTimer != null) {
             idleTimer.cancel();
             silenceTimer.cancel();
