--- a/daemon/src/main/java/pathlane/platform/OvertakenCheck.java
+++ b/daemon/src/main/java/pathlane/platform/OvertakenCheck.java
@@ -16,9 +16,7 @@
 
     /** Twice what an answer takes from the farthest zone, and more than the answers of one moment are apart. */
     private static final Duration CONFIRM_AFTER = Duration.ofMillis(50);
-    /**
-     * The loop has waited a second time when this is over. A wait that ends since its time is up has looked at no connection.
-     */
+    /** The loop has waited once more when this is over: a wait that ends as its time is up has looked at no connection. */
     private static final Duration SECOND_WAIT = Duration.ofMillis(1);
 
     private final Scheduler scheduler;
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -160,7 +160,7 @@
         overtakenCheck.look(setUp.sentAt());
     }
 
-    /** Tells the server that an attempt is given up, sent here or elsewhere; no call is tried for longer than its patience. */
+    /** Tells the server that an attempt is given up, sent here or elsewhere; forgets those of calls long past. */
     void tellGivenUp(String call) {
         Instant now = scheduler.now();
         givenUp.values().removeIf(at -> at.isBefore(now.minus(longestPatience)));
