--- a/daemon/src/main/java/pathlane/config/file/CallerLimits.java
+++ b/daemon/src/main/java/pathlane/config/file/CallerLimits.java
@@ -14,8 +14,8 @@
  * @param messageEvery one more of these is allowed each time so long has passed
  * @param unwritten bytes that may wait for one connection's other side to read; more close it
  * @param faults set-ups that can't be used, on one connection; the next one closes it
- * @param unknownReleases releases of unknown calls from one connection that are passed on at once; more are dropped
- * @param unknownReleaseEvery one more of these is allowed each time so long has passed
+ * @param unknownReleases releases of unknown calls from one connection that are passed on at once; more wait
+ * @param unknownReleaseEvery one more of these is passed on each time so long has passed
  */
 public record CallerLimits(int connections, Duration unfinished, Duration unused, Duration idle, int messages,
         Duration messageEvery, int unwritten, int faults, int unknownReleases,
--- a/daemon/src/main/java/pathlane/platform/CallerSession.java
+++ b/daemon/src/main/java/pathlane/platform/CallerSession.java
@@ -39,7 +39,7 @@
     private final FrameAssembler assembler = Message.assembler();
     private final FrameDeadline unfinished;
     private final RateLimit messages;
-    private final RateLimit unknownReleases;
+    private final UnknownReleases unknownReleases;
     private Connection connection;
     private Scheduler.Timer idle;
     /** When the last whole message came or left. */
@@ -57,7 +57,8 @@
         this.unfinished = new FrameDeadline(scheduler, limits.unfinished(),
                 () -> connection.close(ConnectionEnd.UNFINISHED));
         this.messages = new RateLimit(limits.messages(), limits.messageEvery(), scheduler);
-        this.unknownReleases = new RateLimit(limits.unknownReleases(), limits.unknownReleaseEvery(), scheduler);
+        this.unknownReleases = new UnknownReleases(limits.unknownReleases(), limits.unknownReleaseEvery(), scheduler,
+                this::releaseUnknown);
         this.used = scheduler.now();
     }
 
@@ -110,10 +111,8 @@
         switch (message.type) {
             case Message.SET_UP -> setUp(message);
             case Message.RELEASE -> {
-                // Guards the session servers: each of them hears of every call that nobody knows here. More than are
-                // allowed are dropped; what else the connection carries may be a usual caller's.
-                if (!controller.callerReleased(message.id(), NOTHING, this) && unknownReleases.take()) {
-                    controller.releaseEverywhere(message.id());
+                if (!controller.callerReleased(message.id(), NOTHING, this)) {
+                    unknownReleases.add(message.id());
                 }
             }
             case Message.TEST -> connection.write(new Message(Message.TEST_RESULT, message.call)
@@ -123,6 +122,13 @@
         }
     }
 
+    /** Its call may have become known while the release waited. */
+    private void releaseUnknown(String call) {
+        if (!controller.callerReleased(call, NOTHING, this)) {
+            controller.releaseEverywhere(call);
+        }
+    }
+
     private void setUp(Message message) {
         SetUp asked;
         try {
