--- a/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
+++ b/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
@@ -27,7 +27,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(value = 1, jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m"})
-public class FleetSizeBenchmark implements Gateway.Actions {
+public class FleetSizeBenchmark implements RoutingPolicy.Actions {
 
     private static final int OUT = 8;
     private static final int STANDING = 48;
@@ -39,7 +39,7 @@
     @Param({"24", "300", "1024"})
     public int servers;
 
-    private Logic logic;
+    private AdaptiveRoutingPolicy logic;
     private double now;
     private long calls;
     private int at;
@@ -49,7 +49,7 @@
     /** Lists all servers, has each tell its lines, and brings calls to their steady number. */
     @Setup
     public void fill() {
-        logic = new Logic(SettingsReader.read(JsonParser.parseString("""
+        logic = new AdaptiveRoutingPolicy(SettingsReader.read(JsonParser.parseString("""
                 {"balancers": 100, "tick-ms": 5,
                  "lanes": [{"name": "status-check", "aim-ms": 1500, "deadline-ms": 9000, "late-value": 0.25},
                            {"name": "deadline-sign", "aim-ms": 800, "deadline-ms": 6000, "importance": 6}],
@@ -57,23 +57,23 @@
                  "rules": {"cold-from": 0.28, "cold-ms": 13000, "fall-multiple": 3, "fall-ms": 1500},
                  "specifics": {"clear-wait-ms": 200, "t1-ms": 500}}""").getAsJsonObject()), 7, this);
         now = 1e12;
-        logic.listed(now, true, lines(Gateway.Mode.RUNNING, servers));
+        logic.serversListed(now, true, lines(ServerStatus.RUNNING, servers));
         for (int i = 0; i < servers; i++) {
-            logic.reported(now, i, report());
+            logic.loadReported(now, i, report());
         }
         for (int i = 0; i < STANDING * 20; i++) {
             call();
         }
     }
 
-    private static Gateway.Report report() {
-        return new Gateway.Report(900, 1000, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    private static RoutingPolicy.LoadReport report() {
+        return new RoutingPolicy.LoadReport(900, 1000, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    private static List<Gateway.Listed> lines(Gateway.Mode mode, int count) {
-        List<Gateway.Listed> lines = new ArrayList<>();
+    private static List<RoutingPolicy.ListedServer> lines(ServerStatus mode, int count) {
+        List<RoutingPolicy.ListedServer> lines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            lines.add(new Gateway.Listed(i, i, mode, 0, 1));
+            lines.add(new RoutingPolicy.ListedServer(i, i, mode, 0, 1));
         }
         return lines;
     }
@@ -82,17 +82,19 @@
     @Benchmark
     public void call() {
         now += BETWEEN_MS;
-        logic.arrived(now, new Gateway.Call(Long.toString(++calls), (int) (calls % 16 / 15), "n" + calls, 3000,
-                (int) (calls * 37 % servers), false));
+        logic.requestArrived(now,
+                new RoutingPolicy.Request(Long.toString(++calls), (int) (calls % 16 / 15), "n" + calls, 3000,
+                        (int) (calls * 37 % servers), false));
         if (out.size() > OUT) {
             Sent first = out.remove(0);
-            logic.stands(now, first.call(), 0, first.server(), 50);
+            logic.callEstablished(now, first.call(), 0, first.server(), 50);
             standing.add(first);
         }
         if (standing.size() > STANDING) {
             Sent first = standing.remove(0);
-            logic.ended(now, new Gateway.Ended(first.call(), 0, first.server(), Gateway.Ending.COMPLETED, true, 0, 0,
-                    null));
+            logic.attemptEnded(now,
+                    new RoutingPolicy.AttemptResult(first.call(), 0, first.server(), Outcome.COMPLETED, true, 0, 0,
+                            null));
         }
     }
 
@@ -100,23 +102,23 @@
     @Benchmark
     public void told() {
         now += 1;
-        logic.reported(now, at++ % servers, report());
+        logic.loadReported(now, at++ % servers, report());
     }
 
     /** An event of the bus that changes one server, and the one that changes it back. */
     @Benchmark
     public void listEventOfOne() {
         now += 1;
-        logic.listed(now, false, lines(Gateway.Mode.DRAINING, 1));
-        logic.listed(now, false, lines(Gateway.Mode.RUNNING, 1));
+        logic.serversListed(now, false, lines(ServerStatus.DRAINING, 1));
+        logic.serversListed(now, false, lines(ServerStatus.RUNNING, 1));
     }
 
     /** The same for all servers at once. */
     @Benchmark
     public void listEventOfAll() {
         now += 1;
-        logic.listed(now, false, lines(Gateway.Mode.DRAINING, servers));
-        logic.listed(now, false, lines(Gateway.Mode.RUNNING, servers));
+        logic.serversListed(now, false, lines(ServerStatus.DRAINING, servers));
+        logic.serversListed(now, false, lines(ServerStatus.RUNNING, servers));
     }
 
     @Override
@@ -125,7 +127,7 @@
     }
 
     @Override
-    public void refuse(String call, double adviseMs) {}
+    public void reject(String call, double adviseMs) {}
 
     @Override
     public void fail(String call) {}
@@ -134,8 +136,8 @@
     public void cancel(String call, int attempt) {}
 
     @Override
-    public void wakeAfter(double delayMs) {}
+    public void scheduleTimer(double delayMs) {}
 
     @Override
-    public void askForList() {}
+    public void requestServerList() {}
 }
--- a/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
+++ b/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
@@ -34,7 +34,7 @@
     @Param({"1024", "16384"})
     public int held;
 
-    private FailedTryIndex index;
+    private FailedCallIndex index;
     private Map<Long, Plain> linked;
     private Map<Long, Plain> scanned;
     private double now;
@@ -46,7 +46,7 @@
     /** Fills each with as many as are held at the steady state. */
     @Setup
     public void fill() {
-        index = new FailedTryIndex(held * 2, KEEP);
+        index = new FailedCallIndex(held * 2, KEEP);
         linked = new LinkedHashMap<>();
         scanned = new HashMap<>();
         random = new SplittableRandom(5);
@@ -76,7 +76,7 @@
     public int index() {
         long key = next();
         int found = index.find(known(), now) + index.find(~key, now);
-        index.put(key, now, 1, now, now + 200, 1);
+        index.recordFailure(key, now, 1, now, now + 200, 1);
         return found;
     }
 
--- a/core/src/main/java/pathlane/config/SettingsReader.java
+++ b/core/src/main/java/pathlane/config/SettingsReader.java
@@ -7,65 +7,96 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import pathlane.config.Settings.CallClass;
+import pathlane.config.Settings.SlowStartSenders;
 
-/** Reads {@link Settings} from JSON, as the simulator's first message and RELAY_CONFIG write them. */
+/**
+ * Reads {@link Settings} from JSON, as the simulator's first message and RELAY_CONFIG write them. The keys are those of the
+ * operators' pages; here alone they meet the program's own terms.
+ */
 public final class SettingsReader {
 
-    private static final double IDLE_CLOSE_MS = 600_000;
-    private static final double DIAL_TIMEOUT_MS = 500;
+    private static final double IDLE_TIMEOUT_MS = 600_000;
+    private static final double CONNECT_TIMEOUT_MS = 500;
 
     private SettingsReader() {}
 
     /**
      * Reads the settings.
      *
-     * @throws IllegalArgumentException where a figure can't be used; its message names the figure
+     * @throws InvalidSettingException where a figure is missing or out of its range; its message names the figure
      */
     public static Settings read(JsonObject env) {
         JsonObject specifics = object(env, "specifics");
         JsonObject ceilings = object(env, "ceilings");
-        JsonObject rules = object(env, "rules");
+        boolean mustRequestServerList = env.has("discovery") && env.get("discovery").getAsString().equals("ask");
+        boolean statesRetryAfter = flag(ceilings, "retry-after");
+        return new Settings(
+                classes(env, specifics),
+                rules(object(env, "rules"), specifics),
+                (int) number(env, "balancers", 1),
+                (int) number(ceilings, "max-attempts", 1),
+                duration(env, "tick-ms", 0),
+                duration(specifics, "t1-ms", 0),
+                flag(ceilings, "cancelling"),
+                mustRequestServerList,
+                (int) number(specifics, "self-no", -1),
+                duration(ceilings, "dial-timeout-ms", CONNECT_TIMEOUT_MS),
+                duration(ceilings, "idle-close-ms", IDLE_TIMEOUT_MS),
+                statesRetryAfter ? duration(ceilings, "max-retry-after-ms", 0) : Duration.ZERO,
+                env.has("cold-share") ? Optional.of(slowStartSenders(object(env, "cold-share"))) : Optional.empty());
+    }
+
+    private static List<CallClass> classes(JsonObject env, JsonObject specifics) {
         JsonArray pools = array(specifics, "skilled-pools");
         JsonArray widths = array(specifics, "class-width");
-        List<Settings.CallClass> classes = new ArrayList<>();
-        for (JsonElement element : array(env, "lanes")) {
-            JsonObject lane = element.getAsJsonObject();
+        List<CallClass> classes = new ArrayList<>();
+        for (JsonElement lane : array(env, "lanes")) {
             int index = classes.size();
-            List<Integer> allowed = new ArrayList<>();
+            List<Integer> allowedPools = new ArrayList<>();
             if (index < pools.size()) {
-                pools.get(index).getAsJsonArray().forEach(pool -> allowed.add(pool.getAsInt()));
+                pools.get(index).getAsJsonArray().forEach(pool -> allowedPools.add(pool.getAsInt()));
             }
-            classes.add(new Settings.CallClass(lane.has("name") ? lane.get("name").getAsString() : "",
-                    span(lane, "aim-ms", 0), span(lane, "deadline-ms", 0), number(lane, "importance", 1),
-                    number(lane, "late-value", 0), index < widths.size() ? widths.get(index).getAsInt() : 1,
-                    !lane.has("effect") || lane.get("effect").getAsString().equals("pure"), allowed));
+            int slots = index < widths.size() ? widths.get(index).getAsInt() : 1;
+            classes.add(callClass(lane.getAsJsonObject(), slots, allowedPools));
         }
-        boolean asks = env.has("discovery") && env.get("discovery").getAsString().equals("ask");
-        boolean tellsWait = flag(ceilings, "retry-after");
-        return new Settings(classes,
-                new Settings.Rules(number(rules, "cold-from", Double.NaN), span(rules, "cold-ms", Double.NaN),
-                        number(rules, "fall-multiple", Double.NaN), span(rules, "fall-ms", Double.NaN),
-                        span(specifics, "clear-wait-ms", 0)),
-                (int) number(env, "balancers", 1), (int) number(ceilings, "max-attempts", 1),
-                span(env, "tick-ms", 0), span(specifics, "t1-ms", 0), flag(ceilings, "cancelling"), asks,
-                (int) number(specifics, "self-no", -1),
-                span(ceilings, "dial-timeout-ms", DIAL_TIMEOUT_MS),
-                span(ceilings, "idle-close-ms", IDLE_CLOSE_MS),
-                tellsWait ? span(ceilings, "max-retry-after-ms", 0) : Duration.ZERO,
-                env.has("cold-share") ? Optional.of(coldSenders(object(env, "cold-share"))) : Optional.empty());
+        return classes;
+    }
+
+    private static CallClass callClass(JsonObject lane, int slots, List<Integer> allowedPools) {
+        return new CallClass(
+                lane.has("name") ? lane.get("name").getAsString() : "",
+                duration(lane, "aim-ms", 0),
+                duration(lane, "deadline-ms", 0),
+                number(lane, "importance", 1),
+                number(lane, "late-value", 0),
+                slots,
+                !lane.has("effect") || lane.get("effect").getAsString().equals("pure"),
+                allowedPools);
+    }
+
+    private static Settings.Rules rules(JsonObject rules, JsonObject specifics) {
+        return new Settings.Rules(
+                number(rules, "cold-from", Double.NaN),
+                duration(rules, "cold-ms", Double.NaN),
+                number(rules, "fall-multiple", Double.NaN),
+                duration(rules, "fall-ms", Double.NaN),
+                duration(specifics, "clear-wait-ms", 0));
     }
 
-    private static Settings.ColdSenders coldSenders(JsonObject share) {
-        return new Settings.ColdSenders(number(share, "set-ups-per-second", Double.NaN),
-                (int) number(share, "senders", 1), (int) number(share, "number", 0));
+    private static SlowStartSenders slowStartSenders(JsonObject share) {
+        return new SlowStartSenders(
+                number(share, "set-ups-per-second", Double.NaN),
+                (int) number(share, "senders", 1),
+                (int) number(share, "number", 0));
     }
 
-    private static Duration span(JsonObject from, String key, double absent) {
+    private static Duration duration(JsonObject from, String key, double absent) {
         double millis = number(from, key, absent);
         if (Double.isNaN(millis)) {
-            throw new IllegalArgumentException("setting can't be used: " + key);
+            throw new InvalidSettingException(key);
         }
-        return Millis.span(millis);
+        return Millis.toDuration(millis);
     }
 
     private static boolean flag(JsonObject from, String key) {
--- a/core/src/main/java/pathlane/core/CallEvent.java
+++ b/core/src/main/java/pathlane/core/CallEvent.java
@@ -1,16 +1,16 @@
 package pathlane.core;
 
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
-/** What happened to a call that stands, whoever hears of it. */
+/** What happened to an established call, whichever controller hears of it. */
 public sealed interface CallEvent {
 
-    /** Which call. */
-    String call();
+    /** The id of the call. */
+    String callId();
 
-    /** Its caller released it; the content is for its server, empty where there is none. */
-    record Released(String call, byte[] content) implements CallEvent {}
+    /** Its client released it; the content is for its server, empty where there is none. */
+    record Released(String callId, byte[] content) implements CallEvent {}
 
     /** It came to its end at its server, or was cut. */
-    record Ended(String call, Ending how) implements CallEvent {}
+    record Ended(String callId, Outcome outcome) implements CallEvent {}
 }
--- a/core/src/main/java/pathlane/core/Callers.java
+++ b/core/src/main/java/pathlane/core/ClientConnections.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
 /** The connections of callers, what each has in calls, and the way back for what ends. On the loop's thread. */
-final class Callers {
+final class ClientConnections {
 
     /** What is over is remembered for so long: what a server or caller still says of it concerns nobody. */
     private static final Duration OVER_MEMORY = Duration.ofSeconds(60);
@@ -28,22 +28,22 @@
     }
 
     /** A release that found no connection to its caller. */
-    private record Unrelayed(CallerPort own, Ending how, Instant at) {}
+    private record Unrelayed(ClientPort own, Outcome how, Instant at) {}
 
     private final Scheduler scheduler;
-    private final Map<CallerPort, Held> connections = new LinkedHashMap<>();
+    private final Map<ClientPort, Held> connections = new LinkedHashMap<>();
     private final Map<String, Unrelayed> unrelayed = new LinkedHashMap<>();
     private final Map<String, Instant> over = new LinkedHashMap<>();
 
-    Callers(Scheduler scheduler) {
+    ClientConnections(Scheduler scheduler) {
         this.scheduler = scheduler;
     }
 
     /** A caller can be reached; what found none to go to goes there, and {@code told} hears of each. */
-    void opened(CallerPort caller, Consumer<String> notified) {
+    void opened(ClientPort caller, Consumer<String> notified) {
         connections.put(caller, new Held());
         unrelayed.entrySet().removeIf(waiting -> {
-            boolean reached = caller.reaches(waiting.getValue().own());
+            boolean reached = caller.isSameClient(waiting.getValue().own());
             if (reached) {
                 caller.release(waiting.getKey(), waiting.getValue().how());
                 notified.accept(waiting.getKey());
@@ -53,13 +53,13 @@
     }
 
     /** A connection has ended; returns what it had. */
-    Held closed(CallerPort caller) {
+    Held closed(ClientPort caller) {
         Held held = connections.remove(caller);
         return held == null ? new Held() : held;
     }
 
     /** What a connection has; one that has ended, or never was, counts for nothing. */
-    Held held(CallerPort caller) {
+    Held held(ClientPort caller) {
         Held held = connections.get(caller);
         return held == null ? new Held() : held;
     }
@@ -68,10 +68,10 @@
      * Releases towards the call's own connection, else the latest on which calls stood, else any, else the next. False:
      * it waits for the next.
      */
-    boolean relay(CallerPort own, String id, Ending how) {
-        CallerPort way = connections.containsKey(own) ? own : null;
+    boolean relay(ClientPort own, String id, Outcome how) {
+        ClientPort way = connections.containsKey(own) ? own : null;
         if (way == null) {
-            List<CallerPort> reaching = connections.keySet().stream().filter(caller -> caller.reaches(own)).toList();
+            List<ClientPort> reaching = connections.keySet().stream().filter(caller -> caller.isSameClient(own)).toList();
             // Guards releases against connections that were opened and never used: nobody may be listening there.
             way = reaching.stream().filter(caller -> held(caller).served).reduce((a, b) -> b)
                     .or(() -> reaching.stream().reduce((a, b) -> b)).orElse(null);
--- a/core/src/main/java/pathlane/core/Turns.java
+++ b/core/src/main/java/pathlane/core/PolicyEventQueue.java
@@ -7,7 +7,7 @@
 import pathlane.config.Millis;
 
 /** Hands the module its events one after the other, never within one another. On the loop's thread. */
-final class Turns {
+final class PolicyEventQueue {
 
     /** From so long an own stall on, what the bus has told meanwhile is read before anything is decided. */
     private static final Duration STALLED = Duration.ofMillis(50);
@@ -22,7 +22,7 @@
     /** The time of the module's last event: a timer may fire a grain before its time, and counts as on time. */
     private double moduleTime;
 
-    Turns(Scheduler scheduler) {
+    PolicyEventQueue(Scheduler scheduler) {
         this.scheduler = scheduler;
     }
 
@@ -43,7 +43,7 @@
         // Guards against a timer that is early by the clock's grain: the module would take it for another timer,
         // and wait for one that never comes.
         double due = moduleTime + delayMs;
-        scheduler.after(Millis.span(delayMs), () -> tell(at -> {
+        scheduler.after(Millis.toDuration(delayMs), () -> tell(at -> {
             moduleTime = Math.max(at, due);
             bell.accept(moduleTime);
         }));
--- a/core/src/main/java/pathlane/core/ServiceDirectory.java
+++ b/core/src/main/java/pathlane/core/ServiceDirectory.java
@@ -17,12 +17,12 @@
     ServiceDirectory ONE = new ServiceDirectory() {};
 
     /** The service whose servers may take a call; empty where there is none. */
-    default Optional<String> serviceOf(SetUp setUp) {
+    default Optional<String> serviceOf(CallRequest setUp) {
         return Optional.of(ONLY_SERVICE);
     }
 
     /** A call of this service has come. Says whether its servers are known. */
-    default boolean use(String service) {
+    default boolean requireService(String service) {
         return true;
     }
 
@@ -33,7 +33,7 @@
      * @param known run once they are known
      * @param unknown told, where they are not known in time, after how long it makes sense to come back
      */
-    default void await(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
+    default void awaitService(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
         known.run();
     }
 }
--- a/core/src/main/java/pathlane/decision/Logic.java
+++ b/core/src/main/java/pathlane/decision/AdaptiveRoutingPolicy.java
@@ -14,10 +14,10 @@
 import java.util.TreeMap;
 import java.util.function.DoubleUnaryOperator;
 import java.util.stream.IntStream;
-import pathlane.cold.ColdShare;
 import pathlane.config.Settings;
 import pathlane.config.Settings.CallClass;
 import pathlane.config.Settings.Rules;
+import pathlane.slowstart.SlowStartShare;
 
 /**
  * All decisions of a gateway; its interface (settings, events, actions) is in Gateway.java.
@@ -26,7 +26,7 @@
  * answer, from own unanswered set-ups and inferred service time; under overload the server's gate gaps
  * classes, the lowest-ranked first, down to their floors. What stands beside says what it guards against.
  */
-public final class Logic implements Gateway {
+public final class AdaptiveRoutingPolicy implements RoutingPolicy {
 
     /** The paper's margin f: a condition that fails with its right side times f signals level 1. */
     private static final double MARGIN = 0.9;
@@ -69,8 +69,8 @@
     };
 
     private final Settings settings;
-    private final Optional<ColdShare> share;
-    private final Actions actions;
+    private final Optional<SlowStartShare> share;
+    private final RoutingPolicy.Actions actions;
     private final SplittableRandom random;
     private final double[] limits;
     private final double[] classLimit;
@@ -92,8 +92,8 @@
     private double usualAt;
     private final double[] firstGrace;
     private double lostAt = Double.NEGATIVE_INFINITY;
-    private final Rate answers;
-    private final Rate arrivals;
+    private final DecayingRate answers;
+    private final DecayingRate arrivals;
     private double wakeAt = Double.NaN;
     private double askAt = Double.NaN;
     private final Set<Long> barred = new HashSet<>();
@@ -104,21 +104,21 @@
     private double stalledAt = Double.NaN;
 
     /** Starts empty; the seed is the only source of chance. */
-    public Logic(Settings settings, long seed, Actions actions) {
+    public AdaptiveRoutingPolicy(Settings settings, long seed, RoutingPolicy.Actions actions) {
         this.settings = settings;
-        share = settings.coldSenders().map(all -> new ColdShare(settings.rules(), all));
+        share = settings.slowStartSenders().map(all -> new SlowStartShare(settings.rules(), all));
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         int count = settings.classes().size();
-        double repeat = settings.repeatMs() > 0 ? settings.repeatMs() : Double.POSITIVE_INFINITY;
-        classLimit = settings.classes().stream().mapToDouble(c -> Math.min(c.aimMs(), repeat)).toArray();
+        double repeat = settings.retransmitMs() > 0 ? settings.retransmitMs() : Double.POSITIVE_INFINITY;
+        classLimit = settings.classes().stream().mapToDouble(c -> Math.min(c.latencyObjectiveMs(), repeat)).toArray();
         limits = Arrays.stream(classLimit).sorted().distinct().toArray();
         shortest = limits[0];
         longest = limits[limits.length - 1];
         step = STEP_SHARE * shortest;
-        memory = MEMORY_AIMS * settings.classes().stream().mapToDouble(CallClass::aimMs).max().orElseThrow();
-        answers = new Rate(memory);
-        arrivals = new Rate(memory);
+        memory = MEMORY_AIMS * settings.classes().stream().mapToDouble(CallClass::latencyObjectiveMs).max().orElseThrow();
+        answers = new DecayingRate(memory);
+        arrivals = new DecayingRate(memory);
         byRank = IntStream.range(0, count).boxed().sorted(Comparator.comparingDouble(c -> -utility(c)))
                 .mapToInt(c -> c).toArray();
         rank = new int[count];
@@ -127,50 +127,50 @@
             rank[byRank[r]] = r;
         }
         floorsTogether = Arrays.stream(rank).mapToDouble(r -> FLOORS[Math.min(r, FLOORS.length - 1)]).sum();
-        if (settings.mustAsk()) {
-            actions.askForList();
+        if (settings.mustRequestServerList()) {
+            actions.requestServerList();
         }
     }
 
     /** The paper's U: worth for each unit of set-up work. */
     private double utility(int callClass) {
         CallClass c = settings.classes().get(callClass);
-        return c.worth() / c.width();
+        return c.priorityWeight() / c.slots();
     }
 
     // ---- events
 
     @Override
-    public void listed(double now, boolean whole, List<Listed> lines) {
+    public void serversListed(double now, boolean whole, List<RoutingPolicy.ListedServer> lines) {
         begin(now);
         if (whole) {
-            servers.values().forEach(server -> server.mode = Mode.GONE);
+            servers.values().forEach(server -> server.mode = ServerStatus.GONE);
         }
-        for (Listed line : lines) {
-            boolean fresh = !servers.containsKey(line.server());
-            servers.computeIfAbsent(line.server(), Server::new).listed(now, line, fresh && listSeen);
+        for (RoutingPolicy.ListedServer line : lines) {
+            boolean fresh = !servers.containsKey(line.serverId());
+            servers.computeIfAbsent(line.serverId(), Server::new).listed(now, line, fresh && listSeen);
         }
         // Guards long days: servers come under new ids, and each event looks at all that are kept.
-        servers.values().forEach(server -> server.goneAt = server.mode == Mode.GONE ? Math.min(server.goneAt, now)
+        servers.values().forEach(server -> server.goneAt = server.mode == ServerStatus.GONE ? Math.min(server.goneAt, now)
                 : Double.POSITIVE_INFINITY);
-        servers.values().removeIf(server -> now - server.goneAt > settings.rules().coldMs());
+        servers.values().removeIf(server -> now - server.goneAt > settings.rules().slowStartMs());
         listSeen = true;
         askAt = Double.NaN;
         settle(now);
     }
 
     @Override
-    public void listFailed(double now) {
+    public void serverListFailed(double now) {
         begin(now);
         askAt = now + longest;
         settle(now);
     }
 
     @Override
-    public void arrived(double now, Call call) {
+    public void requestArrived(double now, RoutingPolicy.Request call) {
         begin(now);
         if (call.callClass() < 0 || call.callClass() >= classLimit.length) {
-            actions.refuse(call.id(), 0);
+            actions.reject(call.id(), 0);
         } else if (!calls.containsKey(call.id())) {
             arrivals.count(now);
             Setup setup = new Setup(call, now, firstTry(now, call));
@@ -179,7 +179,7 @@
             // Its kind found no room in this tick, and a call more makes none: the next bell tries again.
             passDue = now - barredAt >= settings.tickMs() * TICK_PART || !barred.contains(setup.alike(now));
             for (Server server : servers.values()) {
-                if (server.mode == Mode.RUNNING && setup.mayGoTo(server)) {
+                if (server.mode == ServerStatus.RUNNING && setup.mayGoTo(server)) {
                     server.detect(now, classLimit[call.callClass()]);
                 }
             }
@@ -192,22 +192,22 @@
      * calls that can only stand late taking the place of fresh ones, when the callers turned away come back
      * in numbers. Harm: a number that many dial counts as dialled again, and gives way while others wait.
      */
-    private double firstTry(double now, Call call) {
+    private double firstTry(double now, RoutingPolicy.Request call) {
         double deadline = settings.classes().get(call.callClass()).deadlineMs();
-        Dialled number = numbers.get(call.number());
+        Dialled number = numbers.get(call.destination());
         if (number != null && now - number.firstAt < deadline) {
             return number.firstAt;
         }
         // What an own stall held up came meanwhile: the time left, against other first tries', tells when.
         if (now != stalledAt) {
-            firstGrace[call.callClass()] = call.graceMs();
+            firstGrace[call.callClass()] = call.remainingMs();
         }
-        return now - Math.max(0, firstGrace[call.callClass()] - call.graceMs());
+        return now - Math.max(0, firstGrace[call.callClass()] - call.remainingMs());
     }
 
     /** Lines of the running servers together: servers differ widely, and the lines of one tell its part. */
     private double lines() {
-        return Math.max(1, servers.values().stream().filter(server -> server.mode == Mode.RUNNING)
+        return Math.max(1, servers.values().stream().filter(server -> server.mode == ServerStatus.RUNNING)
                 .mapToDouble(Server::ownLines).sum());
     }
 
@@ -250,7 +250,7 @@
     }
 
     @Override
-    public void stands(double now, String id, int attempt, long server, double elapsedMs) {
+    public void callEstablished(double now, String id, int attempt, long server, double elapsedMs) {
         begin(now);
         Setup call = calls.get(id);
         if (call != null && call.server != null && call.attempts - 1 == attempt && !call.standing) {
@@ -264,9 +264,9 @@
     }
 
     @Override
-    public void ended(double now, Ended end) {
+    public void attemptEnded(double now, RoutingPolicy.AttemptResult end) {
         begin(now);
-        Setup call = calls.get(end.call());
+        Setup call = calls.get(end.callId());
         if (call != null && call.server != null && call.attempts - 1 == end.attempt()) {
             Server server = call.server;
             call.server = null;
@@ -274,16 +274,16 @@
                 server.report(now, end.report());
             }
             if (call.standing) {
-                calls.remove(end.call());
+                calls.remove(end.callId());
                 server.standing--;
-                if (end.how() == Ending.RESET && server.standing == 0) {
+                if (end.outcome() == Outcome.RESET && server.standing == 0) {
                     // Guards a server that restarts before the list tells it: all own calls there were cut.
                     server.startsCold(now, now);
                 }
-                server.freeLines += call.callClass().width();
-                server.firstLines += call.callClass().width();   // the line that it leaves is this gateway's
+                server.freeLines += call.callClass().slots();
+                server.firstLines += call.callClass().slots();   // the line that it leaves is this gateway's
             } else {
-                server.unanswered.remove(end.call());
+                server.unanswered.remove(end.callId());
                 setupEnded(now, call, server, end);
             }
         }
@@ -291,14 +291,14 @@
     }
 
     /** An attempt came back without the call standing: judge the server, then hold the call for another. */
-    private void setupEnded(double now, Setup call, Server server, Ended end) {
-        boolean turnedAway = end.how() == Ending.REJECTED || end.how() == Ending.NO_FREE_LINE;
+    private void setupEnded(double now, Setup call, Server server, RoutingPolicy.AttemptResult end) {
+        boolean turnedAway = end.outcome() == Outcome.REJECTED || end.outcome() == Outcome.NO_CAPACITY;
         server.heardAt = turnedAway ? now : server.heardAt;
-        switch (end.how()) {
-            case NO_FREE_LINE -> server.told(now, 0);   // its processor is well
+        switch (end.outcome()) {
+            case NO_CAPACITY -> server.told(now, 0);   // its processor is well
             case REJECTED -> {
                 server.pace(now, call, Double.POSITIVE_INFINITY, 1);   // as late as can be
-                server.pause(now, call.sentAt, end.statedWaitMs());
+                server.pause(now, call.sentAt, end.retryAfterMs());
             }
             case UNREACHABLE, RESET -> server.pause(now, call.sentAt, 0);
             case TIMED_OUT -> {
@@ -308,20 +308,20 @@
                 server.unheard(now, call);
                 server.pace(now, call, end.elapsedMs(), 1);
             }
-            case ENGAGED -> engaged(now, call);
+            case BUSY -> engaged(now, call);
             case ERROR -> call.erredAt = server;
             default -> {}
         }
-        if (end.closed() || call.done) {
-            calls.remove(end.call());
+        if (end.isCallClosed() || call.done) {
+            calls.remove(end.callId());
             return;
         }
-        if (end.how() == Ending.TIMED_OUT || end.how() == Ending.RESET || end.how() == Ending.CANCELLED) {
-            call.notBefore = now + settings.rules().clearWaitMs();   // rule five: the release is awaited
+        if (end.outcome() == Outcome.TIMED_OUT || end.outcome() == Outcome.RESET || end.outcome() == Outcome.CANCELLED) {
+            call.notBefore = now + settings.rules().retryDelayMs();   // rule five: the release is awaited
         }
-        call.mayHaveRun |= !turnedAway && end.how() != Ending.UNREACHABLE && end.how() != Ending.NOT_SENT;
-        if (end.how() == Ending.ENGAGED || call.attempts >= settings.maxAttempts()
-                || call.mayHaveRun && !call.callClass().repeatable()) {
+        call.mayHaveRun |= !turnedAway && end.outcome() != Outcome.UNREACHABLE && end.outcome() != Outcome.NOT_SENT;
+        if (end.outcome() == Outcome.BUSY || call.attempts >= settings.maxAttempts()
+                || call.mayHaveRun && !call.callClass().isIdempotent()) {
             finish(now, call);
         } else {
             call.notBefore = Math.max(call.notBefore, now);
@@ -331,7 +331,7 @@
     }
 
     @Override
-    public void left(double now, String id) {
+    public void clientLeft(double now, String id) {
         begin(now);
         Setup call = calls.get(id);
         if (call != null && !call.done) {
@@ -351,7 +351,7 @@
     }
 
     @Override
-    public void reported(double now, long id, Report report) {
+    public void loadReported(double now, long id, RoutingPolicy.LoadReport report) {
         begin(now);
         Server server = servers.get(id);
         if (server != null && report != null) {
@@ -361,7 +361,7 @@
     }
 
     @Override
-    public void woken(double now) {
+    public void timerFired(double now) {
         begin(now);
         settle(now);
     }
@@ -387,7 +387,7 @@
     private void settle(double now) {
         if (now >= askAt) {
             askAt = now + longest;
-            actions.askForList();
+            actions.requestServerList();
         }
         servers.values().forEach(server -> server.advance(now));
         if (!held.isEmpty() && passDue) {
@@ -427,7 +427,7 @@
         }
         if (Double.isNaN(wakeAt) || next < wakeAt) {
             wakeAt = next;
-            actions.wakeAfter(next - now);
+            actions.scheduleTimer(next - now);
         }
     }
 
@@ -436,22 +436,22 @@
         inVain(now, call);
         call.done = true;
         calls.remove(call.id());
-        if (call.mayHaveRun && !call.callClass().repeatable()) {
+        if (call.mayHaveRun && !call.callClass().isIdempotent()) {
             actions.fail(call.id());
         } else {
-            actions.refuse(call.id(), comeBackAfter(now, call));
+            actions.reject(call.id(), comeBackAfter(now, call));
         }
     }
 
     /** The time to come back: the soonest at which what bars the call now may have passed, at any server. */
     private double comeBackAfter(double now, Setup call) {
-        return servers.values().stream().filter(server -> server.mode == Mode.RUNNING && call.mayGoTo(server))
+        return servers.values().stream().filter(server -> server.mode == ServerStatus.RUNNING && call.mayGoTo(server))
                 .mapToDouble(server -> server.barredFor(now, call.kind()))
-                .reduce(settings.mostRetryAfterMs(), Math::min);
+                .reduce(settings.maxRetryAfterMs(), Math::min);
     }
 
     private void callOff(Setup call) {
-        if (settings.mayCancel()) {
+        if (settings.canCancel()) {
             actions.cancel(call.id(), call.attempts - 1);
         }
     }
@@ -465,7 +465,7 @@
             if (server != call.erredAt && call.mayGoTo(server) && server.passes(now, call)) {
                 open.add(server);
                 least = Math.min(least, server.delay(now));
-                if (server.pool == call.asked.firstChoice()) {
+                if (server.pool == call.asked.preferredPool()) {
                     first = server;
                 }
             }
@@ -507,7 +507,7 @@
 
     /** A call from its arrival to its end. */
     private final class Setup {
-        final Call asked;
+        final RoutingPolicy.Request asked;
         final double arrivedAt;
         final double firstAt;
         final double finalBy;
@@ -529,15 +529,15 @@
         final double worth;
         final double lateWorth;
 
-        Setup(Call call, double now, double firstAt) {
+        Setup(RoutingPolicy.Request call, double now, double firstAt) {
             asked = call;
             arrivedAt = now;
             this.firstAt = firstAt;
-            lateFrom = firstAt + callClass().aimMs();
+            lateFrom = firstAt + callClass().latencyObjectiveMs();
             worth = utility(kind());
-            lateWorth = worth * callClass().lateWorth();
+            lateWorth = worth * callClass().lateWeight();
             holdUntil = holdUntil();
-            finalBy = now + call.graceMs() - 2 * settings.tickMs();
+            finalBy = now + call.remainingMs() - 2 * settings.tickMs();
         }
 
         CallClass callClass() {
@@ -550,7 +550,7 @@
 
         /** The number dialled; a call without one shares nothing with others. */
         String number() {
-            return asked.number() == null ? id() : asked.number();
+            return asked.destination() == null ? id() : asked.destination();
         }
 
         int kind() {
@@ -568,21 +568,21 @@
 
         /** Calls with the same figure find room at the same servers, but for the time that they have left. */
         long alike(double now) {
-            return ((long) asked.firstChoice() << Integer.SIZE) + 2L * kind() + (late(now) ? 1 : 0);
+            return ((long) asked.preferredPool() << Integer.SIZE) + 2L * kind() + (late(now) ? 1 : 0);
         }
 
         /** Held while it can still stand within its aim, but not so long that an own stall could lose it. */
         private double holdUntil() {
             double from = Math.max(arrivedAt, notBefore);
-            double most = arrivedAt + asked.graceMs() * (1 - HOLD_SHARE);
-            double patience = Math.min(asked.graceMs() * HOLD_SHARE, callClass().aimMs() * MARGIN);
+            double most = arrivedAt + asked.remainingMs() * (1 - HOLD_SHARE);
+            double patience = Math.min(asked.remainingMs() * HOLD_SHARE, callClass().latencyObjectiveMs() * MARGIN);
             return Math.min(most, from + patience);
         }
 
         boolean mayGoTo(Server server) {
             List<Integer> allowed = callClass().allowedPools();
-            return server.pool != settings.ownNumber()
-                    && (!asked.inTransit() || server.pool == asked.firstChoice())
+            return server.pool != settings.ownPool()
+                    && (!asked.isInTransit() || server.pool == asked.preferredPool())
                     && (allowed.isEmpty() || allowed.contains(server.pool));
         }
     }
@@ -621,7 +621,7 @@
         final long id;
         int pool;
         double size = 1;
-        Mode mode = Mode.RUNNING;
+        ServerStatus mode = ServerStatus.RUNNING;
         double goneAt = Double.POSITIVE_INFINITY;
         double startedMs;
         double coldSince = Double.NaN;
@@ -646,7 +646,7 @@
         final boolean[] gapped = new boolean[classLimit.length];
         final double[] nextPass = new double[classLimit.length];
         double steppedAt = Double.NEGATIVE_INFINITY;
-        Rate rate = new Rate(memory);
+        DecayingRate rate = new DecayingRate(memory);
         double heardAt = Double.NEGATIVE_INFINITY;
         int failures;
         double failedAt = Double.NEGATIVE_INFINITY;
@@ -661,13 +661,13 @@
             this.id = id;
         }
 
-        void listed(double now, Listed line, boolean newcomer) {
+        void listed(double now, RoutingPolicy.ListedServer line, boolean newcomer) {
             pool = line.pool();
-            size = line.size() > 0 ? line.size() : 1;
-            mode = line.mode();
+            size = line.weight() > 0 ? line.weight() : 1;
+            mode = line.status();
             boolean restarted = line.startedMs() > 0 && line.startedMs() > startedMs;
             startedMs = Math.max(startedMs, line.startedMs());
-            if (restarted && now - startedMs < settings.rules().coldMs()) {
+            if (restarted && now - startedMs < settings.rules().slowStartMs()) {
                 startsCold(startedMs, now);
             } else if (newcomer && line.startedMs() <= 0) {
                 startsCold(now, now);
@@ -676,7 +676,7 @@
 
         private void startsCold(double since, double now) {
             coldSince = since;
-            share.ifPresent(all -> all.started(id, since));
+            share.ifPresent(all -> all.serverStarted(id, since));
             tokens = random.nextDouble();
             tokensAt = now;
             pace = 0;
@@ -707,7 +707,7 @@
         /** The floor d of one class: the paper's ratio, scaled to a share of what the server answered. */
         double floor(int callClass) {
             double share = FLOORS[Math.min(rank[callClass], FLOORS.length - 1)] / floorsTogether;
-            return share * Math.max(FLOOR_SHARE * rate.last(), 1 / (memory * settings.balancers()));
+            return share * Math.max(FLOOR_SHARE * rate.last(), 1 / (memory * settings.controllerCount()));
         }
 
         /** On each send and answer, and on each arrival as if it were admitted (section 5.2 of the paper). */
@@ -793,7 +793,7 @@
 
         /** Condition (4) for the one call, before it is sent; and the guards of the rules. */
         boolean hasRoom(double now, Setup call) {
-            if (mode != Mode.RUNNING || now < blockedUntil || !linesFree(now, call) || !coldBudgetLeft(now)
+            if (mode != ServerStatus.RUNNING || now < blockedUntil || !linesFree(now, call) || !coldBudgetLeft(now)
                     || now - sentAt < pace && evenGap(now) >= shortest) {
                 return false;   // rules three and four, pauses after failures, and the pace
             }
@@ -856,15 +856,15 @@
         void sent(double now, Setup call) {
             unanswered.put(call.id(), call);
             sentAt = now;
-            freeLines -= call.callClass().width();
-            firstLines -= call.callClass().width();
+            freeLines -= call.callClass().slots();
+            firstLines -= call.callClass().slots();
             int c = call.kind();
             if (gapped[c]) {
                 nextPass[c] = now + 1 / floor(c);
             }
             if (cold(now)) {
                 tokens = Math.max(0, tokens - 1);
-                share.ifPresent(all -> all.taken(id));
+                share.ifPresent(all -> all.acquired(id));
             }
             detect(now, Double.POSITIVE_INFINITY);
         }
@@ -889,12 +889,12 @@
                 pace(now, call, elapsedMs, out);
             }
             rate.count(now);
-            double faded = usual * Math.exp((usualAt - now) / settings.rules().coldMs());
+            double faded = usual * Math.exp((usualAt - now) / settings.rules().slowStartMs());
             usual = Math.max(answers.at(now) / lines(), faded);   // without this one, which would be chance
             answers.count(now);
             usualAt = now;
             if (prompt) {   // under a half: answers beget set-ups, and all together may not double what fills alone
-                tokens += Math.min(MARGIN * FALL_SHARE, fill(now) * settings.rules().fallMs());
+                tokens += Math.min(MARGIN * FALL_SHARE, fill(now) * settings.rules().overloadWindowMs());
             }
             detect(now, Double.POSITIVE_INFINITY);
         }
@@ -939,16 +939,16 @@
             }
         }
 
-        void report(double now, Report report) {
-            double told = report.lines() > 0 ? report.lines() : lines;
+        void report(double now, RoutingPolicy.LoadReport report) {
+            double told = report.slots() > 0 ? report.slots() : lines;
             linesTold += lines == 0 && told > 0 ? 1 : 0;
             linesSum += told - lines;
             lines = told;
-            if (report.freeLines() >= 0) {
-                told(now, report.freeLines());
+            if (report.freeSlots() >= 0) {
+                told(now, report.freeSlots());
             }
-            if (report.setUpsPerSecond() > 0 && report.waiting() >= 0) {
-                reportedWait = 1000 * report.waiting() / report.setUpsPerSecond();
+            if (report.requestsPerSecond() > 0 && report.queued() >= 0) {
+                reportedWait = 1000 * report.queued() / report.requestsPerSecond();
                 reportedAt = now;
             }
         }
@@ -960,7 +960,7 @@
 
         /** Guards against all gateways rushing for the same few lines: each takes its share. */
         private void told(double now, double free) {
-            double share = free / settings.balancers();
+            double share = free / settings.controllerCount();
             double chance = random.nextDouble();
             freeLines = Math.floor(share + chance);
             firstLines = Math.floor(FIRST_SHARES * share + chance);
@@ -968,8 +968,8 @@
         }
 
         boolean linesFree(double now, Setup call) {
-            double free = pool == call.asked.firstChoice() ? firstLines : freeLines;
-            return free >= call.callClass().width() || now - linesToldAt >= memory;
+            double free = pool == call.asked.preferredPool() ? firstLines : freeLines;
+            return free >= call.callClass().slots() || now - linesToldAt >= memory;
         }
 
         /**
@@ -1002,7 +1002,7 @@
         // -- cold start
 
         boolean cold(double now) {
-            return now - coldSince < settings.rules().coldMs();
+            return now - coldSince < settings.rules().slowStartMs();
         }
 
         /**
@@ -1013,19 +1013,20 @@
          */
         boolean coldBudgetLeft(double now) {
             if (!cold(now) || share.isPresent()) {
-                return !cold(now) || share.get().mayTake(id, now);
+                return !cold(now) || share.get().mayAcquire(id, now);
             }
             double fill = fill(now);
-            double most = Math.max(1, fill * settings.rules().fallMs() * FALL_SHARE);
+            double most = Math.max(1, fill * settings.rules().overloadWindowMs() * FALL_SHARE);
             tokens = Math.min(most, tokens + (now - tokensAt) * fill);
             tokensAt = now;
-            return tokens >= 1 || settings.balancers() == 1 && unanswered.isEmpty();
+            return tokens >= 1 || settings.controllerCount() == 1 && unanswered.isEmpty();
         }
 
         private double fill(double now) {
             Rules rules = settings.rules();
-            double warmth = rules.coldFrom() + (1 - rules.coldFrom()) * (now - coldSince) / rules.coldMs();
-            return usual * ownLines() * Math.min(1, warmth) * rules.fallMultiple() * FALL_SHARE;
+            double warmth =
+                    rules.slowStartFraction() + (1 - rules.slowStartFraction()) * (now - coldSince) / rules.slowStartMs();
+            return usual * ownLines() * Math.min(1, warmth) * rules.overloadFactor() * FALL_SHARE;
         }
     }
 }
--- a/core/src/main/java/pathlane/decision/Rate.java
+++ b/core/src/main/java/pathlane/decision/DecayingRate.java
@@ -1,13 +1,13 @@
 package pathlane.decision;
 
 /** How often something lately happened: events a millisecond, fading over a span. */
-final class Rate {
+final class DecayingRate {
 
     private final double span;
     private double value;
     private double countedAt;
 
-    Rate(double span) {
+    DecayingRate(double span) {
         this.span = span;
     }
 
--- a/core/src/main/java/pathlane/retry/FailedTryIndex.java
+++ b/core/src/main/java/pathlane/retry/FailedCallIndex.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * Calls that lately ended in vain, by a 64-bit key: an expiring hash index of a fixed size. All times are milliseconds
+ * Calls that lately failed, by a 64-bit key: an expiring hash index of a fixed size. All times are milliseconds
  * on one clock that does not run back, of the user's choice; nothing here is thread-safe.
  *
  * <p>Invariants: at most {@code capacity} entries; they stand in a ring in the order in which they were last put, so
@@ -12,9 +12,9 @@
  * after construction.
  *
  * <p>Where the index is full, the oldest entry is forgotten before its time. {@link #barrier()} then tells until when
- * a key that is <em>not</em> found may still have been one of those: the gap after a lost attempt holds in that case too.
+ * a key that is <em>not</em> found may still have been one of those: the retry delay holds in that case too.
  */
-final class FailedTryIndex {
+final class FailedCallIndex {
 
     /** Not found. */
     static final int NONE = -1;
@@ -24,11 +24,11 @@
     private final double keepMs;
     private final int[] table;
     private final long[] keys;
-    private final double[] firstAt;
+    private final double[] firstArrivedAt;
     private final double[] notBefore;
     private final double[] putAt;
-    private final int[] tries;
-    private final long[] first;
+    private final int[] failures;
+    private final long[] firstCallId;
     private final int[] older;
     private final int[] newer;
     private int oldest = NONE;
@@ -44,7 +44,7 @@
      * @param keepMs how long an entry is kept after it was last put, in milliseconds
      * @throws IllegalArgumentException where one of them can't be used
      */
-    FailedTryIndex(int capacity, double keepMs) {
+    FailedCallIndex(int capacity, double keepMs) {
         if (capacity < 1 || capacity > 1 << 24) {
             throw new IllegalArgumentException("an index of " + capacity + " entries: from 1 to 16777216 are possible");
         }
@@ -58,11 +58,11 @@
         table = new int[slots];
         Arrays.fill(table, NONE);
         keys = new long[capacity];
-        firstAt = new double[capacity];
+        firstArrivedAt = new double[capacity];
         notBefore = new double[capacity];
         putAt = new double[capacity];
-        tries = new int[capacity];
-        first = new long[capacity];
+        failures = new int[capacity];
+        firstCallId = new long[capacity];
         older = new int[capacity];
         newer = new int[capacity];
         for (int i = 0; i < capacity; i++) {
@@ -81,24 +81,24 @@
         return table[slotOf(key)];
     }
 
-    /** When the first try of this entry's call came. */
-    double firstAt(int entry) {
-        return firstAt[entry];
+    /** When the first call for the same came. */
+    double firstArrivedAt(int entry) {
+        return firstArrivedAt[entry];
     }
 
-    /** When the next try of this entry's call may leave at the soonest. */
+    /** When the next call for the same may leave at the soonest. */
     double notBefore(int entry) {
         return notBefore[entry];
     }
 
-    /** How many tries of this entry's call have ended in vain. */
-    int tries(int entry) {
-        return tries[entry];
+    /** How many calls for the same have failed. */
+    int failures(int entry) {
+        return failures[entry];
     }
 
-    /** The id of this entry's first try. */
-    long first(int entry) {
-        return first[entry];
+    /** The id of the first call for the same. */
+    long firstCallId(int entry) {
+        return firstCallId[entry];
     }
 
     /** Until when a key that is not found may have been forgotten before its time; minus infinity where none was. */
@@ -106,8 +106,8 @@
         return barrier;
     }
 
-    /** Notes that a try of this key's call ended in vain; the entry is kept from now on for its whole span again. */
-    void put(long key, double now, long firstTry, double firstTryAt, double leavesNotBefore, int triesSoFar) {
+    /** A call with this key failed; the entry is kept from now on for its whole span again. */
+    void recordFailure(long key, double now, long firstId, double firstArrived, double retryNotBefore, int failuresSoFar) {
         expire(now);
         int slot = slotOf(key);
         int entry = table[slot];
@@ -125,10 +125,10 @@
         } else {
             unlink(entry);
         }
-        first[entry] = firstTry;
-        firstAt[entry] = firstTryAt;
-        notBefore[entry] = leavesNotBefore;
-        tries[entry] = triesSoFar;
+        firstCallId[entry] = firstId;
+        firstArrivedAt[entry] = firstArrived;
+        notBefore[entry] = retryNotBefore;
+        failures[entry] = failuresSoFar;
         putAt[entry] = now;
         link(entry);
     }
--- a/core/src/main/java/pathlane/link/Addresses.java
+++ b/core/src/main/java/pathlane/transport/Addresses.java
@@ -1,4 +1,4 @@
-package pathlane.link;
+package pathlane.transport;
 
 import java.net.InetSocketAddress;
 
--- a/core/src/main/java/pathlane/link/Admission.java
+++ b/core/src/main/java/pathlane/transport/ConnectionLimiter.java
@@ -1,22 +1,22 @@
-package pathlane.link;
+package pathlane.transport;
 
 import java.time.Instant;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 
 /**
  * The connections of one kind, callers' or those to session servers, up to a most: the descriptors are shared out, and
  * neither kind can take the other's. When there are no more, the connection that has been idle the longest gives way
  * to the new one.
  */
-public final class Admission {
+public final class ConnectionLimiter {
 
     private final int most;
-    private final Map<Protocol, Consumer<ConnectionEnd>> held = new LinkedHashMap<>();
+    private final Map<Protocol, Consumer<CloseReason>> held = new LinkedHashMap<>();
 
-    public Admission(int most) {
+    public ConnectionLimiter(int most) {
         this.most = most;
     }
 
@@ -25,7 +25,7 @@
      *
      * @param close closes this one, should it have to give way
      */
-    public boolean admit(Protocol protocol, Consumer<ConnectionEnd> close) {
+    public boolean tryAdmit(Protocol protocol, Consumer<CloseReason> close) {
         if (isFull()) {
             Protocol idlest = null;
             for (Protocol one : held.keySet()) {
@@ -37,7 +37,7 @@
             if (idlest == null) {
                 return false;
             }
-            held.remove(idlest).accept(ConnectionEnd.GAVE_WAY);
+            held.remove(idlest).accept(CloseReason.EVICTED);
         }
         held.put(protocol, close);
         return true;
@@ -49,12 +49,12 @@
     }
 
     /** A connection has ended. */
-    public void ended(Protocol protocol) {
+    public void closed(Protocol protocol) {
         held.remove(protocol);
     }
 
     /** Whether less than one of so many parts is held. */
-    public boolean isUnder(int part) {
+    public boolean isBelowShare(int part) {
         return held.size() < most / part;
     }
 
--- a/core/src/main/java/pathlane/link/FrameDeadline.java
+++ b/core/src/main/java/pathlane/transport/FrameDeadline.java
@@ -1,18 +1,19 @@
-package pathlane.link;
+package pathlane.transport;
 
 import java.time.Duration;
+import java.util.Optional;
 import pathlane.core.Scheduler;
 
 /**
- * Guards a connection against a message that is begun and never ended: nothing is wrong with what came, and nothing
- * more would ever be read there.
+ * Limits how long a message may take from its first byte to its last. One that is begun and never ended is no error in what
+ * came, and nothing more would ever be read on its connection. On the loop's thread.
  */
 public final class FrameDeadline {
 
     private final Scheduler scheduler;
     private final Duration most;
     private final Runnable overdue;
-    private Scheduler.Timer timer;
+    private Optional<Scheduler.Timer> timer = Optional.empty();
 
     /** {@code most} runs from a message's first byte to its last, however its bytes come in. */
     public FrameDeadline(Scheduler scheduler, Duration most, Runnable overdue) {
@@ -22,23 +23,21 @@
     }
 
     /** Bytes came: so many messages ended with them, and another has begun or not. */
-    public void fed(int ended, boolean begun) {
-        if (ended > 0 || !begun) {
+    public void bytesReceived(int messagesEnded, boolean hasBegun) {
+        if (messagesEnded > 0 || !hasBegun) {
             stop();
         }
-        if (begun && timer == null) {
-            timer = scheduler.after(most, () -> {
-                timer = null;
+        if (hasBegun && timer.isEmpty()) {
+            timer = Optional.of(scheduler.after(most, () -> {
+                timer = Optional.empty();
                 overdue.run();
-            });
+            }));
         }
     }
 
     /** Nothing is awaited any more. */
     public void stop() {
-        if (timer != null) {
-            timer.cancel();
-            timer = null;
-        }
+        timer.ifPresent(Scheduler.Timer::cancel);
+        timer = Optional.empty();
     }
 }
--- a/core/src/main/java/pathlane/link/Protocol.java
+++ b/core/src/main/java/pathlane/transport/Protocol.java
@@ -1,8 +1,8 @@
-package pathlane.link;
+package pathlane.transport;
 
 import java.nio.ByteBuffer;
 import java.time.Instant;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 
 /**
  * A protocol's state machine for one connection. It is fed bytes and knows no socket; a driver feeds it, on
@@ -25,5 +25,5 @@
     }
 
     /** The connection has ended or never came up; called once, and last. */
-    void closed(ConnectionEnd end);
+    void closed(CloseReason end);
 }
--- a/core/src/test/java/pathlane/BoundariesTest.java
+++ b/core/src/test/java/pathlane/BoundariesTest.java
@@ -38,10 +38,10 @@
     }
 
     @Test
-    void theDecisionsKnowNothingButTheSettingsAndTheColdShare() {
+    void theDecisionsKnowNothingButTheSettingsAndSlowStart() {
         noClasses().that().resideInAPackage("pathlane.decision").should().dependOnClassesThat(
                 resideInAnyPackage("pathlane..").and(DescribedPredicate.not(
-                        resideInAnyPackage("pathlane.decision", "pathlane.config", "pathlane.cold"))))
+                        resideInAnyPackage("pathlane.decision", "pathlane.config", "pathlane.slowstart"))))
                 .check(CORE);
     }
 
--- a/core/src/test/java/pathlane/core/EarlyTimerTest.java
+++ b/core/src/test/java/pathlane/core/EarlyTimerTest.java
@@ -10,7 +10,7 @@
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
 import pathlane.config.Settings;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
 /** Timers run by one clock and calls are timed by another, so a timer may be early by a grain of the other. */
 class EarlyTimerTest {
@@ -64,12 +64,12 @@
         CallController controller = new CallController(settings, 7, time, line -> {
             throw new AssertionError("no server is listed");
         });
-        CallerPort caller = new CallerPort() {
+        ClientPort caller = new ClientPort() {
             @Override
             public void answer(String call, byte[] description) {}
 
             @Override
-            public void refuse(String call, Duration comeBackAfter) {
+            public void reject(String call, Duration comeBackAfter) {
                 refusedAfter.add(Duration.between(start, time.now()));
             }
 
@@ -77,10 +77,10 @@
             public void fail(String call) {}
 
             @Override
-            public void release(String call, Ending how) {}
+            public void release(String call, Outcome how) {}
         };
-        controller.callerOpened(caller);
-        controller.setUp(new SetUp("a", 0, "n", LONG, -1, new byte[0]), caller);
+        controller.clientConnected(caller);
+        controller.submit(new CallRequest("a", 0, "n", LONG, -1, new byte[0]), caller);
         time.until(start.plus(LONG));
         // Held for 0.9 of its aim, as with timers that are on time; the guard would refuse it after 9 s.
         assertEquals(List.of(1350L), refusedAfter.stream().map(after -> Math.round(after.toNanos() / 1e6)).toList());
--- a/core/src/test/java/pathlane/core/LateAnswerTest.java
+++ b/core/src/test/java/pathlane/core/LateAnswerTest.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import pathlane.config.Settings;
-import pathlane.decision.Gateway.Ending;
-import pathlane.decision.Gateway.Mode;
+import pathlane.decision.Outcome;
+import pathlane.decision.ServerStatus;
 
 /** What a server that has gone from the list still says concerns no call that waits for another server. */
 class LateAnswerTest {
@@ -38,14 +38,14 @@
 
     private final List<String> heard = new ArrayList<>();
 
-    private final class Caller implements CallerPort {
+    private final class Caller implements ClientPort {
         @Override
         public void answer(String call, byte[] description) {
             heard.add("answer " + call);
         }
 
         @Override
-        public void refuse(String call, Duration comeBackAfter) {
+        public void reject(String call, Duration comeBackAfter) {
             heard.add("refuse " + call);
         }
 
@@ -55,22 +55,22 @@
         }
 
         @Override
-        public void release(String call, Ending how) {
+        public void release(String call, Outcome how) {
             heard.add("release " + call);
         }
     }
 
     private final class Port implements ServerPort {
         @Override
-        public void setUp(SetUp setUp, Duration patience, boolean mayHaveRun) {
+        public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
             heard.add("set up " + setUp.id());
         }
 
         @Override
-        public void giveUp(String call) {}
+        public void cancel(String call) {}
 
         @Override
-        public void release(String call, Ending how, byte[] content) {}
+        public void release(String call, Outcome how, byte[] content) {}
 
         @Override
         public void drain() {}
@@ -88,16 +88,17 @@
                 Duration.ofMillis(500), LONG, Duration.ZERO, Optional.empty());
         CallController controller = new CallController(settings, 7, new Still(), line -> new Port());
         Caller caller = new Caller();
-        controller.callerOpened(caller);
-        controller.listed(true, List.of(new ServerLine(1, new InetSocketAddress("127.0.0.1", 1), Mode.RUNNING, 0, 1,
-                Instant.EPOCH)));
-        controller.setUp(new SetUp("a", 0, "n", LONG, -1, new byte[0]), caller);
-        controller.released(1, "a", Ending.REJECTED, Duration.ZERO);
-        controller.listed(true, List.of());
-        controller.answered(1, "a", new byte[0]);
-        controller.released(1, "a", Ending.COMPLETED, Duration.ZERO);
+        controller.clientConnected(caller);
+        controller.updateServers(true,
+                List.of(new ServerEndpoint(1, new InetSocketAddress("127.0.0.1", 1), ServerStatus.RUNNING, 0, 1,
+                        Instant.EPOCH)));
+        controller.submit(new CallRequest("a", 0, "n", LONG, -1, new byte[0]), caller);
+        controller.serverReleased(1, "a", Outcome.REJECTED, Duration.ZERO);
+        controller.updateServers(true, List.of());
+        controller.serverAnswered(1, "a", new byte[0]);
+        controller.serverReleased(1, "a", Outcome.COMPLETED, Duration.ZERO);
         assertEquals(List.of("set up a"), heard);
         assertEquals(1, controller.openCalls());
-        assertEquals(0, controller.standingCalls());
+        assertEquals(0, controller.establishedCalls());
     }
 }
--- a/core/src/test/java/pathlane/decision/EmbeddingTest.java
+++ b/core/src/test/java/pathlane/decision/EmbeddingTest.java
@@ -27,25 +27,25 @@
                  "rules": {"cold-from": 0.28, "cold-ms": 13000, "fall-multiple": 3, "fall-ms": 1500},
                  "specifics": {"clear-wait-ms": 200, "t1-ms": 500}}
                 """).getAsJsonObject());
-        Gateway gateway = new Logic(settings, 42, new Gateway.Actions() {
-            public void send(String call, long server, double giveUpAfterMs) {
-                done.add("send " + call);
+        RoutingPolicy policy = new AdaptiveRoutingPolicy(settings, 42, new RoutingPolicy.Actions() {
+            public void send(String callId, long serverId, double giveUpAfterMs) {
+                done.add("send " + callId);
             }
-            public void refuse(String call, double adviseMs) {
-                done.add("refuse " + call);
+            public void reject(String callId, double retryAfterMs) {
+                done.add("reject " + callId);
             }
-            public void fail(String call) {
-                done.add("fail " + call);
+            public void fail(String callId) {
+                done.add("fail " + callId);
             }
-            public void cancel(String call, int attempt) {
-                done.add("cancel " + call);
+            public void cancel(String callId, int attempt) {
+                done.add("cancel " + callId);
             }
-            public void wakeAfter(double delayMs) { /* call gateway.woken(now) then */ }
-            public void askForList() { /* subscribe to changes of the list */ }
+            public void scheduleTimer(double delayMs) { /* call policy.timerFired(now) then */ }
+            public void requestServerList() { /* subscribe to changes of the list */ }
         });
-        gateway.listed(0, true, List.of(new Gateway.Listed(7, 0, Gateway.Mode.RUNNING, 0, 1)));
-        gateway.arrived(10, new Gateway.Call("call-1", 0, "555-0100", 3000, 0, false));
-        gateway.stands(60, "call-1", 0, 7, 50);
+        policy.serversListed(0, true, List.of(new RoutingPolicy.ListedServer(7, 0, ServerStatus.RUNNING, 0, 1)));
+        policy.requestArrived(10, new RoutingPolicy.Request("call-1", 0, "555-0100", 3000, 0, false));
+        policy.callEstablished(60, "call-1", 0, 7, 50);
         // end of example
         assertEquals(List.of("send call-1"), done);
     }
--- a/core/src/test/java/pathlane/decision/MechanismTest.java
+++ b/core/src/test/java/pathlane/decision/MechanismTest.java
@@ -21,10 +21,10 @@
     void conditionFourWithOneLimit() {
         // N = 9, x = 100: 900 < 1000 holds, 900 < 900 does not; N = 10: 1000 < 1000 does not.
         double[] none = {0};
-        assertTrue(Logic.feasible(ONE, none, t -> 9, 100, 1));
-        assertFalse(Logic.feasible(ONE, none, t -> 9, 100, 0.9));
-        assertFalse(Logic.feasible(ONE, none, t -> 10, 100, 1));
-        assertTrue(Logic.feasible(ONE, none, t -> 1000, 0, 1), "x starts at nought: sending is open");
+        assertTrue(AdaptiveRoutingPolicy.feasible(ONE, none, t -> 9, 100, 1));
+        assertFalse(AdaptiveRoutingPolicy.feasible(ONE, none, t -> 9, 100, 0.9));
+        assertFalse(AdaptiveRoutingPolicy.feasible(ONE, none, t -> 10, 100, 1));
+        assertTrue(AdaptiveRoutingPolicy.feasible(ONE, none, t -> 1000, 0, 1), "x starts at nought: sending is open");
     }
 
     @Test
@@ -32,14 +32,14 @@
         // k = 2: N(3000) = 20 and 0.005 a ms over 3000 - 1000 ms make 30; 30 x 100 = 3000 is not under 3000.
         // Condition (6) stays small: N(3000) - N(2000) = 0, 0.0049 x (1000 + 0) for j = 1.
         double[] floors = {0.005, 0};
-        assertFalse(Logic.feasible(TWO, floors, t -> t < 3000 ? 20 / 20.0 : 20, 100, 1));
+        assertFalse(AdaptiveRoutingPolicy.feasible(TWO, floors, t -> t < 3000 ? 20 / 20.0 : 20, 100, 1));
         // With 19 it is 29 x 100 = 2900 < 3000, but (6): N(3000) - N(2000) = 18, plus 0.005 x min(1000,
         // 2000) = 5: 23 x 100 = 2300 is not under 1000.
-        assertFalse(Logic.feasible(TWO, floors, t -> t < 3000 ? 1 : 19, 100, 1));
+        assertFalse(AdaptiveRoutingPolicy.feasible(TWO, floors, t -> t < 3000 ? 1 : 19, 100, 1));
         // Near deadlines spread so that (6) sees 19 - 15 = 4, plus 5: 9 x 100 = 900 < 1000; N(1000) = 9
         // holds too.
-        assertTrue(Logic.feasible(TWO, floors, t -> t <= 1000 ? 9 : t <= 2000 ? 15 : 19, 100, 1));
-        assertFalse(Logic.feasible(TWO, floors, t -> t <= 1000 ? 9 : t <= 2000 ? 15 : 19, 100, 0.9));
+        assertTrue(AdaptiveRoutingPolicy.feasible(TWO, floors, t -> t <= 1000 ? 9 : t <= 2000 ? 15 : 19, 100, 1));
+        assertFalse(AdaptiveRoutingPolicy.feasible(TWO, floors, t -> t <= 1000 ? 9 : t <= 2000 ? 15 : 19, 100, 0.9));
     }
 
     @Test
@@ -47,13 +47,13 @@
         // (4): N(1000) = 2, N(3000) = 14: 200 < 1000 and 1400 < 3000. (6): 14 - 3 = 11, 11 x 100 = 1100 >=
         // 1000.
         double[] none = {0, 0};
-        assertFalse(Logic.feasible(TWO, none, t -> t <= 1000 ? 2 : t <= 2000 ? 3 : 14, 100, 1));
-        assertTrue(Logic.feasible(TWO, none, t -> t <= 1000 ? 2 : t <= 2000 ? 8 : 14, 100, 1));
+        assertFalse(AdaptiveRoutingPolicy.feasible(TWO, none, t -> t <= 1000 ? 2 : t <= 2000 ? 3 : 14, 100, 1));
+        assertTrue(AdaptiveRoutingPolicy.feasible(TWO, none, t -> t <= 1000 ? 2 : t <= 2000 ? 8 : 14, 100, 1));
     }
 
     @Test
     void fiveDetectionsInARowChangeTheLevel() {
-        Logic.Server server = server(new LogicHarness(LogicHarness.settings(0)));
+        AdaptiveRoutingPolicy.Server server = server(new PolicyHarness(PolicyHarness.settings(0)));
         for (int i = 0; i < 4; i++) {
             server.see(0, 2);
         }
@@ -69,8 +69,8 @@
 
     @Test
     void levelOneGapsTheLowestRankedFirstAndOneMoreEachStep() {
-        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
-        Logic.Server server = server(harness);
+        PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
+        AdaptiveRoutingPolicy.Server server = server(harness);
         server.level = 1;
         server.advance(1000);
         assertArrayEquals(new boolean[] {true, false}, server.gapped);
@@ -82,8 +82,8 @@
 
     @Test
     void levelTwoGapsAllAndLevelZeroLiftsTheDearestFirst() {
-        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
-        Logic.Server server = server(harness);
+        PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
+        AdaptiveRoutingPolicy.Server server = server(harness);
         server.level = 2;
         server.advance(1000);
         assertArrayEquals(new boolean[] {true, true}, server.gapped);
@@ -96,7 +96,7 @@
 
     @Test
     void floorsKeepTenToFive() {
-        Logic.Server server = server(new LogicHarness(LogicHarness.settings(0)));
+        AdaptiveRoutingPolicy.Server server = server(new PolicyHarness(PolicyHarness.settings(0)));
         server.rate = steady(0.03, 0);
         // Half of 0.03 a ms, shared 10 : 5 for the dearer (class 1) and the cheaper.
         assertEquals(0.010, server.floor(1), 1e-9);
@@ -105,8 +105,8 @@
 
     @Test
     void aGapPassesTheFirstCallOnly() {
-        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
-        Logic.Server server = server(harness);
+        PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
+        AdaptiveRoutingPolicy.Server server = server(harness);
         harness.now = 1000;
         server.level = 2;
         server.rate = steady(0.03, 1000);
@@ -120,8 +120,8 @@
      * tested too. */
     @Test
     void arrivalsThatCouldNotBeAdmittedRaiseTheLevel() {
-        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
-        Logic.Server server = server(harness);
+        PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
+        AdaptiveRoutingPolicy.Server server = server(harness);
         harness.call("slow", 0, 1);
         harness.until(950);
         harness.answer(harness.last());
@@ -136,8 +136,8 @@
 
     @Test
     void firstChoiceWhileGood() {
-        LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
-        harness.list(LogicHarness.running(1), LogicHarness.running(2));
+        PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
+        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
         for (int i = 0; i < 10; i++) {
             harness.call("c" + i, 0, 2);
             assertEquals(2, harness.last().server());
@@ -150,8 +150,8 @@
     void slowFirstChoiceGivesWayToTheDraw() {
         int second = 0;
         for (int seed = 0; seed < 40; seed++) {
-            LogicHarness harness = new LogicHarness(LogicHarness.settings(0), seed);
-            harness.list(LogicHarness.running(1), LogicHarness.running(2));
+            PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0), seed);
+            harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
             harness.call("a", 0, 1);
             harness.call("b", 0, 2);
             harness.until(20);
@@ -166,11 +166,11 @@
 
     @Test
     void unusableSettingsAreRefusedByName() {
-        assertTrue(refusal(() -> LogicHarness.settings(List.of(), 1, 1, 0))
+        assertTrue(refusal(() -> PolicyHarness.settings(List.of(), 1, 1, 0))
                 .contains("classes"));
-        assertTrue(refusal(() -> LogicHarness.cls(0, 1)).contains("aim"));
+        assertTrue(refusal(() -> PolicyHarness.cls(0, 1)).contains("aim"));
         assertTrue(
-                refusal(() -> new Settings.Rules(0.3, LogicHarness.ms(1000), 2, Duration.ZERO, LogicHarness.ms(200)))
+                refusal(() -> new Settings.Rules(0.3, PolicyHarness.ms(1000), 2, Duration.ZERO, PolicyHarness.ms(200)))
                         .contains("fall-ms"));
     }
 
@@ -179,14 +179,14 @@
     }
 
     /** A rate that stands at this value at this time. */
-    private static Rate steady(double value, double now) {
-        Rate rate = new Rate(1 / value);
+    private static DecayingRate steady(double value, double now) {
+        DecayingRate rate = new DecayingRate(1 / value);
         rate.count(now);
         return rate;
     }
 
-    private static Logic.Server server(LogicHarness harness) {
-        harness.list(LogicHarness.running(1));
+    private static AdaptiveRoutingPolicy.Server server(PolicyHarness harness) {
+        harness.list(PolicyHarness.running(1));
         return harness.logic.servers.get(1L);
     }
 }
--- a/core/src/test/java/pathlane/decision/LogicHarness.java
+++ b/core/src/test/java/pathlane/decision/PolicyHarness.java
@@ -8,7 +8,7 @@
 import pathlane.config.Settings;
 
 /** A hand-driven gateway for the tests: the clock moves when the test says so, and every action is kept. */
-final class LogicHarness implements Gateway.Actions {
+final class PolicyHarness implements RoutingPolicy.Actions {
 
     record Sent(double at, String call, long server, int attempt) {}
 
@@ -23,14 +23,14 @@
     final Map<String, Integer> attempts = new LinkedHashMap<>();
     int asked;
     double now;
-    final Logic logic;
+    final AdaptiveRoutingPolicy logic;
 
-    LogicHarness(Settings settings) {
+    PolicyHarness(Settings settings) {
         this(settings, 7);
     }
 
-    LogicHarness(Settings settings, long seed) {
-        logic = new Logic(settings, seed, this);
+    PolicyHarness(Settings settings, long seed) {
+        logic = new AdaptiveRoutingPolicy(settings, seed, this);
     }
 
     static Settings.CallClass cls(long aim, double worth) {
@@ -55,16 +55,16 @@
         return settings(List.of(cls(1000, 1), cls(2000, 3)), 1, 4, repeatMs);
     }
 
-    static Gateway.Listed running(long server) {
-        return new Gateway.Listed(server, (int) server, Gateway.Mode.RUNNING, 0, 1);
+    static RoutingPolicy.ListedServer running(long server) {
+        return new RoutingPolicy.ListedServer(server, (int) server, ServerStatus.RUNNING, 0, 1);
     }
 
-    void list(Gateway.Listed... lines) {
-        logic.listed(now, true, List.of(lines));
+    void list(RoutingPolicy.ListedServer... lines) {
+        logic.serversListed(now, true, List.of(lines));
     }
 
-    void change(Gateway.Listed... lines) {
-        logic.listed(now, false, List.of(lines));
+    void change(RoutingPolicy.ListedServer... lines) {
+        logic.serversListed(now, false, List.of(lines));
     }
 
     void call(String id, int callClass, int first) {
@@ -72,19 +72,19 @@
     }
 
     void call(String id, int callClass, int first, double grace) {
-        logic.arrived(now, new Gateway.Call(id, callClass, "n" + id, grace, first, false));
+        logic.requestArrived(now, new RoutingPolicy.Request(id, callClass, "n" + id, grace, first, false));
     }
 
     void answer(Sent s) {
-        logic.stands(now, s.call, s.attempt, s.server, now - s.at);
+        logic.callEstablished(now, s.call, s.attempt, s.server, now - s.at);
     }
 
-    void end(Sent s, Gateway.Ending how) {
+    void end(Sent s, Outcome how) {
         end(s, how, 0);
     }
 
-    void end(Sent s, Gateway.Ending how, double statedWait) {
-        logic.ended(now, new Gateway.Ended(s.call, s.attempt, s.server, how, how == Gateway.Ending.COMPLETED,
+    void end(Sent s, Outcome how, double statedWait) {
+        logic.attemptEnded(now, new RoutingPolicy.AttemptResult(s.call, s.attempt, s.server, how, how == Outcome.COMPLETED,
                 now - s.at, statedWait, null));
     }
 
@@ -97,7 +97,7 @@
             }
             timers.remove(next);
             now = Math.max(now, next);
-            logic.woken(now);
+            logic.timerFired(now);
         }
         now = time;
     }
@@ -108,7 +108,7 @@
         int due = (int) timers.stream().filter(b -> b <= time).count();
         timers.removeIf(b -> b <= time);
         for (int i = 0; i < due; i++) {
-            logic.woken(now);
+            logic.timerFired(now);
         }
     }
 
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void refuse(String call, double adviseMs) {
+    public void reject(String call, double adviseMs) {
         finals.add(new Final(now, call, true));
     }
 
@@ -142,12 +142,12 @@
     }
 
     @Override
-    public void wakeAfter(double delayMs) {
+    public void scheduleTimer(double delayMs) {
         timers.add(now + delayMs);
     }
 
     @Override
-    public void askForList() {
+    public void requestServerList() {
         asked++;
     }
 }
--- a/core/src/test/java/pathlane/decision/TroubleTest.java
+++ b/core/src/test/java/pathlane/decision/RoutingFaultsTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /** One test for each failure found, and for odd but legal events. */
-class TroubleTest {
+class RoutingFaultsTest {
 
-    private final LogicHarness harness = new LogicHarness(LogicHarness.settings(500));
+    private final PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(500));
 
     /** Before, a call with 78 ms left was held while the next timer was 150 ms off. */
     @Test
@@ -26,14 +26,14 @@
     @Test
     void aStallHardlyOutlastsAHeldCall() {
         harness.call("a", 0, 1);
-        harness.stallUntil(LogicHarness.GRACE * 0.7);
+        harness.stallUntil(PolicyHarness.GRACE * 0.7);
         assertEquals(1, harness.finals.size());
     }
 
     /** A stalled gateway finds its set-ups near their deadlines: that is no detection. */
     @Test
     void aStallIsNoOverload() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         warm(1);
         harness.call("a", 0, 1);
         harness.stallUntil(harness.now + 2000);
@@ -47,7 +47,7 @@
     @Test
     void serversLongGoneAreForgotten() {
         for (int id = 1; id <= 200; id++) {
-            harness.change(LogicHarness.running(id + 1), new Gateway.Listed(id, id, Gateway.Mode.GONE, 0, 1));
+            harness.change(PolicyHarness.running(id + 1), new RoutingPolicy.ListedServer(id, id, ServerStatus.GONE, 0, 1));
             harness.until(id * 1000);
         }
         assertTrue(harness.logic.servers.size() <= 13, "one a second, remembered for the 10 s of a cold start");
@@ -56,12 +56,12 @@
 
     @Test
     void leaversAreCalledOffAndNotCounted() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         harness.call("a", 0, 1);
-        harness.logic.left(harness.now, "a");
+        harness.logic.clientLeft(harness.now, "a");
         assertEquals(List.of("a"), harness.cancelled);
         assertTrue(harness.logic.servers.get(1L).unanswered.isEmpty());
-        harness.end(harness.last(), Gateway.Ending.CANCELLED);
+        harness.end(harness.last(), Outcome.CANCELLED);
         harness.until(5000);
         assertEquals(List.of(), harness.finals);
     }
@@ -69,9 +69,9 @@
     /** Before, few events came through the gaps and level 2 outlived its cause by many seconds. */
     @Test
     void anIdleServerLeavesItsLevelInFiveSteps() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         warm(1);
-        Logic.Server server = harness.logic.servers.get(1L);
+        AdaptiveRoutingPolicy.Server server = harness.logic.servers.get(1L);
         server.level = 2;
         server.advance(harness.now);
         for (int i = 0; i < 10; i++) {
@@ -83,7 +83,7 @@
     /** Before, a stale x over the limit barred every send to a server that had long been idle. */
     @Test
     void aLoneSetUpRenewsTheDelay() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         harness.call("a", 0, 1);
         harness.until(1200);
         harness.answer(harness.last());
@@ -99,7 +99,7 @@
     /** Before, x fell back to nought after a second and two set-ups at once went to a slow server. */
     @Test
     void theLastSampleIsKept() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         harness.call("a", 0, 1);
         harness.until(1200);
         harness.answer(harness.last());
@@ -111,9 +111,9 @@
 
     @Test
     void aStatedWaitIsKept() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         harness.call("a", 0, 1);
-        harness.end(harness.last(), Gateway.Ending.REJECTED, 4000);
+        harness.end(harness.last(), Outcome.REJECTED, 4000);
         for (int i = 0; i < 100; i++) {
             harness.until(i * 100.0);
             harness.call("b" + i, 0, 1);
@@ -125,13 +125,13 @@
     /** Before, refusals without a stated wait were met with a new set-up each 125 ms. */
     @Test
     void refusalsInARowDoubleThePause() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         for (int i = 0; i < 400; i++) {
             int before = harness.sent.size();
             harness.until(i * 25.0);
             harness.call("c" + i, 0, 1);
             for (int s = before; s < harness.sent.size(); s++) {
-                harness.end(harness.sent.get(s), Gateway.Ending.REJECTED);
+                harness.end(harness.sent.get(s), Outcome.REJECTED);
             }
         }
         assertTrue(harness.sent.size() <= 8 && harness.sent.size() >= 4,
@@ -141,12 +141,13 @@
     /** Before, "no free line" was taken for a jam, and then hundreds a second rushed for single lines. */
     @Test
     void noFreeLineIsNoFailure() {
-        harness.list(LogicHarness.running(1), LogicHarness.running(2));
+        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
         harness.call("a", 0, 1);
-        harness.end(harness.last(), Gateway.Ending.NO_FREE_LINE);
+        harness.end(harness.last(), Outcome.NO_CAPACITY);
         assertEquals(2, harness.last().server());
         assertEquals(0, harness.logic.servers.get(1L).failures);
-        harness.logic.reported(harness.now, 1, new Gateway.Report(40, 100, Double.NaN, Double.NaN, Double.NaN, Double.NaN));
+        harness.logic.loadReported(harness.now, 1,
+                new RoutingPolicy.LoadReport(40, 100, Double.NaN, Double.NaN, Double.NaN, Double.NaN));
         harness.call("b", 0, 1);
         assertEquals(1, harness.last().server());
     }
@@ -155,12 +156,12 @@
      * restarted. */
     @Test
     void cutCallsMakeNoServerCold() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         warm(1);
         harness.call("a", 0, 1);
         harness.until(harness.now + 30);
         harness.answer(harness.last());
-        harness.end(harness.last(), Gateway.Ending.RESET);
+        harness.end(harness.last(), Outcome.RESET);
         harness.until(harness.now + 1000);
         assertTrue(!harness.logic.servers.get(1L).cold(harness.now));
         harness.call("b", 0, 1);
@@ -170,13 +171,13 @@
     /** Before, each call to a number whose lines were all engaged was tried at server after server. */
     @Test
     void anEngagedNumberIsGappedAndNotTriedElsewhere() {
-        harness.list(LogicHarness.running(1), LogicHarness.running(2));
+        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
         for (int i = 0; i < 100; i++) {
             harness.until(i * 50.0);
             int before = harness.sent.size();
-            harness.logic.arrived(harness.now, new Gateway.Call("c" + i, 0, "hot", 3000, 1, false));
+            harness.logic.requestArrived(harness.now, new RoutingPolicy.Request("c" + i, 0, "hot", 3000, 1, false));
             if (harness.sent.size() > before) {
-                harness.end(harness.last(), Gateway.Ending.ENGAGED);
+                harness.end(harness.last(), Outcome.BUSY);
             }
         }
         assertTrue(harness.sent.size() <= 5, "tries in five seconds: " + harness.sent.size());
@@ -188,21 +189,21 @@
     /** Before, callers who dialled again after their aim took the place of fresh ones. */
     @Test
     void freshCallsGoBeforeThoseDialledAgainTooLate() {
-        harness.logic.arrived(0, new Gateway.Call("first", 0, "again", 3000, 1, false));
+        harness.logic.requestArrived(0, new RoutingPolicy.Request("first", 0, "again", 3000, 1, false));
         harness.until(1000);
         assertEquals(1, harness.finals.size(), "no server known: refused");
         harness.until(1500);
-        harness.logic.arrived(harness.now, new Gateway.Call("second", 0, "again", 3000, 1, false));
+        harness.logic.requestArrived(harness.now, new RoutingPolicy.Request("second", 0, "again", 3000, 1, false));
         harness.until(1510);
         harness.call("fresh", 0, 1);
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         assertEquals("fresh", harness.sent.get(0).call());
     }
 
     /** A server that answers nothing gets no more once its oldest set-up has waited nearly a limit. */
     @Test
     void aSilentServerIsLeft() {
-        harness.list(LogicHarness.running(1), LogicHarness.running(2));
+        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
         warm(2);
         harness.call("a", 0, 1);
         assertEquals(1, harness.last().server());
@@ -220,7 +221,7 @@
      * it. */
     @Test
     void aSlowServerIsGivenTimeToAnswer() {
-        harness.list(LogicHarness.running(1), LogicHarness.running(2));
+        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
         warm(2);
         harness.call("a", 0, 1);
         harness.until(harness.now + 1300);
@@ -230,14 +231,14 @@
     /** Before, one lost set-up barred its server for the three seconds that its caller would wait. */
     @Test
     void anOvertakenSetUpIsCalledOffAndTriedAgain() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         harness.call("lost", 0, 1);
         harness.until(150);
         harness.call("b", 0, 1);
         harness.until(200);
         harness.answer(harness.last());
         assertEquals(List.of("lost"), harness.cancelled);
-        harness.end(harness.sent.get(0), Gateway.Ending.CANCELLED);
+        harness.end(harness.sent.get(0), Outcome.CANCELLED);
         harness.until(399);
         assertEquals(1, harness.attempts.get("lost"), "the release is awaited");
         harness.until(500);
@@ -246,20 +247,20 @@
 
     @Test
     void oddButLegalEventsDoNoHarm() {
-        harness.logic.woken(0);
+        harness.logic.timerFired(0);
         harness.call("a", 0, 1);
         harness.call("a", 0, 1);
         harness.call("unknown class", 7, 1);
         harness.call("no time", 0, 1, 0);
-        harness.list(LogicHarness.running(1));
-        harness.end(harness.last(), Gateway.Ending.NOT_SENT);
-        harness.end(harness.last(), Gateway.Ending.COMPLETED);
-        harness.end(harness.last(), Gateway.Ending.COMPLETED);
-        harness.logic.left(harness.now, "a");
-        harness.logic.left(harness.now, "never seen");
-        harness.logic.stands(harness.now, "never seen", 0, 1, 5);
-        harness.logic.reported(harness.now, 99, new Gateway.Report(1, 1, 1, 1, 1, 1));
-        harness.logic.listFailed(harness.now);
+        harness.list(PolicyHarness.running(1));
+        harness.end(harness.last(), Outcome.NOT_SENT);
+        harness.end(harness.last(), Outcome.COMPLETED);
+        harness.end(harness.last(), Outcome.COMPLETED);
+        harness.logic.clientLeft(harness.now, "a");
+        harness.logic.clientLeft(harness.now, "never seen");
+        harness.logic.callEstablished(harness.now, "never seen", 0, 1, 5);
+        harness.logic.loadReported(harness.now, 99, new RoutingPolicy.LoadReport(1, 1, 1, 1, 1, 1));
+        harness.logic.serverListFailed(harness.now);
         harness.until(1e7);
         harness.call("after a leap", 0, 1);
         harness.until(1e7);
@@ -267,7 +268,7 @@
         harness.until(2e7);
         assertEquals(1, harness.finals.stream().filter(f -> f.call().equals("no time")).count());
         assertEquals(1, harness.finals.stream().filter(f -> f.call().equals("unknown class")).count());
-        assertEquals(harness.finals.size(), harness.finals.stream().map(LogicHarness.Final::call).distinct().count());
+        assertEquals(harness.finals.size(), harness.finals.stream().map(PolicyHarness.Final::call).distinct().count());
     }
 
     private void warm(long server) {
@@ -281,18 +282,19 @@
     @Test
     void afterAnErrorAnotherServerComesFirstAndTheSameOneWhereThereIsNoOther() {
         for (int servers = 2; servers <= 3; servers++) {
-            LogicHarness harness = new LogicHarness(LogicHarness.settings(0));
-            harness.list(servers == 2 ? new Gateway.Listed[] {LogicHarness.running(1), LogicHarness.running(2)}
-                    : new Gateway.Listed[] {LogicHarness.running(1), LogicHarness.running(2), LogicHarness.running(3)});
+            PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
+            harness.list(servers == 2 ? new RoutingPolicy.ListedServer[] {PolicyHarness.running(1), PolicyHarness.running(2)}
+                    : new RoutingPolicy.ListedServer[] {PolicyHarness.running(1), PolicyHarness.running(2),
+                            PolicyHarness.running(3)});
             harness.call("a", 0, 1);
             assertEquals(1, harness.sent.get(0).server(), "first choice");
-            harness.end(harness.sent.get(0), Gateway.Ending.ERROR);
+            harness.end(harness.sent.get(0), Outcome.ERROR);
             assertTrue(harness.sent.get(1).server() != 1, "another");
         }
-        LogicHarness alone = new LogicHarness(LogicHarness.settings(0));
-        alone.list(LogicHarness.running(1));
+        PolicyHarness alone = new PolicyHarness(PolicyHarness.settings(0));
+        alone.list(PolicyHarness.running(1));
         alone.call("a", 0, 1);
-        alone.end(alone.sent.get(0), Gateway.Ending.ERROR);
+        alone.end(alone.sent.get(0), Outcome.ERROR);
         assertEquals(1, alone.sent.get(1).server());
     }
 }
--- a/core/src/test/java/pathlane/decision/RulesTest.java
+++ b/core/src/test/java/pathlane/decision/RulesTest.java
@@ -18,18 +18,18 @@
 /** The five rules as properties over seeded streams of calls, outcomes, drains and restarts. */
 class RulesTest {
 
-    private static final Gateway.Ending[] BAD = {Gateway.Ending.REJECTED, Gateway.Ending.NO_FREE_LINE,
-            Gateway.Ending.UNREACHABLE, Gateway.Ending.RESET, Gateway.Ending.TIMED_OUT, Gateway.Ending.ERROR,
-            Gateway.Ending.NOT_SENT};
+    private static final Outcome[] BAD = {Outcome.REJECTED, Outcome.NO_CAPACITY,
+            Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT, Outcome.ERROR,
+            Outcome.NOT_SENT};
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void everyStreamKeepsTheRules(long seed) {
         Random random = new Random(seed);
-        LogicHarness harness = new LogicHarness(LogicHarness.settings(seed % 2 == 0 ? 500 : 0), seed);
-        harness.list(LogicHarness.running(1), LogicHarness.running(2), LogicHarness.running(3));
+        PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(seed % 2 == 0 ? 500 : 0), seed);
+        harness.list(PolicyHarness.running(1), PolicyHarness.running(2), PolicyHarness.running(3));
         Map<String, Double> deadline = new HashMap<>();
-        Map<String, LogicHarness.Sent> out = new HashMap<>();
+        Map<String, PolicyHarness.Sent> out = new HashMap<>();
         Map<String, Double> notBefore = new HashMap<>();
         Map<Long, Double> shutSince = new HashMap<>();
         Set<String> over = new HashSet<>();
@@ -51,12 +51,12 @@
                 if (!opens) {
                     shutSince.put(server, time);
                 }
-                harness.change(new Gateway.Listed(server, (int) server,
-                        opens ? Gateway.Mode.RUNNING : random.nextBoolean() ? Gateway.Mode.DRAINING
-                                : Gateway.Mode.GONE,
+                harness.change(new RoutingPolicy.ListedServer(server, (int) server,
+                        opens ? ServerStatus.RUNNING : random.nextBoolean() ? ServerStatus.DRAINING
+                                : ServerStatus.GONE,
                         opens ? time : 0, 1));
             }
-            for (LogicHarness.Sent s : new ArrayList<>(out.values())) {
+            for (PolicyHarness.Sent s : new ArrayList<>(out.values())) {
                 boolean late = time >= deadline.get(s.call());
                 if (late || random.nextInt(40) == 0) {
                     out.remove(s.call());
@@ -64,16 +64,16 @@
                         over.add(s.call());
                         harness.answer(s);
                     } else {
-                        Gateway.Ending how = late ? Gateway.Ending.TIMED_OUT : BAD[random.nextInt(BAD.length)];
-                        if (how == Gateway.Ending.RESET || how == Gateway.Ending.TIMED_OUT) {
+                        Outcome how = late ? Outcome.TIMED_OUT : BAD[random.nextInt(BAD.length)];
+                        if (how == Outcome.RESET || how == Outcome.TIMED_OUT) {
                             notBefore.put(s.call(), time + 200);
                         }
-                        harness.end(s, how, how == Gateway.Ending.REJECTED ? random.nextInt(400) : 0);
+                        harness.end(s, how, how == Outcome.REJECTED ? random.nextInt(400) : 0);
                     }
                 }
             }
             for (; seenSends < harness.sent.size(); seenSends++) {
-                LogicHarness.Sent s = harness.sent.get(seenSends);
+                PolicyHarness.Sent s = harness.sent.get(seenSends);
                 assertFalse(over.contains(s.call()), "sent after its end: " + s);
                 assertTrue(out.put(s.call(), s) == null, "two attempts out: " + s);
                 assertTrue(s.at() >= notBefore.getOrDefault(s.call(), 0.0), "release not awaited: " + s);
@@ -82,16 +82,16 @@
                         "sent to a draining or gone server: " + s);
             }
             for (; seenFinals < harness.finals.size(); seenFinals++) {
-                LogicHarness.Final f = harness.finals.get(seenFinals);
+                PolicyHarness.Final f = harness.finals.get(seenFinals);
                 assertTrue(over.add(f.call()), "two final answers: " + f);
                 assertFalse(out.containsKey(f.call()), "answered with an attempt out: " + f);
                 assertTrue(f.at() <= deadline.get(f.call()) + 20, "answered late: " + f);
             }
             for (; seenCancels < harness.cancelled.size(); seenCancels++) {
-                LogicHarness.Sent s = out.remove(harness.cancelled.get(seenCancels));
+                PolicyHarness.Sent s = out.remove(harness.cancelled.get(seenCancels));
                 if (s != null) {
                     notBefore.put(s.call(), time + 200);
-                    harness.end(s, Gateway.Ending.CANCELLED);
+                    harness.end(s, Outcome.CANCELLED);
                 }
             }
         }
@@ -108,9 +108,9 @@
         // together.
         List<Double> sends = new ArrayList<>();
         for (int g = 0; g < balancers; g++) {
-            Settings settings = LogicHarness.settings(List.of(LogicHarness.cls(1000, 1)), balancers, 4, 0);
-            LogicHarness harness = new LogicHarness(settings, 100 + g);
-            harness.list(LogicHarness.running(1));
+            Settings settings = PolicyHarness.settings(List.of(PolicyHarness.cls(1000, 1)), balancers, 4, 0);
+            PolicyHarness harness = new PolicyHarness(settings, 100 + g);
+            harness.list(PolicyHarness.running(1));
             for (int i = 0; i < 400; i++) {
                 harness.until(g + i * 25.0 * balancers);
                 harness.call("w" + i, 0, 1);
@@ -120,7 +120,7 @@
                 }
             }
             double from = harness.now;
-            harness.list(new Gateway.Listed(2, 2, Gateway.Mode.RUNNING, from, 1));
+            harness.list(new RoutingPolicy.ListedServer(2, 2, ServerStatus.RUNNING, from, 1));
             for (int i = 0; i < 200; i++) {
                 harness.until(from + i * 50.0);
                 harness.call("c" + i, 0, 2);
--- a/core/src/test/java/pathlane/decision/SizeTest.java
+++ b/core/src/test/java/pathlane/decision/SizeTest.java
@@ -14,20 +14,20 @@
 
     private static final int MANY = 250;
 
-    private final LogicHarness harness = new LogicHarness(LogicHarness.settings(500));
+    private final PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(500));
 
     private static Settings many() {
-        return LogicHarness.settings(List.of(LogicHarness.cls(1000, 1), LogicHarness.cls(2000, 3)), MANY, 4, 500);
+        return PolicyHarness.settings(List.of(PolicyHarness.cls(1000, 1), PolicyHarness.cls(2000, 3)), MANY, 4, 500);
     }
 
-    private static Gateway.Report lines(double free, double all) {
-        return new Gateway.Report(free, all, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    private static RoutingPolicy.LoadReport lines(double free, double all) {
+        return new RoutingPolicy.LoadReport(free, all, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /** Before, each gateway sent a jammed server a lone set-up as often as one was answered: hundreds together. */
     @Test
     void aLateLoneSetUpPacesAServerThatThisGatewaySeldomUses() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         double last = Double.NEGATIVE_INFINITY;
         List<Double> gaps = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -48,13 +48,13 @@
     /** Where calls are many the conditions see enough, and no pace holds a server that is well again. */
     @Test
     void noPaceWhereCallsAreMany() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         for (int i = 0; i < 100; i++) {
             harness.until(i * 20.0);
             harness.call("c" + i, 0, 1);
         }
         harness.until(2000);
-        for (LogicHarness.Sent s : List.copyOf(harness.sent)) {
+        for (PolicyHarness.Sent s : List.copyOf(harness.sent)) {
             harness.answer(s);
         }
         assertEquals(0, harness.logic.servers.get(1L).pace);
@@ -65,10 +65,10 @@
     void theLinesOfAServerWeighTheDraw() {
         int large = 0;
         for (int seed = 0; seed < 200; seed++) {
-            LogicHarness one = new LogicHarness(LogicHarness.settings(0), seed);
-            one.list(LogicHarness.running(1), LogicHarness.running(2));
-            one.logic.reported(0, 1, lines(100, 100));
-            one.logic.reported(0, 2, lines(900, 900));
+            PolicyHarness one = new PolicyHarness(PolicyHarness.settings(0), seed);
+            one.list(PolicyHarness.running(1), PolicyHarness.running(2));
+            one.logic.loadReported(0, 1, lines(100, 100));
+            one.logic.loadReported(0, 2, lines(900, 900));
             one.call("a", 0, 3);
             large += one.last().server() == 2 ? 1 : 0;
         }
@@ -78,12 +78,12 @@
     /** Before, what was told of free lines was taken for stale before it was told again. */
     @Test
     void toldLinesStayInForceUntilToldAgain() {
-        harness.list(LogicHarness.running(1));
-        harness.logic.reported(0, 1, lines(0, 500));
+        harness.list(PolicyHarness.running(1));
+        harness.logic.loadReported(0, 1, lines(0, 500));
         harness.until(2000);
         harness.call("a", 0, 1);
         assertTrue(harness.sent.isEmpty(), "no line is free");
-        harness.logic.reported(harness.now, 1, lines(400, 500));
+        harness.logic.loadReported(harness.now, 1, lines(400, 500));
         assertEquals("a", harness.last().call());
     }
 
@@ -92,9 +92,9 @@
     void allGatewaysTogetherTakeTheToldLines() {
         int sent = 0;
         for (int g = 0; g < MANY; g++) {
-            LogicHarness one = new LogicHarness(many(), g);
-            one.list(LogicHarness.running(1));
-            one.logic.reported(0, 1, lines(25, 500));
+            PolicyHarness one = new PolicyHarness(many(), g);
+            one.list(PolicyHarness.running(1));
+            one.logic.loadReported(0, 1, lines(25, 500));
             one.call("a", 0, 9);
             one.call("b", 0, 9);
             sent += one.sent.size();
@@ -105,23 +105,23 @@
     /** Before, a region that restarted got four times what it could do until the list told it. */
     @Test
     void allOwnCallsCutMeanAColdStart() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         harness.call("a", 0, 1);
         harness.until(30);
         harness.answer(harness.last());
         assertFalse(harness.logic.servers.get(1L).cold(harness.now));
-        harness.end(harness.last(), Gateway.Ending.RESET);
+        harness.end(harness.last(), Outcome.RESET);
         assertTrue(harness.logic.servers.get(1L).cold(harness.now));
     }
 
     /** Before, each answer lost on the way barred its server until the caller had gone. */
     @Test
     void lostAnswersDoNotBarTheirServer() {
-        harness.list(LogicHarness.running(1));
+        harness.list(PolicyHarness.running(1));
         harness.call("lost", 0, 1);
         harness.until(100);
-        harness.logic.left(harness.now, "lost");
-        harness.end(harness.sent.get(0), Gateway.Ending.CANCELLED);
+        harness.logic.clientLeft(harness.now, "lost");
+        harness.end(harness.sent.get(0), Outcome.CANCELLED);
         harness.call("b", 0, 1);
         harness.until(130);
         harness.answer(harness.last());
@@ -139,38 +139,38 @@
     void afterAStallThoseStillInTimeGoFirst() {
         harness.call("usual", 0, 1);
         harness.stallUntil(1900);
-        harness.call("old", 0, 1, LogicHarness.GRACE - 1800);
-        harness.call("young", 0, 1, LogicHarness.GRACE - 100);
-        harness.list(LogicHarness.running(1));
+        harness.call("old", 0, 1, PolicyHarness.GRACE - 1800);
+        harness.call("young", 0, 1, PolicyHarness.GRACE - 100);
+        harness.list(PolicyHarness.running(1));
         assertEquals("young", harness.sent.get(0).call());
     }
 
     /** Hundreds of gateways, a list of servers all started at once, two seconds of events at one time. */
     @Test
     void aStalledCrowdAndAColdRegionBreakNothing() {
-        List<Gateway.Listed> cold = new ArrayList<>();
+        List<RoutingPolicy.ListedServer> cold = new ArrayList<>();
         for (long s = 1; s <= 12; s++) {
-            cold.add(new Gateway.Listed(s, (int) s, Gateway.Mode.RUNNING, 1000, 1));
+            cold.add(new RoutingPolicy.ListedServer(s, (int) s, ServerStatus.RUNNING, 1000, 1));
         }
         int sent = 0;
         for (int g = 0; g < MANY; g++) {
-            LogicHarness one = new LogicHarness(many(), g);
+            PolicyHarness one = new PolicyHarness(many(), g);
             one.until(1000);
-            one.list(cold.toArray(Gateway.Listed[]::new));
+            one.list(cold.toArray(RoutingPolicy.ListedServer[]::new));
             one.call("first", 0, 1);
             one.stallUntil(3000);
             for (int i = 0; i < 20; i++) {
-                one.call("c" + i, i % 2, i % 12, LogicHarness.GRACE - 100 * i);
+                one.call("c" + i, i % 2, i % 12, PolicyHarness.GRACE - 100 * i);
             }
             int late = one.sent.size();
             for (int i = 0; i < late; i++) {
-                one.end(one.sent.get(i), Gateway.Ending.REJECTED, 300);
+                one.end(one.sent.get(i), Outcome.REJECTED, 300);
             }
             one.until(9000);
             sent += late;
-            long ended = one.finals.stream().map(LogicHarness.Final::call).distinct().count();
+            long ended = one.finals.stream().map(PolicyHarness.Final::call).distinct().count();
             assertEquals(one.finals.size(), ended, "one final answer each");
-            assertTrue(one.finals.stream().allMatch(f -> f.at() <= 3000 + LogicHarness.GRACE), "in time");
+            assertTrue(one.finals.stream().allMatch(f -> f.at() <= 3000 + PolicyHarness.GRACE), "in time");
         }
         assertTrue(sent <= MANY, "no gateway knows yet what a server can do: " + sent);
     }
--- a/core/src/test/java/pathlane/decision/ColdFleetTest.java
+++ b/core/src/test/java/pathlane/decision/SlowStartFleetTest.java
@@ -16,7 +16,7 @@
  * traffic of the others, a third restart while it is cold and know only when it started, and one attempt in ten breaks and
  * is made again. What all send it in any window stays under what the settings allow then, and twice its root and two.
  */
-class ColdFleetTest {
+class SlowStartFleetTest {
 
     private static final int GATEWAYS = 30;
     private static final int BUSY = 5;
@@ -35,14 +35,14 @@
         private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at)
                 .thenComparingLong(Due::order));
         private final double every;
-        private LogicHarness harness;
+        private PolicyHarness harness;
         private long order;
         private int seen;
 
         Sender(int number, long seed) {
             random = new SplittableRandom(seed * 1000 + number);
             every = 1000 * (GATEWAYS - 1 + BUSY) / RATE / (number == 0 ? BUSY : 1);
-            start(0, List.of(LogicHarness.running(1)));
+            start(0, List.of(PolicyHarness.running(1)));
             at(random.nextDouble() * every, this::call);
         }
 
@@ -51,12 +51,12 @@
         }
 
         /** A gateway that knows nothing but the list. */
-        void start(double now, List<Gateway.Listed> list) {
-            harness = new LogicHarness(LogicHarness.settings(List.of(LogicHarness.cls(1000, 1)), GATEWAYS, 4, 0),
+        void start(double now, List<RoutingPolicy.ListedServer> list) {
+            harness = new PolicyHarness(PolicyHarness.settings(List.of(PolicyHarness.cls(1000, 1)), GATEWAYS, 4, 0),
                     random.nextLong());
             seen = 0;
             harness.until(now);
-            harness.list(list.toArray(Gateway.Listed[]::new));
+            harness.list(list.toArray(RoutingPolicy.ListedServer[]::new));
         }
 
         private void call() {
@@ -72,8 +72,8 @@
                 double now = Math.min(next, Math.max(timer, harness.now));
                 harness.until(now);
                 for (; seen < harness.sent.size(); seen++) {
-                    LogicHarness.Sent sent = harness.sent.get(seen);
-                    LogicHarness of = harness;
+                    PolicyHarness.Sent sent = harness.sent.get(seen);
+                    PolicyHarness of = harness;
                     if (sent.server() == 2) {
                         sends.add(sent.at());
                     }
@@ -83,7 +83,7 @@
                             return;   // it has restarted
                         }
                         if (breaks) {
-                            harness.end(sent, Gateway.Ending.RESET);
+                            harness.end(sent, Outcome.RESET);
                         } else {
                             harness.answer(sent);
                         }
@@ -102,15 +102,15 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
     void theFleetKeepsTheRampOfAColdServer(long seed) {
         List<Double> sends = new ArrayList<>();
-        Settings.Rules rules = LogicHarness.rules();
+        Settings.Rules rules = PolicyHarness.rules();
         for (int g = 0; g < GATEWAYS; g++) {
             Sender sender = new Sender(g, seed);
             SplittableRandom random = sender.random.split();
-            Gateway.Listed cold = new Gateway.Listed(2, 2, Gateway.Mode.RUNNING, WARM_MS, 1);
+            RoutingPolicy.ListedServer cold = new RoutingPolicy.ListedServer(2, 2, ServerStatus.RUNNING, WARM_MS, 1);
             sender.at(WARM_MS + random.nextDouble() * 2000, () -> sender.harness.change(cold));
             if (g % 3 == 1) {
                 double restart = WARM_MS + 2000 + random.nextDouble() * 5000;
-                sender.at(restart, () -> sender.start(restart, List.of(LogicHarness.running(1), cold)));
+                sender.at(restart, () -> sender.start(restart, List.of(PolicyHarness.running(1), cold)));
             }
             sender.play(WARM_MS + COLD_MS, sends);
         }
@@ -118,8 +118,9 @@
         assertTrue(sends.size() > 30, "the cold server was hardly sent to: " + sends.size());
         double warmRate = RATE / 2 / 1000;
         for (double start : sends) {
-            double warmth = rules.coldFrom() + (1 - rules.coldFrom()) * (start - WARM_MS) / rules.coldMs();
-            double allowed = rules.fallMultiple() * warmth * warmRate * WINDOW_MS;
+            double warmth =
+                    rules.slowStartFraction() + (1 - rules.slowStartFraction()) * (start - WARM_MS) / rules.slowStartMs();
+            double allowed = rules.overloadFactor() * warmth * warmRate * WINDOW_MS;
             long sent = sends.stream().filter(t -> t >= start && t < start + WINDOW_MS).count();
             assertTrue(sent <= allowed + 2 * Math.sqrt(allowed) + 2,
                     sent + " in the window from " + (start - WARM_MS) + " ms on, where " + allowed + " are allowed");
--- a/core/src/test/java/pathlane/retry/FailedTryIndexTest.java
+++ b/core/src/test/java/pathlane/retry/FailedCallIndexTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class FailedTryIndexTest {
+class FailedCallIndexTest {
 
     private record Plain(double firstAt, double notBefore, int tries, double putAt) {}
 
@@ -19,7 +19,7 @@
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             int capacity = 1 + random.nextInt(12);
-            FailedTryIndex index = new FailedTryIndex(capacity, 50);
+            FailedCallIndex index = new FailedCallIndex(capacity, 50);
             Map<Long, Plain> plain = new LinkedHashMap<>();
             double barrier = Double.NEGATIVE_INFINITY;
             double now = 0;
@@ -29,11 +29,11 @@
                 plain.values().removeIf(entry -> at - entry.putAt >= 50);
                 long key = random.nextInt(20) - 3L;
                 int entry = index.find(key, now);
-                assertEquals(plain.containsKey(key), entry != FailedTryIndex.NONE, "seed " + seed + " step " + step);
-                if (entry != FailedTryIndex.NONE) {
-                    assertEquals(plain.get(key), new Plain(index.firstAt(entry), index.notBefore(entry),
-                            index.tries(entry), plain.get(key).putAt));
-                    assertEquals(key, index.first(entry));
+                assertEquals(plain.containsKey(key), entry != FailedCallIndex.NONE, "seed " + seed + " step " + step);
+                if (entry != FailedCallIndex.NONE) {
+                    assertEquals(plain.get(key), new Plain(index.firstArrivedAt(entry), index.notBefore(entry),
+                            index.failures(entry), plain.get(key).putAt));
+                    assertEquals(key, index.firstCallId(entry));
                 }
                 if (random.nextInt(4) == 0) {
                     index.forget(key);
@@ -45,7 +45,7 @@
                         oldest.remove();
                     }
                     plain.put(key, new Plain(now - 3, now + step % 7, step % 5 + 1, now));
-                    index.put(key, now, key, now - 3, now + step % 7, step % 5 + 1);
+                    index.recordFailure(key, now, key, now - 3, now + step % 7, step % 5 + 1);
                 }
                 assertEquals(plain.size(), index.size());
                 assertEquals(barrier, index.barrier());
@@ -55,13 +55,13 @@
 
     @Test
     void afterAMillionCallsItStillHoldsItsCapacityAndNoMore() {
-        FailedTryIndex index = new FailedTryIndex(1000, 1e9);
+        FailedCallIndex index = new FailedCallIndex(1000, 1e9);
         for (long key = 0; key < 1_000_000; key++) {
-            index.put(key * 64, key, key, key, key + 200, 1);
+            index.recordFailure(key * 64, key, key, key, key + 200, 1);
         }
         assertEquals(1000, index.size());
-        assertTrue(index.find(999_999 * 64, 1e6) != FailedTryIndex.NONE);
-        assertEquals(FailedTryIndex.NONE, index.find(0, 1e6));
+        assertTrue(index.find(999_999 * 64, 1e6) != FailedCallIndex.NONE);
+        assertEquals(FailedCallIndex.NONE, index.find(0, 1e6));
         assertEquals(998_999 + 200, index.barrier());
     }
 }
--- a/core/src/test/java/pathlane/cold/ColdShareTest.java
+++ b/core/src/test/java/pathlane/slowstart/SlowStartShareTest.java
@@ -1,4 +1,4 @@
-package pathlane.cold;
+package pathlane.slowstart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,21 +10,21 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import pathlane.config.Settings.ColdSenders;
+import pathlane.config.Settings;
 import pathlane.config.Settings.Rules;
 
-class ColdShareTest {
+class SlowStartShareTest {
 
     private static final double PER_SECOND = 30;
     private static final long SERVER = 9;
     private static final Rules RULES = new Rules(0.28, Duration.ofMillis(13_000), 3, Duration.ofMillis(1500),
             Duration.ofMillis(200));
 
-    private static List<ColdShare> shares(int senders) {
-        List<ColdShare> shares = new ArrayList<>();
+    private static List<SlowStartShare> shares(int senders) {
+        List<SlowStartShare> shares = new ArrayList<>();
         for (int own = 0; own < senders; own++) {
-            ColdShare share = new ColdShare(RULES, new ColdSenders(PER_SECOND, senders, own));
-            share.started(SERVER, 1000);
+            SlowStartShare share = new SlowStartShare(RULES, new Settings.SlowStartSenders(PER_SECOND, senders, own));
+            share.serverStarted(SERVER, 1000);
             shares.add(share);
         }
         return shares;
@@ -40,15 +40,15 @@
     void allSendersTogetherStayUnderTheRuleInEveryWindow() {
         for (int senders : new int[] {1, 2, 3, 7, 8, 30, 200}) {
             SplittableRandom random = new SplittableRandom(senders);
-            List<ColdShare> shares = shares(senders);
+            List<SlowStartShare> shares = shares(senders);
             List<Double> sent = new ArrayList<>();
             int wanting = 0;
             for (double now = 1000; now < 14_000; now += 5) {
                 wanting = random.nextInt(100) == 0 ? random.nextInt(senders + 1) : wanting;
                 for (int one = 0; one < senders; one++) {
                     // Those who want send all they may; the others save up what they are let.
-                    while (one >= wanting && shares.get(one).mayTake(SERVER, now)) {
-                        shares.get(one).taken(SERVER);
+                    while (one >= wanting && shares.get(one).mayAcquire(SERVER, now)) {
+                        shares.get(one).acquired(SERVER);
                         sent.add(now);
                     }
                 }
@@ -65,11 +65,11 @@
 
     @Test
     void aLoneSenderGetsHalfOfWhatTheRuleAllows() {
-        ColdShare share = shares(1).get(0);
+        SlowStartShare share = shares(1).get(0);
         int sent = 0;
         for (double now = 1000; now < 13_999; now++) {
-            if (share.mayTake(SERVER, now)) {
-                share.taken(SERVER);
+            if (share.mayAcquire(SERVER, now)) {
+                share.acquired(SERVER);
                 sent++;
             }
         }
@@ -78,25 +78,25 @@
 
     @Test
     void aServerThatIsWarmOrUnknownIsNoneOfItsBusiness() {
-        ColdShare share = shares(200).get(199);
-        assertFalse(share.mayTake(SERVER, 1001));
-        assertTrue(share.mayTake(SERVER, 14_000));
-        assertTrue(share.mayTake(SERVER + 1, 1001));
+        SlowStartShare share = shares(200).get(199);
+        assertFalse(share.mayAcquire(SERVER, 1001));
+        assertTrue(share.mayAcquire(SERVER, 14_000));
+        assertTrue(share.mayAcquire(SERVER + 1, 1001));
     }
 
     @Test
     void aLiveCountChangesTheShareFromThenOn() {
-        ColdShare share = shares(100).get(99);
-        assertFalse(share.mayTake(SERVER, 1500));
-        share.count(1, 0);
-        assertTrue(share.mayTake(SERVER, 1500));
-        assertThrows(IllegalArgumentException.class, () -> share.count(2, 2));
+        SlowStartShare share = shares(100).get(99);
+        assertFalse(share.mayAcquire(SERVER, 1500));
+        share.updateSenders(1, 0);
+        assertTrue(share.mayAcquire(SERVER, 1500));
+        assertThrows(IllegalArgumentException.class, () -> share.updateSenders(2, 2));
     }
 
     @Test
     void figuresThatMakeNoSenseAreRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new ColdSenders(0, 1, 0));
-        assertThrows(IllegalArgumentException.class, () -> new ColdSenders(Double.NaN, 1, 0));
-        assertThrows(IllegalArgumentException.class, () -> new ColdSenders(1, 0, 0));
+        assertThrows(IllegalArgumentException.class, () -> new Settings.SlowStartSenders(0, 1, 0));
+        assertThrows(IllegalArgumentException.class, () -> new Settings.SlowStartSenders(Double.NaN, 1, 0));
+        assertThrows(IllegalArgumentException.class, () -> new Settings.SlowStartSenders(1, 0, 0));
     }
 }
--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -27,7 +27,6 @@
 import pathlane.diameter.DiameterFront;
 import pathlane.directory.DirectoryNode;
 import pathlane.directory.DiscoveryFile;
-import pathlane.link.Protocol;
 import pathlane.metrics.CollectdReporter;
 import pathlane.metrics.GraphiteReporter;
 import pathlane.net.EventLoop;
@@ -35,6 +34,7 @@
 import pathlane.platform.PlatformFront;
 import pathlane.takeover.GroupFile;
 import pathlane.takeover.GroupNode;
+import pathlane.transport.Protocol;
 
 /** One real call controller: puts the parts together and sees to an orderly end. */
 final class Node {
@@ -210,7 +210,7 @@
      */
     private void endWhenAnswered(Instant until, Instant checkedBefore, long cameBefore) {
         Instant now = loop.now();
-        long accepted = network.accepted() + front.controller().counters().value(Counters.Name.SET_UPS);
+        long accepted = network.accepted() + front.controller().counters().value(Counters.Name.CALL_REQUESTS);
         boolean quiet = accepted == cameBefore && !checkedBefore.isBefore(until) || now.isAfter(until.plus(COMING_MOST));
         if (front.controller().openCalls() > 0 || !quiet) {
             loop.after(END_CHECK, () -> endWhenAnswered(until, now, accepted));
@@ -221,7 +221,7 @@
 
     private void part() {
         front.part().run();
-        LOG.log(Level.INFO, "ended: {0}", front.controller().counters().line());
+        LOG.log(Level.INFO, "ended: {0}", front.controller().counters().summary());
         when(network::hasWritten, loop.now().plus(LAST_WORDS), () -> {
             network.partFromCallers();
             when(network::hasParted, loop.now().plus(LAST_WORDS), ended::countDown);
--- a/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import pathlane.config.Settings;
 import pathlane.config.SettingsReader;
-import pathlane.link.Addresses;
+import pathlane.transport.Addresses;
 
 /**
  * What the Diameter front is told: who it is, where it listens, its server peers and its classes.
@@ -69,7 +69,7 @@
         for (JsonElement element : SettingsReader.array(root, "classes")) {
             JsonObject one = element.getAsJsonObject();
             String name = NodeConfig.text(one, "name");
-            int index = settings.classNamed(name);
+            int index = settings.indexOfClass(name);
             if (index < 0) {
                 throw new IllegalArgumentException("class '" + name + "' is not in the settings");
             }
--- a/daemon/src/main/java/pathlane/config/file/GraphiteConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/GraphiteConfig.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import pathlane.config.SettingsReader;
-import pathlane.link.Addresses;
+import pathlane.transport.Addresses;
 
 /** Where and how often counters are told to Graphite. */
 public record GraphiteConfig(InetSocketAddress address, String prefix, Duration interval) {
--- a/daemon/src/main/java/pathlane/config/file/NodeConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/NodeConfig.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import pathlane.config.Settings;
 import pathlane.config.SettingsReader;
-import pathlane.link.Addresses;
+import pathlane.transport.Addresses;
 
 /**
  * What a real call controller finds in RELAY_CONFIG.
--- a/daemon/src/main/java/pathlane/diameter/ClientPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ClientPeer.java
@@ -10,17 +10,17 @@
 import java.util.random.RandomGenerator;
 import pathlane.config.file.DiameterConfig;
 import pathlane.core.CallController;
-import pathlane.core.CallerPort;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CallRequest;
+import pathlane.core.ClientPort;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.core.SetUp;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
 /**
  * One connection from a Diameter client: an initial Credit-Control-Request is a set-up, its answer the one final
  * answer, a termination the release of a call that stands.
  */
-final class ClientPeer implements CallerPort, PeerSession.Handler, Watchdog.Actions {
+final class ClientPeer implements ClientPort, PeerSession.Handler, Watchdog.Actions {
 
     private static final int INITIAL = 1;
     private static final int UPDATE = 2;
@@ -63,7 +63,7 @@
     public void opened(PeerSession up) {
         session = up;
         watchdog.connectionUp();
-        controller.callerOpened(this);
+        controller.clientConnected(this);
     }
 
     @Override
@@ -82,7 +82,7 @@
             case INITIAL -> setUp(call, request);
             case UPDATE -> update(call, request);
             case TERMINATION -> {
-                boolean known = controller.callerReleased(call, forwarded(request).bytes(), this);
+                boolean known = controller.clientReleased(call, forwarded(request).bytes(), this);
                 from.send(answer(request, known ? ResultCode.SUCCESS : ResultCode.UNKNOWN_SESSION_ID,
                         Duration.ZERO));
             }
@@ -93,15 +93,15 @@
     private void setUp(String call, DiameterMessage request) {
         DiameterConfig.ServiceClass asked = serviceOf(request);
         Avp wanted = request.find(Avp.DESTINATION_HOST);
-        SetUp setUp = new SetUp(call, asked.index(), number(call, request), asked.patience(),
+        CallRequest setUp = new CallRequest(call, asked.index(), number(call, request), asked.patience(),
                 config.cellOf(wanted == null ? "" : wanted.text()), forwarded(request).bytes());
         DiameterMessage earlier = unanswered.put(call, request);
-        if (controller.setUp(setUp, this)) {
+        if (controller.submit(setUp, this)) {
             return;
         }
         if (earlier != null) {
             unanswered.put(call, earlier);
-        } else if (controller.takeOver(setUp, this)) {
+        } else if (controller.resubmit(setUp, this)) {
             return;   // sent once more after a failover: the answer comes here
         } else {
             unanswered.remove(call);
@@ -112,13 +112,13 @@
 
     /** An update goes to the server at which the session stands, and its answer comes back; or the client hears why. */
     private void update(String call, DiameterMessage request) {
-        if (!controller.stands(call)) {
+        if (!controller.isEstablished(call)) {
             session.send(answer(request, ResultCode.UNKNOWN_SESSION_ID, Duration.ZERO));
             return;
         }
         int id = request.endToEnd();
         updates.put(id, request);
-        if (controller.pass(call, forwarded(request).bytes())) {
+        if (controller.forwardToServer(call, forwarded(request).bytes())) {
             scheduler.after(serviceOf(request).patience(), () -> undelivered(id, request));
         } else {
             undelivered(id, request);
@@ -169,13 +169,13 @@
     }
 
     @Override
-    public void closed(PeerSession ended, ConnectionEnd end) {
+    public void closed(PeerSession ended, CloseReason end) {
         watchdog.stop();
         gone.accept(this);
         if (session != null) {
             unanswered.clear();
             updates.clear();
-            controller.callerClosed(this);
+            controller.clientDisconnected(this);
         }
     }
 
@@ -194,12 +194,12 @@
     }
 
     @Override
-    public void takenOver(String call) {
+    public void superseded(String call) {
         unanswered.remove(call);
     }
 
     @Override
-    public void passBack(String call, byte[] content) {
+    public void forwardReply(String call, byte[] content) {
         DiameterMessage answer = DiameterMessage.read(ByteBuffer.wrap(content));
         DiameterMessage request = updates.remove(answer.endToEnd());
         if (request != null) {
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public void refuse(String call, Duration comeBackAfter) {
+    public void reject(String call, Duration comeBackAfter) {
         session.send(answer(unanswered.remove(call), ResultCode.TOO_BUSY, comeBackAfter));
     }
 
@@ -224,7 +224,7 @@
     }
 
     @Override
-    public void release(String call, Ending how) {
+    public void release(String call, Outcome how) {
         List<Avp> avps = List.of(Avp.of(Avp.SESSION_ID, call), Avp.of(Avp.ORIGIN_HOST, local.host()),
                 Avp.of(Avp.ORIGIN_REALM, local.realm()), Avp.of(Avp.DESTINATION_REALM, session.realm()),
                 Avp.of(Avp.DESTINATION_HOST, session.peer()),
@@ -236,14 +236,14 @@
     }
 
     @Override
-    public String key() {
+    public String clientKey() {
         return session.peer();
     }
 
     @Override
-    public boolean reaches(CallerPort other) {
+    public boolean isSameClient(ClientPort other) {
         // Another client's connection is no way to this one.
-        return other != null && other.key().equals(session.peer());
+        return other != null && other.clientKey().equals(session.peer());
     }
 
     private DiameterMessage answer(DiameterMessage request, int result, Duration comeBackAfter) {
@@ -276,7 +276,7 @@
 
     @Override
     public void closeConnection() {
-        session.close(ConnectionEnd.WATCHDOG_LOST);
+        session.close(CloseReason.WATCHDOG_LOST);
     }
 
     @Override
--- a/daemon/src/main/java/pathlane/diameter/DiameterFront.java
+++ b/daemon/src/main/java/pathlane/diameter/DiameterFront.java
@@ -10,11 +10,11 @@
 import pathlane.core.CallController;
 import pathlane.core.CallReplication;
 import pathlane.core.Scheduler;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 
 /** The Diameter front of a call controller: its clients, its server peers, and the list that these make up. */
 public final class DiameterFront {
@@ -28,28 +28,28 @@
     private final List<ClientPeer> clients = new ArrayList<>();
 
     /** In no group. */
-    public DiameterFront(DiameterConfig config, long seed, Dialer dialer, Scheduler scheduler,
+    public DiameterFront(DiameterConfig config, long seed, Connector dialer, Scheduler scheduler,
             RandomGenerator random) {
         this(config, seed, dialer, scheduler, random, CallReplication.NONE);
     }
 
     /** {@code replication} keeps records of calls elsewhere. */
-    public DiameterFront(DiameterConfig config, long seed, Dialer dialer, Scheduler scheduler,
+    public DiameterFront(DiameterConfig config, long seed, Connector dialer, Scheduler scheduler,
             RandomGenerator random, CallReplication replication) {
         this.config = config;
         this.scheduler = scheduler;
         this.random = random;
         this.local = new LocalNode(config.host(), config.realm(), config.listen().getAddress().getAddress(),
-                config.callers(), new LimitedLog("diameter", scheduler));
+                config.callers(), new RateLimitedLog("diameter", scheduler));
         // Guards the rule of one attempt: a request that is given up may still run, and stays out.
-        this.controller = new CallController(config.settings().withoutCancelling(), seed, scheduler, line -> {
+        this.controller = new CallController(config.settings().withoutCancellation(), seed, scheduler, line -> {
             DiameterConfig.Peer peer = config.peer(line.id());
             ServerPeer port = new ServerPeer(peer, local, config.watchdog(), this::controller, dialer, scheduler,
                     random, available -> list(peer, available));
             servers.put(line.id(), port);
             return port;
         }, replication);
-        controller.listed(true, config.peers().stream().map(peer -> line(peer, false)).toList());
+        controller.updateServers(true, config.peers().stream().map(peer -> line(peer, false)).toList());
     }
 
     public CallController controller() {
@@ -71,11 +71,12 @@
 
     /** A peer that takes nothing new is listed like one that drains: what is out there goes on. */
     private void list(DiameterConfig.Peer peer, boolean available) {
-        controller.listed(false, List.of(line(peer, available)));
+        controller.updateServers(false, List.of(line(peer, available)));
     }
 
-    private static ServerLine line(DiameterConfig.Peer peer, boolean available) {
-        return new ServerLine(peer.id(), peer.address(), available ? Mode.RUNNING : Mode.DRAINING, peer.cell(), 1,
+    private static ServerEndpoint line(DiameterConfig.Peer peer, boolean available) {
+        return new ServerEndpoint(peer.id(), peer.address(), available ? ServerStatus.RUNNING : ServerStatus.DRAINING,
+                peer.cell(), 1,
                 Instant.EPOCH);
     }
 }
--- a/daemon/src/main/java/pathlane/diameter/LocalNode.java
+++ b/daemon/src/main/java/pathlane/diameter/LocalNode.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 import pathlane.config.file.CallerLimits;
-import pathlane.link.LimitedLog;
+import pathlane.transport.RateLimitedLog;
 
 /**
  * Who this node is to its peers, and what it allows them.
  *
  * @param log for what peers can bring about at will
  */
-record LocalNode(String host, String realm, byte[] address, CallerLimits limits, LimitedLog log) {
+record LocalNode(String host, String realm, byte[] address, CallerLimits limits, RateLimitedLog log) {
 
     private static final String PRODUCT = "pathlane";
 
--- a/daemon/src/main/java/pathlane/diameter/PeerSession.java
+++ b/daemon/src/main/java/pathlane/diameter/PeerSession.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import pathlane.config.file.CallerLimits;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.FrameDeadline;
-import pathlane.link.Protocol;
-import pathlane.link.RateLimit;
+import pathlane.transport.Connection;
+import pathlane.transport.FrameDeadline;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimiter;
 
 /**
  * One connection with a peer: capabilities exchange, the base protocol's own requests, and the ids that pair
@@ -38,7 +38,7 @@
         /** A sign of life; {@code watchdog} where it is the answer to a watchdog. */
         void messageReceived(boolean watchdog);
 
-        void closed(PeerSession session, ConnectionEnd end);
+        void closed(PeerSession session, CloseReason end);
     }
 
     enum State { CONNECTING, EXCHANGING, OPEN, CLOSING, CLOSED }
@@ -58,7 +58,7 @@
     private final Handler handler;
     private final DiameterFrames frames = new DiameterFrames();
     private final FrameDeadline unfinished;
-    private final RateLimit messages;
+    private final RateLimiter messages;
     private Connection connection;
     private State state = State.CONNECTING;
     private Scheduler.Timer exchange;
@@ -77,8 +77,8 @@
         this.nextHopByHop = random.nextInt();
         CallerLimits limits = local.limits();
         this.unfinished = new FrameDeadline(scheduler, limits.unfinished(),
-                () -> connection.close(ConnectionEnd.UNFINISHED));
-        this.messages = new RateLimit(limits.messages(), limits.messageEvery(), scheduler);
+                () -> connection.close(CloseReason.UNFINISHED));
+        this.messages = new RateLimiter(limits.messages(), limits.messageEvery(), scheduler);
         this.createdAt = scheduler.now();
     }
 
@@ -100,8 +100,8 @@
         state = State.EXCHANGING;
         // Guards the descriptors against clients that connect and say nothing.
         exchange = dialled
-                ? scheduler.after(EXCHANGE_TIMEOUT, () -> connection.close(ConnectionEnd.DIAL_TIMED_OUT))
-                : scheduler.after(local.limits().unused(), () -> connection.close(ConnectionEnd.IDLE));
+                ? scheduler.after(EXCHANGE_TIMEOUT, () -> connection.close(CloseReason.CONNECT_TIMED_OUT))
+                : scheduler.after(local.limits().unused(), () -> connection.close(CloseReason.IDLE));
         if (dialled) {
             send(base(DiameterMessage.CAPABILITIES_EXCHANGE, local.introduction()));
         }
@@ -116,12 +116,12 @@
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            unfinished.fed(frames.feed(bytes, this::frame), frames.begun());
+            unfinished.bytesReceived(frames.feed(bytes, this::frame), frames.begun());
         } catch (Fault e) {
             // The stream can't be followed any further; a message that is whole is answered in frame().
             local.log().warn("peer {0} closed for bad input: {1}", peer, e.getMessage());
             bytes.position(bytes.limit());
-            connection.close(ConnectionEnd.BAD_INPUT);
+            connection.close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -129,7 +129,7 @@
         if (state == State.CLOSED) {
             return;
         }
-        if (!dialled && !messages.take()) {
+        if (!dialled && !messages.tryAcquire()) {
             // Guards the usual clients' time; a peer that this node dials sends what it is asked for.
             throw new Fault(ResultCode.TOO_BUSY, null, "too many messages");
         }
@@ -150,7 +150,7 @@
             List<Avp> failed = e.failed() == null ? List.of() : List.of(Avp.of(Avp.FAILED_AVP, e.failed()));
             send(message.answer(e.resultCode(), local, failed));
             if (state == State.EXCHANGING) {
-                connection.close(ConnectionEnd.BAD_INPUT);
+                connection.close(CloseReason.PROTOCOL_ERROR);
             }
         }
     }
@@ -160,7 +160,7 @@
         if (state == State.EXCHANGING && (dialled || !exchanges)) {
             local.log().warn("peer {0} closed: command {1} before its capabilities", connection.remote(),
                     request.command());
-            connection.close(ConnectionEnd.BAD_INPUT);
+            connection.close(CloseReason.PROTOCOL_ERROR);
             return;
         }
         handler.messageReceived(false);
@@ -171,7 +171,7 @@
                 send(request.answer(ResultCode.SUCCESS, local, List.of()));
                 LOG.log(Level.INFO, "peer {0} asked to part", peer);
                 state = State.CLOSING;
-                connection.close(ConnectionEnd.DISCONNECTED);
+                connection.close(CloseReason.DISCONNECTED);
             }
             case DiameterMessage.CREDIT_CONTROL, DiameterMessage.ABORT_SESSION -> {
                 if (request.application() != DiameterMessage.CREDIT_CONTROL_APPLICATION) {
@@ -191,7 +191,7 @@
         send(request.answer(result, local, local.introduction()));
         if (result != ResultCode.SUCCESS) {
             local.log().warn("peer {0} turned away with result {1}", host, Integer.toString(result));
-            connection.close(ConnectionEnd.BAD_INPUT);
+            connection.close(CloseReason.PROTOCOL_ERROR);
         } else if (state == State.EXCHANGING) {
             open(host);
         }
@@ -214,7 +214,7 @@
     private void answer(DiameterMessage answer) {
         if (state == State.EXCHANGING) {
             if (answer.command() != DiameterMessage.CAPABILITIES_EXCHANGE || !dialled) {
-                connection.close(ConnectionEnd.BAD_INPUT);
+                connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
             int result = answer.require(Avp.RESULT_CODE).number();
@@ -225,7 +225,7 @@
                 open(host);
             } else {
                 local.log().warn("peer {0} did not agree: result {1}", host, Integer.toString(result));
-                connection.close(ConnectionEnd.BAD_INPUT);
+                connection.close(CloseReason.PROTOCOL_ERROR);
             }
             return;
         }
@@ -233,7 +233,7 @@
         if (answer.command() == DiameterMessage.CREDIT_CONTROL) {
             handler.answer(this, answer);
         } else if (answer.command() == DiameterMessage.DISCONNECT_PEER) {
-            connection.close(ConnectionEnd.DISCONNECTED);
+            connection.close(CloseReason.DISCONNECTED);
         }
     }
 
@@ -262,7 +262,7 @@
         }
     }
 
-    void close(ConnectionEnd why) {
+    void close(CloseReason why) {
         if (connection != null) {
             connection.close(why);
         }
@@ -283,7 +283,7 @@
     }
 
     @Override
-    public void closed(ConnectionEnd end) {
+    public void closed(CloseReason end) {
         state = State.CLOSED;
         unfinished.stop();
         if (exchange != null) {
--- a/daemon/src/main/java/pathlane/diameter/ResultCode.java
+++ b/daemon/src/main/java/pathlane/diameter/ResultCode.java
@@ -1,6 +1,6 @@
 package pathlane.diameter;
 
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
 /** Result codes and the one table that maps them to the module's outcomes. */
 final class ResultCode {
@@ -33,10 +33,10 @@
     }
 
     /** What an answer without success means for its attempt. */
-    static Ending ending(int code) {
+    static Outcome ending(int code) {
         return switch (code) {
-            case TOO_BUSY -> Ending.REJECTED;
-            default -> Ending.ERROR;
+            case TOO_BUSY -> Outcome.REJECTED;
+            default -> Outcome.ERROR;
         };
     }
 
--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -18,12 +18,12 @@
 import java.util.random.RandomGenerator;
 import pathlane.config.file.DiameterConfig;
 import pathlane.core.CallController;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CallRequest;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.core.ServerPort;
-import pathlane.core.SetUp;
-import pathlane.decision.Gateway.Ending;
-import pathlane.link.Dialer;
+import pathlane.decision.Outcome;
+import pathlane.transport.Connector;
 
 /**
  * A Diameter peer at which calls are set up: this node dials it and watches it.
@@ -49,7 +49,7 @@
     private final DiameterConfig.Peer config;
     private final LocalNode local;
     private final Supplier<CallController> controller;
-    private final Dialer dialer;
+    private final Connector dialer;
     private final Scheduler scheduler;
     private final RandomGenerator random;
     private final Consumer<Boolean> availability;
@@ -66,7 +66,7 @@
     private PeerSession session;
 
     ServerPeer(DiameterConfig.Peer config, LocalNode local, Duration interval, Supplier<CallController> controller,
-            Dialer dialer, Scheduler scheduler, RandomGenerator random, Consumer<Boolean> availability) {
+            Connector dialer, Scheduler scheduler, RandomGenerator random, Consumer<Boolean> availability) {
         this.config = config;
         this.local = local;
         this.controller = controller;
@@ -82,20 +82,20 @@
     // ---- from the core
 
     @Override
-    public void setUp(SetUp setUp, Duration patience, boolean mayHaveRun) {
+    public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
         String call = setUp.id();
         if (session == null || !session.isOpen() || watchdog.state() != Watchdog.State.OKAY) {
-            controller.get().released(config.id(), call, Ending.UNREACHABLE, Duration.ZERO);
+            controller.get().serverReleased(config.id(), call, Outcome.UNREACHABLE, Duration.ZERO);
             return;
         }
-        DiameterMessage request = DiameterMessage.read(ByteBuffer.wrap(setUp.description()));
+        DiameterMessage request = DiameterMessage.read(ByteBuffer.wrap(setUp.payload()));
         int retransmitted = mayHaveRun ? DiameterMessage.RETRANSMITTED : 0;
         asked.put(call, request);
         out.put(sendOn(request, request.flags() | retransmitted), call);
     }
 
     @Override
-    public void giveUp(String call) {
+    public void cancel(String call) {
         // Diameter has no way to take a request back: its late answer is known by its id, and a session that
         // it opened is ended. Until then what was asked is kept.
         out.forEach((id, one) -> {
@@ -109,14 +109,14 @@
     private void forget(int id, String call) {
         if (givenUp.remove(id)) {
             out.remove(id);
-            if (!controller.get().stands(call) && !out.containsValue(call)) {
-                release(call, Ending.CANCELLED, new byte[0]);
+            if (!controller.get().isEstablished(call) && !out.containsValue(call)) {
+                release(call, Outcome.CANCELLED, new byte[0]);
             }
         }
     }
 
     @Override
-    public boolean pass(String call, byte[] content) {
+    public boolean forward(String call, byte[] content) {
         boolean open = session != null && session.isOpen();
         if (open) {
             int id = sendOn(DiameterMessage.read(ByteBuffer.wrap(content)));
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void release(String call, Ending how, byte[] content) {
+    public void release(String call, Outcome how, byte[] content) {
         DiameterMessage begun = asked.remove(call);
         DiameterMessage end = content.length > 0 ? DiameterMessage.read(ByteBuffer.wrap(content))
                 : begun == null ? null : termination(begun);
@@ -142,16 +142,16 @@
     }
 
     @Override
-    public Optional<byte[]> waiting(String call) {
-        return Optional.ofNullable(waitingEnds.get(call)).map(ServerPeer::ending);
+    public Optional<byte[]> pendingRelease(String call) {
+        return Optional.ofNullable(waitingEnds.get(call)).map(ServerPeer::releaseToken);
     }
 
     @Override
-    public byte[] ending(SetUp setUp) {
-        return ending(DiameterMessage.read(ByteBuffer.wrap(setUp.description())));
+    public byte[] releaseToken(CallRequest setUp) {
+        return releaseToken(DiameterMessage.read(ByteBuffer.wrap(setUp.payload())));
     }
 
-    private static byte[] ending(DiameterMessage request) {
+    private static byte[] releaseToken(DiameterMessage request) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int code : ENDING) {
             out.writeBytes(request.require(code).bytes());
@@ -161,7 +161,7 @@
 
     /** The request that began the session, as far as it is needed to end it, in the place of the one that another sent. */
     @Override
-    public void adopted(String call, byte[] ending) {
+    public void adopt(String call, byte[] ending) {
         List<Avp> avps = new ArrayList<>(List.of(Avp.of(Avp.SESSION_ID, call),
                 Avp.of(Avp.AUTH_APPLICATION_ID, DiameterMessage.CREDIT_CONTROL_APPLICATION)));
         for (ByteBuffer left = ByteBuffer.wrap(ending); left.hasRemaining();) {
@@ -207,7 +207,7 @@
     public void close() {
         watchdog.stop();
         if (session != null) {
-            session.close(ConnectionEnd.DELISTED);
+            session.close(CloseReason.DELISTED);
         }
     }
 
@@ -231,7 +231,7 @@
         List<String> left = List.copyOf(waitingEnds.keySet());
         waitingEnds.values().forEach(this::sendOn);
         waitingEnds.clear();
-        left.forEach(call -> controller.get().releaseLeft(call));
+        left.forEach(call -> controller.get().releaseSent(call));
         watchdog.connectionUp();
     }
 
@@ -244,7 +244,7 @@
         boolean known = asked.remove(call) != null;
         from.send(request.answer(known ? ResultCode.SUCCESS : ResultCode.UNKNOWN_SESSION_ID, local, List.of()));
         if (known) {
-            controller.get().released(config.id(), call, Ending.RESET, Duration.ZERO);
+            controller.get().serverReleased(config.id(), call, Outcome.RESET, Duration.ZERO);
         }
     }
 
@@ -255,14 +255,14 @@
         if (call == null) {
             String update = passed.remove(answer.hopByHop());
             if (update != null) {
-                controller.get().passedBack(config.id(), update, answer.bytes());
+                controller.get().forwardToClient(config.id(), update, answer.bytes());
             }
             return;   // else the answer to the end of a session, or to nothing
         }
         int result = answer.find(Avp.RESULT_CODE) == null ? ResultCode.UNABLE_TO_COMPLY
                 : answer.find(Avp.RESULT_CODE).number();
         if (ResultCode.stands(result)) {
-            controller.get().answered(config.id(), call, answer.bytes());
+            controller.get().serverAnswered(config.id(), call, answer.bytes());
             return;
         }
         if (late && out.containsValue(call)) {
@@ -270,7 +270,7 @@
         }
         asked.remove(call);
         Avp comeBack = answer.find(Avp.VALIDITY_TIME);
-        controller.get().released(config.id(), call, ResultCode.ending(result),
+        controller.get().serverReleased(config.id(), call, ResultCode.ending(result),
                 comeBack == null ? Duration.ZERO : Duration.ofSeconds(comeBack.number() & 0xffffffffL));
     }
 
@@ -280,7 +280,7 @@
     }
 
     @Override
-    public void closed(PeerSession ended, ConnectionEnd end) {
+    public void closed(PeerSession ended, CloseReason end) {
         if (session != ended) {
             return;
         }
@@ -298,7 +298,7 @@
             if (begun != null && waitingEnds.size() < MOST_WAITING) {
                 waitingEnds.put(call, termination(begun));
             }
-            controller.get().released(config.id(), call, end.outcome(), Duration.ZERO);
+            controller.get().serverReleased(config.id(), call, end.outcome(), Duration.ZERO);
         }
     }
 
@@ -327,7 +327,7 @@
     @Override
     public void closeConnection() {
         if (session != null) {
-            session.close(ConnectionEnd.WATCHDOG_LOST);
+            session.close(CloseReason.WATCHDOG_LOST);
         }
     }
 
@@ -335,7 +335,7 @@
     public void attemptOpen() {
         if (session == null) {
             session = new PeerSession(true, local, scheduler, random, this);
-            dialer.dial(config.address(), DIAL_TIMEOUT, session);
+            dialer.connect(config.address(), DIAL_TIMEOUT, session);
         }
     }
 }
--- a/daemon/src/main/java/pathlane/directory/DirectoryNode.java
+++ b/daemon/src/main/java/pathlane/directory/DirectoryNode.java
@@ -7,16 +7,16 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import pathlane.core.CallController;
+import pathlane.core.CallRequest;
 import pathlane.core.Scheduler;
-import pathlane.core.SetUp;
 import pathlane.discovery.OnDemandWatches;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.WatchClient;
 import pathlane.group.Keys;
 import pathlane.group.SealedLink;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
 import pathlane.platform.ServerDiscovery;
+import pathlane.transport.Connector;
+import pathlane.transport.RateLimitedLog;
 
 /** This controller as a subscriber: its watch of the services that its calls need. On the loop's thread. */
 public final class DirectoryNode implements ServerDiscovery {
@@ -25,7 +25,7 @@
     private static final int NONCE_BYTES = 16;
 
     private final DiscoveryFile file;
-    private final Dialer dialer;
+    private final Connector dialer;
     private final Scheduler scheduler;
     private final SecureRandom random = new SecureRandom();
     private final OnDemandWatches watches;
@@ -39,7 +39,7 @@
      *
      * @throws IllegalArgumentException with a sentence where the keys can't be used
      */
-    public DirectoryNode(DiscoveryFile file, Dialer dialer, Scheduler scheduler) {
+    public DirectoryNode(DiscoveryFile file, Connector dialer, Scheduler scheduler) {
         this.file = file;
         this.dialer = dialer;
         this.scheduler = scheduler;
@@ -52,7 +52,7 @@
         controller = started;
         feed = new ServerListFeed(controller, watches);
         SealedLink.Common common = new SealedLink.Common(file.watch().name(), () -> keys, this::nonce, scheduler,
-                new LimitedLog("discovery", scheduler));
+                new RateLimitedLog("discovery", scheduler));
         client = new WatchClient(file.watch(), dialer, common, scheduler, random, feed);
         client.start();
     }
@@ -84,17 +84,17 @@
     }
 
     @Override
-    public Optional<String> serviceOf(SetUp setUp) {
-        return file.serviceOf(setUp.firstChoice());
+    public Optional<String> serviceOf(CallRequest setUp) {
+        return file.serviceOf(setUp.preferredPool());
     }
 
     @Override
-    public boolean use(String service) {
+    public boolean requireService(String service) {
         return watches.use(service);
     }
 
     @Override
-    public void await(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
+    public void awaitService(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
         watches.await(service, atMost, known, unknown);
     }
 
@@ -107,7 +107,7 @@
 
         @Override
         public boolean unwatch(String service) {
-            if (!controller.forget(service)) {
+            if (!controller.forgetService(service)) {
                 return false;   // calls of it are open or stand
             }
             feed.forget(service);
--- a/daemon/src/main/java/pathlane/directory/ServerListFeed.java
+++ b/daemon/src/main/java/pathlane/directory/ServerListFeed.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import pathlane.core.CallController;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.OnDemandWatches;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.Revision;
@@ -22,7 +22,7 @@
  */
 final class ServerListFeed implements WatchListener {
 
-    private static final Comparator<ServerLine> BY_ID = Comparator.comparingLong(ServerLine::id);
+    private static final Comparator<ServerEndpoint> BY_ID = Comparator.comparingLong(ServerEndpoint::id);
 
     private final CallController controller;
     private final OnDemandWatches watches;
@@ -39,20 +39,22 @@
         String service = state.service();
         ServiceState before = listed.put(service, state);
         if (before != null && change instanceof ServiceChange.Delta delta && delta.from().equals(before.revision())) {
-            controller.listed(service, false, changedLines(before, delta));
+            controller.updateServers(service, false, changedLines(before, delta));
         } else {
-            controller.listed(service, true, state.endpoints());
+            controller.updateServers(service, true, state.endpoints());
         }
         watches.known(service);
     }
 
-    private static List<ServerLine> changedLines(ServiceState before, ServiceChange.Delta delta) {
-        List<ServerLine> lines = new ArrayList<>();
+    private static List<ServerEndpoint> changedLines(ServiceState before, ServiceChange.Delta delta) {
+        List<ServerEndpoint> lines = new ArrayList<>();
         for (long id : delta.removed()) {
-            int place = Collections.binarySearch(before.endpoints(), new ServerLine(id, null, Mode.GONE, 0, 0, null), BY_ID);
+            int place = Collections.binarySearch(before.endpoints(),
+                    new ServerEndpoint(id, null, ServerStatus.GONE, 0, 0, null), BY_ID);
             if (place >= 0) {
-                ServerLine line = before.endpoints().get(place);
-                lines.add(new ServerLine(id, line.address(), Mode.GONE, line.cell(), line.weight(), line.startedAt()));
+                ServerEndpoint line = before.endpoints().get(place);
+                lines.add(new ServerEndpoint(id, line.address(), ServerStatus.GONE, line.pool(), line.weight(),
+                        line.startedAt()));
             }
         }
         lines.addAll(delta.upserted());
@@ -62,7 +64,7 @@
     @Override
     public void absent(String service, Revision revision) {
         listed.remove(service);
-        controller.listed(service, true, List.of());
+        controller.updateServers(service, true, List.of());
         watches.known(service);
     }
 
--- a/daemon/src/main/java/pathlane/metrics/CollectdReporter.java
+++ b/daemon/src/main/java/pathlane/metrics/CollectdReporter.java
@@ -7,7 +7,7 @@
 import pathlane.config.file.CollectdConfig;
 import pathlane.core.Counters;
 import pathlane.core.Scheduler;
-import pathlane.link.Datagrams;
+import pathlane.transport.Datagrams;
 
 /**
  * Tells the counters to collectd's network plugin in its binary protocol: every interval one value of type
@@ -73,7 +73,7 @@
     }
 
     private byte[] value(Counters.Name name) {
-        byte[] instance = text(TYPE_INSTANCE, name.name().toLowerCase(Locale.ROOT));
+        byte[] instance = text(TYPE_INSTANCE, name.exportedName());
         int length = PART_HEAD + Short.BYTES + 1 + Long.BYTES;
         return ByteBuffer.allocate(instance.length + length).put(instance).putShort((short) VALUES)
                 .putShort((short) length).putShort((short) 1).put((byte) DERIVE).putLong(counters.value(name)).array();
--- a/daemon/src/main/java/pathlane/metrics/GraphiteReporter.java
+++ b/daemon/src/main/java/pathlane/metrics/GraphiteReporter.java
@@ -7,12 +7,12 @@
 import java.time.Duration;
 import java.util.Locale;
 import pathlane.config.file.GraphiteConfig;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Counters;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /**
  * Tells the counters to Graphite in its plaintext protocol: every interval a line {@code prefix.name value time}
@@ -25,11 +25,11 @@
 
     private final GraphiteConfig config;
     private final Counters counters;
-    private final Dialer dialer;
+    private final Connector dialer;
     private final Scheduler scheduler;
     private Session session;
 
-    public GraphiteReporter(GraphiteConfig config, Counters counters, Dialer dialer, Scheduler scheduler) {
+    public GraphiteReporter(GraphiteConfig config, Counters counters, Connector dialer, Scheduler scheduler) {
         this.config = config;
         this.counters = counters;
         this.dialer = dialer;
@@ -40,7 +40,7 @@
     public void start() {
         if (session == null) {
             session = new Session();
-            dialer.dial(config.address(), DIAL_TIMEOUT, session);
+            dialer.connect(config.address(), DIAL_TIMEOUT, session);
         } else if (session.connection != null) {
             session.connection.write(lines().getBytes(StandardCharsets.UTF_8));
         }
@@ -50,7 +50,7 @@
     private String lines() {
         StringBuilder lines = new StringBuilder();
         for (Counters.Name name : Counters.Name.values()) {
-            lines.append(config.prefix()).append('.').append(name.name().toLowerCase(Locale.ROOT)).append(' ')
+            lines.append(config.prefix()).append('.').append(name.exportedName()).append(' ')
                     .append(counters.value(name)).append(' ').append(scheduler.now().getEpochSecond()).append('\n');
         }
         return lines.toString();
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             session = null;
             if (connection != null) {
                 LOG.log(Level.WARNING, "graphite is down: {0}; dialled again at the next interval", end);
--- a/daemon/src/main/java/pathlane/platform/CallerSession.java
+++ b/daemon/src/main/java/pathlane/platform/CallerSession.java
@@ -6,16 +6,16 @@
 import java.util.function.BooleanSupplier;
 import pathlane.config.file.CallerLimits;
 import pathlane.core.CallController;
-import pathlane.core.CallerPort;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CallRequest;
+import pathlane.core.ClientPort;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.core.SetUp;
-import pathlane.decision.Gateway.Ending;
-import pathlane.link.Connection;
-import pathlane.link.FrameDeadline;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
-import pathlane.link.RateLimit;
+import pathlane.decision.Outcome;
+import pathlane.transport.Connection;
+import pathlane.transport.FrameDeadline;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
+import pathlane.transport.RateLimiter;
 import pathlane.wire.BadInput;
 import pathlane.wire.Cause;
 import pathlane.wire.FrameAssembler;
@@ -25,7 +25,7 @@
  * One connection from callers: many calls share it, each named by its id. It is closed where it breaks the protocol,
  * asks too often for what can't be, leaves a message unfinished, or is of no use to anybody ({@link CallerLimits}).
  */
-public final class CallerSession implements Protocol, CallerPort {
+public final class CallerSession implements Protocol, ClientPort {
 
     private static final byte[] NOTHING = {};
     /** Longer than any connection without a call that stands stays idle. */
@@ -34,11 +34,11 @@
     private final CallController controller;
     private final CallerLimits limits;
     private final Scheduler scheduler;
-    private final LimitedLog log;
+    private final RateLimitedLog log;
     private final BooleanSupplier ready;
     private final FrameAssembler assembler = Message.assembler();
     private final FrameDeadline unfinished;
-    private final RateLimit messages;
+    private final RateLimiter messages;
     private final UnknownReleases unknownReleases;
     private Connection connection;
     private Scheduler.Timer idle;
@@ -47,7 +47,7 @@
     private int faults;
 
     /** {@code ready} is asked at each test. */
-    public CallerSession(CallController controller, CallerLimits limits, Scheduler scheduler, LimitedLog log,
+    public CallerSession(CallController controller, CallerLimits limits, Scheduler scheduler, RateLimitedLog log,
             BooleanSupplier ready) {
         this.controller = controller;
         this.limits = limits;
@@ -55,8 +55,8 @@
         this.log = log;
         this.ready = ready;
         this.unfinished = new FrameDeadline(scheduler, limits.unfinished(),
-                () -> connection.close(ConnectionEnd.UNFINISHED));
-        this.messages = new RateLimit(limits.messages(), limits.messageEvery(), scheduler);
+                () -> connection.close(CloseReason.UNFINISHED));
+        this.messages = new RateLimiter(limits.messages(), limits.messageEvery(), scheduler);
         this.unknownReleases = new UnknownReleases(limits.unknownReleases(), limits.unknownReleaseEvery(), scheduler,
                 this::releaseUnknown);
         this.used = scheduler.now();
@@ -65,7 +65,7 @@
     @Override
     public void opened(Connection up) {
         connection = up;
-        controller.callerOpened(this);
+        controller.clientConnected(this);
         idle = scheduler.after(limits.unused(), this::closeIfIdle);
     }
 
@@ -74,44 +74,45 @@
      * good. A call that stands keeps its connection: its end is told there.
      */
     private void closeIfIdle() {
-        Duration most = controller.served(this) ? limits.idle() : limits.unused();
+        Duration most = controller.hasServed(this) ? limits.idle() : limits.unused();
         Duration left = Duration.between(scheduler.now(), used.plus(most));
-        if (controller.openOn(this) > 0 || controller.standingOn(this) > 0) {
+        if (controller.openCallsOn(this) > 0 || controller.establishedCallsOn(this) > 0) {
             idle = scheduler.after(most, this::closeIfIdle);
         } else if (left.compareTo(Duration.ZERO) > 0) {
             idle = scheduler.after(left, this::closeIfIdle);
         } else {
-            connection.close(ConnectionEnd.IDLE);
+            connection.close(CloseReason.IDLE);
         }
     }
 
     /** A connection whose calls stand gives way last: their ends are told there. */
     @Override
     public Instant idleSince() {
-        return controller.openOn(this) > 0 ? null : controller.standingOn(this) > 0 ? used.plus(GIVES_WAY_LAST) : used;
+        return controller.openCallsOn(this) > 0 ? null
+                : controller.establishedCallsOn(this) > 0 ? used.plus(GIVES_WAY_LAST) : used;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            unfinished.fed(assembler.feed(bytes, frame -> message(Message.read(frame))), assembler.begun());
+            unfinished.bytesReceived(assembler.feed(bytes, frame -> message(Message.read(frame))), assembler.begun());
         } catch (BadInput e) {
             log.warn("caller {0} closed for bad input: {1}", connection.remote(), e.getMessage());
             bytes.position(bytes.limit());
-            connection.close(ConnectionEnd.BAD_INPUT);
+            connection.close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
     private void message(Message message) {
         used = scheduler.now();
-        if (!messages.take()) {
+        if (!messages.tryAcquire()) {
             // Guards the usual callers' time: whoever sends at full speed would have most of it.
             throw new BadInput("too many messages");
         }
         switch (message.type) {
             case Message.SET_UP -> setUp(message);
             case Message.RELEASE -> {
-                if (!controller.callerReleased(message.id(), NOTHING, this)) {
+                if (!controller.clientReleased(message.id(), NOTHING, this)) {
                     unknownReleases.add(message.id());
                 }
             }
@@ -124,20 +125,20 @@
 
     /** Its call may have become known while the release waited. */
     private void releaseUnknown(String call) {
-        if (!controller.callerReleased(call, NOTHING, this)) {
-            controller.releaseEverywhere(call);
+        if (!controller.clientReleased(call, NOTHING, this)) {
+            controller.releaseUnknown(call);
         }
     }
 
     private void setUp(Message message) {
-        SetUp asked;
+        CallRequest asked;
         try {
             asked = SetUpReader.read(message, controller.settings());
         } catch (SetUpReader.Unusable e) {
             fault(message, e.getMessage());
             return;
         }
-        if (!controller.setUp(asked, this)) {
+        if (!controller.submit(asked, this)) {
             fault(message, "the id of a call that is open or stands");
         }
     }
@@ -153,12 +154,12 @@
     }
 
     @Override
-    public void closed(ConnectionEnd end) {
+    public void closed(CloseReason end) {
         if (connection != null) {
             unfinished.stop();
             idle.cancel();
-            controller.callerClosed(this);
-            connection.unsent().forEach(this::undelivered);
+            controller.clientDisconnected(this);
+            connection.unsentMessages().forEach(this::undelivered);
         }
     }
 
@@ -170,9 +171,9 @@
         Message message = Message.read(ByteBuffer.wrap(written, Message.LENGTH_BYTES,
                 written.length - Message.LENGTH_BYTES));
         if (message.type == Message.ANSWER) {
-            controller.callerReleased(message.id(), NOTHING, this);
+            controller.clientReleased(message.id(), NOTHING, this);
         } else if (message.type == Message.RELEASE && Cause.endsStanding(message.cause())) {
-            controller.owedToCaller(message.id(), this, Cause.ending(message.cause(), ""));
+            controller.deliverRelease(message.id(), this, Cause.ending(message.cause(), ""));
         }
     }
 
@@ -184,7 +185,7 @@
     }
 
     @Override
-    public void refuse(String call, Duration comeBackAfter) {
+    public void reject(String call, Duration comeBackAfter) {
         Message refusal = new Message(Message.RELEASE, call).withCause(Cause.TURNED_AWAY);
         if (comeBackAfter.toMillis() > 0) {
             refusal.with(Message.COME_BACK, Long.toString(comeBackAfter.toMillis()));
@@ -198,7 +199,7 @@
     }
 
     @Override
-    public void release(String call, Ending how) {
+    public void release(String call, Outcome how) {
         write(new Message(Message.RELEASE, call).withCause(Cause.ofRelease(how)));
     }
 
--- a/daemon/src/main/java/pathlane/platform/ConnectionPool.java
+++ b/daemon/src/main/java/pathlane/platform/ConnectionPool.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 
 /**
@@ -60,7 +60,7 @@
 
     /** Dials the server at its listing where there are descriptors for it, and visits it later where there are not. */
     void dialAtListing() {
-        if (context.connections().isUnder(DIAL_AHEAD_PART)) {
+        if (context.connections().isBelowShare(DIAL_AHEAD_PART)) {
             dialOne();
         } else if (context.now().isBefore(context.startedAt().plus(START_UP))) {
             redialTimer = context.scheduler().after(randomUpTo(FIRST_VISIT), this::visit);
@@ -102,9 +102,9 @@
 
     private void dialOne() {
         ServerSession session = newSession.get();
-        if (context.connections().admit(session, session::end)) {
+        if (context.connections().tryAdmit(session, session::end)) {
             sessions.add(session);
-            context.dialer().dial(address, context.settings().dialTimeout(), session);
+            context.dialer().connect(address, context.settings().connectTimeout(), session);
         } else {
             context.scheduler().after(Duration.ZERO, noDescriptor);
         }
@@ -112,7 +112,7 @@
 
     /** Dials one more where a set-up goes to a connection that is busy: the next set-up finds it. */
     void growBeside(ServerSession chosen) {
-        if (!chosen.isBusy() || !hasRoom() || !context.connections().isUnder(DIAL_MORE_PART) || !mayDialMore()) {
+        if (!chosen.isBusy() || !hasRoom() || !context.connections().isBelowShare(DIAL_MORE_PART) || !mayDialMore()) {
             return;
         }
         noMoreBefore = context.now().plus(REDIAL_FIRST);
@@ -202,7 +202,7 @@
     /** A connection has ended, or could not be dialled. */
     void remove(ServerSession session) {
         sessions.remove(session);
-        context.connections().ended(session);
+        context.connections().closed(session);
     }
 
     /**
@@ -211,8 +211,8 @@
      *
      * @param isNeeded whether calls stand at the server, or releases wait for it
      */
-    void redialAfter(ConnectionEnd end, boolean isNeeded) {
-        boolean gaveWay = end == ConnectionEnd.GAVE_WAY;
+    void redialAfter(CloseReason end, boolean isNeeded) {
+        boolean gaveWay = end == CloseReason.EVICTED;
         boolean olderCallsMayStand = gaveWay && context.now().isBefore(context.startedAt().plus(OLDER_CALLS));
         if (closed || !isNeeded && !olderCallsMayStand) {
             return;
--- a/daemon/src/main/java/pathlane/platform/KnownEvents.java
+++ b/daemon/src/main/java/pathlane/platform/KnownEvents.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import pathlane.bus.ServerList;
 import pathlane.config.file.NodeConfig;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
-import pathlane.link.Addresses;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
+import pathlane.transport.Addresses;
 
 /** The events of the bus that the configuration holds, as JSON. */
 final class KnownEvents {
@@ -22,7 +22,7 @@
         try {
             for (JsonElement element : config.knownEvents()) {
                 JsonObject topology = element.getAsJsonObject().getAsJsonObject("topology");
-                List<ServerLine> lines = new ArrayList<>();
+                List<ServerEndpoint> lines = new ArrayList<>();
                 for (JsonElement host : topology.getAsJsonArray("hosts")) {
                     lines.add(line(host.getAsJsonObject()));
                 }
@@ -35,14 +35,14 @@
         }
     }
 
-    private static ServerLine line(JsonObject host) {
-        Mode mode = switch (host.get("health").getAsString()) {
-            case "SERVING" -> Mode.RUNNING;
-            case "DRAINING" -> Mode.DRAINING;
-            case "DELETED" -> Mode.GONE;
+    private static ServerEndpoint line(JsonObject host) {
+        ServerStatus mode = switch (host.get("health").getAsString()) {
+            case "SERVING" -> ServerStatus.RUNNING;
+            case "DRAINING" -> ServerStatus.DRAINING;
+            case "DELETED" -> ServerStatus.GONE;
             default -> throw new IllegalArgumentException("health " + host.get("health"));
         };
-        return new ServerLine(Long.parseLong(host.get("host").getAsString().substring(2), 16),
+        return new ServerEndpoint(Long.parseLong(host.get("host").getAsString().substring(2), 16),
                 Addresses.parse(host.get("dial").getAsString()), mode, host.get("block").getAsInt(),
                 host.has("share") ? host.get("share").getAsDouble() : 1,
                 Instant.ofEpochMilli(host.has("born_ms") ? host.get("born_ms").getAsLong() : 0));
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -16,10 +16,10 @@
 import pathlane.core.CallReplication;
 import pathlane.core.Scheduler;
 import pathlane.core.ServiceDirectory;
-import pathlane.link.Admission;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
+import pathlane.transport.ConnectionLimiter;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 
 /** The platform's front of a call controller: callers, session servers and the event bus. */
 public final class PlatformFront {
@@ -32,7 +32,7 @@
     private final Optional<ServerDiscovery> discovery;
     private final CallerLimits limits;
     private final Scheduler scheduler;
-    private final LimitedLog callerLog;
+    private final RateLimitedLog callerLog;
     private final Supplier<Optional<NodeConfig>> changed;
 
     /**
@@ -42,19 +42,19 @@
      *                IllegalArgumentException with a sentence where what it has changed to can't be used. Asked on the
      *                loop, once a second at the most, while the event bus can't be reached
      */
-    public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
+    public PlatformFront(NodeConfig config, Connector dialer, Scheduler scheduler, BooleanSupplier ready,
             Supplier<Optional<NodeConfig>> changed) {
         this(config, dialer, scheduler, ready, changed, CallReplication.NONE);
     }
 
     /** The same with what keeps calls elsewhere. */
-    public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
+    public PlatformFront(NodeConfig config, Connector dialer, Scheduler scheduler, BooleanSupplier ready,
             Supplier<Optional<NodeConfig>> changed, CallReplication replication) {
         this(config, dialer, scheduler, ready, changed, replication, Optional.empty());
     }
 
     /** The same with discovery, where there is any, in place of the event bus and of the events in the configuration. */
-    public PlatformFront(NodeConfig config, Dialer dialer, Scheduler scheduler, BooleanSupplier ready,
+    public PlatformFront(NodeConfig config, Connector dialer, Scheduler scheduler, BooleanSupplier ready,
             Supplier<Optional<NodeConfig>> changed, CallReplication replication,
             Optional<ServerDiscovery> discovery) {
         this.discovery = discovery;
@@ -62,10 +62,10 @@
         this.changed = changed;
         this.limits = config.callers();
         this.scheduler = scheduler;
-        this.callerLog = new LimitedLog("callers", scheduler);
+        this.callerLog = new RateLimitedLog("callers", scheduler);
         SplittableRandom random = new SplittableRandom(config.seed());
         Instant startedAt = scheduler.now();
-        Admission servers = new Admission(config.descriptors().servers());
+        ConnectionLimiter servers = new ConnectionLimiter(config.descriptors().servers());
         ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.USUAL, this::controller,
                 this::isListCurrent, dialer, scheduler, servers,
                 new ReportPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
@@ -73,10 +73,10 @@
                 line -> new ServerLink(line, context), replication,
                 discovery.<ServiceDirectory>map(one -> one).orElse(ServiceDirectory.ONE));
         if (discovery.isEmpty()) {
-            KnownEvents.read(config).forEach(event -> controller.listed(event.whole(), event.lines()));
+            KnownEvents.read(config).forEach(event -> controller.updateServers(event.whole(), event.lines()));
         }
         feed = new BusFeed(config.knownOffset(), dialer, scheduler, random.split(),
-                event -> controller.listed(event.whole(), event.lines()), this::busUnreachable);
+                event -> controller.updateServers(event.whole(), event.lines()), this::busUnreachable);
         if (config.bus() != null && discovery.isEmpty()) {
             feed.follow(config.bus());
         } else {
--- a/daemon/src/main/java/pathlane/platform/Reachability.java
+++ b/daemon/src/main/java/pathlane/platform/Reachability.java
@@ -2,7 +2,7 @@
 
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 
 /**
@@ -38,8 +38,8 @@
     }
 
     /** A connection that was up has ended; {@code isLast} where no other is up. */
-    void lost(ConnectionEnd end, boolean isLast) {
-        leftByServer = end == ConnectionEnd.RESET || end == ConnectionEnd.CLOSED_BY_PEER;
+    void lost(CloseReason end, boolean isLast) {
+        leftByServer = end == CloseReason.RESET || end == CloseReason.CLOSED_BY_PEER;
         if (isLast && unreachable == null) {
             unreachable = context.scheduler().after(context.limits().unreached(), this::unreachable);
         }
@@ -52,10 +52,10 @@
      */
     private void unreachable() {
         unreachable = null;
-        if (context.controller().get().standsAt(server)) {
+        if (context.controller().get().hasEstablishedCallsAt(server)) {
             LOG.log(Level.WARNING, "server {0} could not be reached for {1} ms: its calls count as cut", name,
                     Long.toString(context.limits().unreached().toMillis()));
-            context.controller().get().serverDied(server, false);
+            context.controller().get().serverLost(server, false);
         }
     }
 
@@ -63,13 +63,13 @@
      * The last connection that was up or dialled has ended. Guards against calls that stood at a process that stopped or
      * died: nobody is left to release them, and the list may say so too late.
      */
-    void allEnded(ConnectionEnd end, boolean draining) {
-        if (end == ConnectionEnd.DIAL_TIMED_OUT) {
+    void allEnded(CloseReason end, boolean draining) {
+        if (end == CloseReason.CONNECT_TIMED_OUT) {
             failedDials++;
         }
         boolean isCertain = end.provesProcessGone() && (!draining || leftByServer);
         if (isCertain || failedDials >= MOST_FAILED_DIALS) {
-            context.controller().get().serverDied(server, isCertain);
+            context.controller().get().serverLost(server, isCertain);
         }
     }
 
--- a/daemon/src/main/java/pathlane/platform/ServerLink.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLink.java
@@ -6,12 +6,11 @@
 import java.util.Optional;
 import pathlane.bus.ServerList;
 import pathlane.core.CallController;
-import pathlane.core.ConnectionEnd;
-import pathlane.core.ServerLine;
+import pathlane.core.CallRequest;
+import pathlane.core.CloseReason;
+import pathlane.core.ServerEndpoint;
 import pathlane.core.ServerPort;
-import pathlane.core.SetUp;
-import pathlane.decision.Gateway.Ending;
-import pathlane.wire.BadInput;
+import pathlane.decision.Outcome;
 import pathlane.wire.Cause;
 import pathlane.wire.Message;
 
@@ -25,7 +24,7 @@
     private static final byte[] NOTHING = {};
 
     private final ServerLinkContext context;
-    private final ServerLine server;
+    private final ServerEndpoint server;
     private final String name;
     private final ConnectionPool pool;
     private final PendingMessages pending = new PendingMessages();
@@ -36,7 +35,7 @@
     private boolean draining;
 
     /** Dials the server at once where there are descriptors for it, and visits it later where there are not. */
-    ServerLink(ServerLine server, ServerLinkContext context) {
+    ServerLink(ServerEndpoint server, ServerLinkContext context) {
         this.context = context;
         this.server = server;
         this.name = ServerList.serverName(server.id());
@@ -48,13 +47,13 @@
     }
 
     @Override
-    public void setUp(SetUp setUp, Duration patience, boolean mayHaveRun) {
+    public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
         draining = false;   // nothing new comes here while it drains
         byte[] bytes = new Message(Message.SET_UP, setUp.id())
                 .with(Message.CLASS, context.settings().classes().get(setUp.callClass()).name())
                 .with(Message.PATIENCE, Long.toString(Math.max(1, patience.toMillis())))
-                .with(Message.NUMBER, setUp.number())
-                .with(Message.DESCRIPTION, setUp.description()).bytes();
+                .with(Message.NUMBER, setUp.destination())
+                .with(Message.DESCRIPTION, setUp.payload()).bytes();
         ServerSession session = drainDetector.mayBeDraining() ? null : pool.leastBusyFor(setUp.id());
         if (session != null) {
             pool.growBeside(session);
@@ -73,7 +72,7 @@
      * the connection is broken off, which gives up what is out there.
      */
     @Override
-    public void giveUp(String call) {
+    public void cancel(String call) {
         if (!pending.removeSetUp(call)) {
             outstanding.remove(call).ifPresent(session -> session.giveUp(call));
         }
@@ -96,7 +95,7 @@
     }
 
     @Override
-    public void release(String call, Ending how, byte[] content) {
+    public void release(String call, Outcome how, byte[] content) {
         byte[] bytes = new Message(Message.RELEASE, call).withCause(Cause.ofRelease(how)).bytes();
         ServerSession free = pool.leastBusyFor(call);
         ServerSession session = free == null ? pool.leastBusy() : free;
@@ -108,13 +107,13 @@
     }
 
     @Override
-    public Optional<byte[]> waiting(String call) {
+    public Optional<byte[]> pendingRelease(String call) {
         return pending.hasRelease(call) ? Optional.of(NOTHING) : Optional.empty();
     }
 
     /** What the server reported on the former controller's connection as it broke, it reports on the next one that opens. */
     @Override
-    public void adopted(String call, byte[] ending) {
+    public void adopt(String call, byte[] ending) {
         pool.visitAnew();
     }
 
@@ -125,7 +124,7 @@
     @Override
     public void releaseUnknown(String call) {
         if (pool.leastBusy() != null) {
-            release(call, Ending.COMPLETED, NOTHING);
+            release(call, Outcome.COMPLETED, NOTHING);
         } else if (!pool.isClosed()) {
             byte[] bytes = new Message(Message.RELEASE, call).withCause(Cause.OVER).bytes();
             pending.addRelease(call, bytes, context.limits().waitingUnknown());
@@ -154,7 +153,7 @@
 
     /** Ends the set-ups that wait for a connection: what never left is free to go elsewhere at once. */
     private void endWaiting() {
-        pending.removeSetUps().forEach(call -> setUpEnded(call, Ending.UNREACHABLE));
+        pending.removeSetUps().forEach(call -> setUpEnded(call, Outcome.UNREACHABLE));
     }
 
     /** A connection has come up; it has taken no messages yet. */
@@ -172,7 +171,7 @@
         List<String> released = List.copyOf(pending.releases().keySet());
         session.releaseAll(pending.releases());
         pending.clearReleases();
-        released.forEach(controller()::releaseLeft);
+        released.forEach(controller()::releaseSent);
         if (!drainDetector.mayBeDraining()) {
             sendPendingSetUps(session);
         } else if (context.listCurrent().getAsBoolean()) {
@@ -204,18 +203,18 @@
         if (!draining && session.isWritable()) {
             sendPendingSetUps(session);
         }
-        controller().linesTold(server.id(), report.free(), report.size());
+        controller().capacityReported(server.id(), report.free(), report.size());
     }
 
     /** A connection has ended, or could not be dialled. */
-    void closed(ServerSession session, ConnectionEnd end) {
+    void closed(ServerSession session, CloseReason end) {
         if (session.isDialling()) {
             pool.dialFailed();
         } else {
             reachability.lost(end, !pool.isAnyUpBeside(session));
         }
         session.endSetUps(end);
-        if (!end.isUnneeded()) {
+        if (!end.isVoluntary()) {
             session.unconfirmedReleases()
                     .forEach((call, bytes) -> pending.addRelease(call, bytes, context.limits().waitingReleases()));
         }
@@ -223,14 +222,14 @@
             allEnded(end);
         } else if (!pool.isDialling()) {
             endWaiting();   // the one that was dialled for them did not come up
-            if (!session.isDialling() && !end.isUnneeded() && hasStandingCalls()) {
+            if (!session.isDialling() && !end.isVoluntary() && hasStandingCalls()) {
                 pool.visitAnew();
             }
         }
     }
 
     /** Nothing is up or dialled any more. */
-    private void allEnded(ConnectionEnd end) {
+    private void allEnded(CloseReason end) {
         endWaiting();
         reachability.allEnded(end, draining);
         pool.redialAfter(end, hasStandingCalls() || pending.hasReleases());
@@ -242,23 +241,23 @@
     }
 
     /** A set-up has ended without an answer, or the server has released a call that stood. */
-    void setUpEnded(String call, Ending how) {
-        controller().released(server.id(), call, how, Duration.ZERO);
+    void setUpEnded(String call, Outcome how) {
+        controller().serverReleased(server.id(), call, how, Duration.ZERO);
     }
 
     /** The server has answered a call's set-up. */
     void answered(String call, byte[] description) {
-        controller().answered(server.id(), call, description);
+        controller().serverAnswered(server.id(), call, description);
     }
 
     /** Whether the call stands, at whichever server. */
     boolean stands(String call) {
-        return controller().stands(call);
+        return controller().isEstablished(call);
     }
 
     /** Whether any call stands at this server. */
     boolean hasStandingCalls() {
-        return controller().standsAt(server.id());
+        return controller().hasEstablishedCallsAt(server.id());
     }
 
     /** Whether the call's set-up waits for a connection to this server. */
--- a/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
@@ -9,8 +9,8 @@
 import pathlane.config.file.ServerLimits;
 import pathlane.core.CallController;
 import pathlane.core.Scheduler;
-import pathlane.link.Admission;
-import pathlane.link.Dialer;
+import pathlane.transport.ConnectionLimiter;
+import pathlane.transport.Connector;
 
 /**
  * What the links to all session servers have in common.
@@ -25,7 +25,7 @@
  * @param startedAt when the program started
  */
 record ServerLinkContext(Settings settings, ServerLimits limits, Supplier<CallController> controller,
-        BooleanSupplier listCurrent, Dialer dialer, Scheduler scheduler, Admission connections,
+        BooleanSupplier listCurrent, Connector dialer, Scheduler scheduler, ConnectionLimiter connections,
         ReportPeriod reportPeriod, SplittableRandom random, Instant startedAt) {
 
     /** An idle connection is closed here after this part of the time after which the other side closes it. */
@@ -37,7 +37,7 @@
 
     /** How long a connection may be idle before it is closed here. */
     Duration idleTimeout() {
-        return settings.idleClose().multipliedBy(IDLE_PERCENT).dividedBy(100);
+        return settings.idleTimeout().multipliedBy(IDLE_PERCENT).dividedBy(100);
     }
 
     /** How long nothing may be received on a connection: two reports are awaited where their period is known. */
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Map;
 import pathlane.config.file.ServerLimits;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.decision.Gateway.Ending;
-import pathlane.link.Connection;
-import pathlane.link.FrameDeadline;
-import pathlane.link.Protocol;
+import pathlane.decision.Outcome;
+import pathlane.transport.Connection;
+import pathlane.transport.FrameDeadline;
+import pathlane.transport.Protocol;
 import pathlane.wire.BadInput;
 import pathlane.wire.Cause;
 import pathlane.wire.FrameAssembler;
@@ -66,8 +66,8 @@
         this.limits = context.limits();
         this.scheduler = context.scheduler();
         this.idleTimeout = context.idleTimeout();
-        this.longestPatience = context.settings().longestPatience();
-        this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(), () -> end(ConnectionEnd.UNFINISHED));
+        this.longestPatience = context.settings().longestDeadline();
+        this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(), () -> end(CloseReason.UNFINISHED));
         this.unconfirmedReleases = new UnconfirmedReleases(limits.waitingReleases());
         this.reports = new ReportIntervals(context.reportPeriod());
         this.overtakenCheck = new OvertakenCheck(context, link.outstanding(), () -> lastReceived, this::endAsOvertaken);
@@ -88,7 +88,7 @@
 
     /** Whether it is up and all that was written before this turn has left. */
     boolean isWritable() {
-        return isUp() && !connection.isStuck();
+        return isUp() && !connection.isBlocked();
     }
 
     /** Whether a set-up is out on it. */
@@ -126,7 +126,7 @@
     public void opened(Connection up) {
         connection = up;
         if (link.isClosed()) {
-            up.close(ConnectionEnd.DELISTED);
+            up.close(CloseReason.DELISTED);
             return;
         }
         lastUsed = scheduler.now();
@@ -147,13 +147,13 @@
     /** Withdraws a set-up, or tells the server that it is given up, or breaks the connection off. */
     void giveUp(String call) {
         SentMessage setUp = sent.remove(call);
-        Connection.Withdrawal withdrawal = connection.withdraw(setUp.bytes());
+        Connection.Withdrawal withdrawal = connection.cancelWrite(setUp.bytes());
         if (withdrawal == Connection.Withdrawal.WITHDRAWN) {
             return;
         }
         if (withdrawal == Connection.Withdrawal.BOUND || !isWritable()) {
             ending = true;
-            connection.abort(ConnectionEnd.OVERFLOW);
+            connection.abort(CloseReason.OVERFLOW);
             return;
         }
         tellGivenUp(call);
@@ -180,16 +180,16 @@
         boolean isAnyBound = false;
         for (Map.Entry<String, SentMessage> setUp : List.copyOf(sent.entrySet())) {
             String call = setUp.getKey();
-            if (connection.withdraw(setUp.getValue().bytes()) == Connection.Withdrawal.WITHDRAWN) {
+            if (connection.cancelWrite(setUp.getValue().bytes()) == Connection.Withdrawal.WITHDRAWN) {
                 sent.remove(call);
                 link.outstanding().remove(call);
-                link.setUpEnded(call, Ending.UNREACHABLE);
+                link.setUpEnded(call, Outcome.UNREACHABLE);
             } else {
                 isAnyBound = true;
             }
         }
-        if (isAnyBound && connection.isStuck()) {
-            end(ConnectionEnd.OVERFLOW);
+        if (isAnyBound && connection.isBlocked()) {
+            end(CloseReason.OVERFLOW);
         }
     }
 
@@ -216,7 +216,7 @@
         if (left.compareTo(Duration.ZERO) > 0 || isBusy() || link.isDraining()) {
             idleTimer = scheduler.after(left.compareTo(IDLE_RECHECK) > 0 ? left : IDLE_RECHECK, this::closeIfIdle);
         } else {
-            end(ConnectionEnd.IDLE);
+            end(CloseReason.IDLE);
         }
     }
 
@@ -229,7 +229,7 @@
         if (left.compareTo(Duration.ZERO) > 0) {
             silenceTimer = scheduler.after(left, this::closeIfSilent);
         } else if (reports.hasStarted() && !link.isDraining()) {
-            end(ConnectionEnd.SILENT);
+            end(CloseReason.SILENT);
         } else {
             silenceTimer = scheduler.after(context.longestSilence(), this::closeIfSilent);
         }
@@ -246,7 +246,7 @@
         if (isUp()) {
             link.giveUpBeside(this, sent.keySet());
             link.giveUpBeside(this, givenUp.keySet().stream().filter(call -> !link.isOutOrStands(call)).toList());
-            end(ConnectionEnd.OVERTAKEN);
+            end(CloseReason.OVERTAKEN);
         }
     }
 
@@ -254,9 +254,9 @@
      * Ends the connection. One that is merely not needed any more is closed in order, and read to its end where the end of a
      * call that stands may cross the close. Others are broken off at once, since what is out on them waits for their end.
      */
-    void end(ConnectionEnd why) {
+    void end(CloseReason why) {
         ending = true;
-        if (!why.isUnneeded()) {
+        if (!why.isVoluntary()) {
             connection.abort(why);
         } else if (link.hasStandingCalls()) {
             connection.finish(why);
@@ -274,11 +274,11 @@
     public void received(ByteBuffer bytes) {
         lastUsed = scheduler.now();
         try {
-            frameDeadline.fed(assembler.feed(bytes, frame -> message(Message.read(frame))), assembler.begun());
+            frameDeadline.bytesReceived(assembler.feed(bytes, frame -> message(Message.read(frame))), assembler.begun());
         } catch (BadInput e) {
             LOG.log(Level.WARNING, "server {0} closed for bad input: {1}", link.name(), e.getMessage());
             bytes.position(bytes.limit());
-            end(ConnectionEnd.BAD_INPUT);
+            end(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -341,7 +341,7 @@
         LOG.log(Level.WARNING, "server {0}: what it said of call {1} can''t be used: {2}", link.name(), call, why);
         setUpEnded(call);
         release(call, overRelease(call));
-        link.setUpEnded(call, Ending.RESET);
+        link.setUpEnded(call, Outcome.RESET);
     }
 
     private static byte[] overRelease(String call) {
@@ -361,9 +361,9 @@
     void delist() {
         stopTimers();
         if (connection != null) {
-            connection.abort(ConnectionEnd.DELISTED);
+            connection.abort(CloseReason.DELISTED);
         }
-        endSetUps(ConnectionEnd.DELISTED);
+        endSetUps(CloseReason.DELISTED);
     }
 
     private void stopTimers() {
@@ -376,7 +376,7 @@
     }
 
     /** What was out here has come to its end with the connection. */
-    void endSetUps(ConnectionEnd end) {
+    void endSetUps(CloseReason end) {
         List<String> broken = List.copyOf(sent.keySet());
         sent.clear();
         broken.forEach(link.outstanding()::remove);
@@ -389,7 +389,7 @@
     }
 
     @Override
-    public void closed(ConnectionEnd end) {
+    public void closed(CloseReason end) {
         link.remove(this);
         stopTimers();
         if (!link.isClosed()) {
--- a/daemon/src/main/java/pathlane/platform/SetUpReader.java
+++ b/daemon/src/main/java/pathlane/platform/SetUpReader.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import pathlane.config.Settings;
-import pathlane.core.SetUp;
+import pathlane.core.CallRequest;
 import pathlane.wire.Message;
 
 /**
@@ -29,11 +29,11 @@
 
     private SetUpReader() {}
 
-    static SetUp read(Message message, Settings settings) {
+    static CallRequest read(Message message, Settings settings) {
         if (message.call == NO_ID) {
             throw new Unusable("no id");
         }
-        int callClass = settings.classNamed(required(message, Message.CLASS, "class"));
+        int callClass = settings.indexOfClass(required(message, Message.CLASS, "class"));
         if (callClass < 0) {
             throw new Unusable("a class that is not in the settings");
         }
@@ -46,7 +46,7 @@
             throw new Unusable("no description");
         }
         int firstChoice = firstChoice(required(message, Message.FIGURES, "figures"));
-        return new SetUp(message.id(), callClass, number, Duration.ofMillis(patience), firstChoice, description);
+        return new CallRequest(message.id(), callClass, number, Duration.ofMillis(patience), firstChoice, description);
     }
 
     /** The figures, such as {@code dest:2;width:1;via:-1}: all that are known must be in range, two must be there. */
