--- a/daemon/src/main/java/pathlane/platform/UnknownReleases.java
+++ b/daemon/src/main/java/pathlane/platform/UnknownReleases.java
@@ -5,7 +5,7 @@
 import java.util.Queue;
 import java.util.function.Consumer;
 import pathlane.core.Scheduler;
-import pathlane.link.RateLimit;
+import pathlane.transport.RateLimiter;
 
 /**
  * Releases of calls that are not known here, of one caller's connection. Each session server hears of each of them, so
@@ -17,7 +17,7 @@
     /** Bounds the memory of one connection; what is beyond it is dropped. */
     private static final int MOST_WAITING = 256;
 
-    private final RateLimit limit;
+    private final RateLimiter limit;
     private final Duration every;
     private final Scheduler scheduler;
     private final Consumer<String> receiver;
@@ -31,7 +31,7 @@
      * @param receiver is given the id of each call, in the order in which they came
      */
     UnknownReleases(int atOnce, Duration every, Scheduler scheduler, Consumer<String> receiver) {
-        this.limit = new RateLimit(atOnce, every, scheduler);
+        this.limit = new RateLimiter(atOnce, every, scheduler);
         this.every = every;
         this.scheduler = scheduler;
         this.receiver = receiver;
@@ -39,7 +39,7 @@
 
     /** A release came. */
     void add(String call) {
-        if (waiting.isEmpty() && limit.take()) {
+        if (waiting.isEmpty() && limit.tryAcquire()) {
             receiver.accept(call);
         } else if (waiting.size() < MOST_WAITING) {
             waiting.add(call);
@@ -50,7 +50,7 @@
     }
 
     private void passOn() {
-        while (!waiting.isEmpty() && limit.take()) {
+        while (!waiting.isEmpty() && limit.tryAcquire()) {
             receiver.accept(waiting.poll());
         }
         if (!waiting.isEmpty()) {
--- a/daemon/src/main/java/pathlane/sim/Wire.java
+++ b/daemon/src/main/java/pathlane/sim/Wire.java
@@ -8,8 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import pathlane.config.SettingsReader;
-import pathlane.decision.Gateway;
-import pathlane.decision.Logic;
+import pathlane.decision.AdaptiveRoutingPolicy;
+import pathlane.decision.Outcome;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 
 /** Reads the wire line by line, hands events to the instance they name, and writes the replies. */
 public final class Wire {
@@ -28,8 +30,8 @@
         }
     }
 
-    private final Map<Integer, Gateway> instances = new HashMap<>();
-    private final Map<Integer, List<Gateway.Listed>> sheets = new HashMap<>();
+    private final Map<Integer, RoutingPolicy> instances = new HashMap<>();
+    private final Map<Integer, List<RoutingPolicy.ListedServer>> sheets = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
     private String[] part;
@@ -37,7 +39,7 @@
     private double now;
     private int who = -1;
     private int writer = -1;
-    private List<Gateway.Listed> openSheet;
+    private List<RoutingPolicy.ListedServer> openSheet;
     private int rowsDue;
 
     /** Takes one line; returns the reply when it closes a batch, else null. */
@@ -91,15 +93,15 @@
             case "row" -> row();
             case "members" -> members();
             case "incoming" -> incoming();
-            case "accepted" -> logic().stands(now, text(1, "handle"), (int) integer(4, "try"),
+            case "accepted" -> logic().callEstablished(now, text(1, "handle"), (int) integer(4, "try"),
                     integer(2, "switch"), number(3, "wait-time-ms"));
             case "returned" -> returned();
-            case "abandoned" -> logic().left(now, text(1, "handle"));
+            case "abandoned" -> logic().clientLeft(now, text(1, "handle"));
             case "bell" -> {
                 integer(1, "nonce");
-                logic().woken(now);
+                logic().timerFired(now);
             }
-            case "sampled" -> logic().reported(now, integer(1, "switch"), report(4));
+            case "sampled" -> logic().loadReported(now, integer(1, "switch"), report(4));
             case "memo" -> logic();
             default -> throw malformed("message", "unknown message '" + message + "'");
         }
@@ -114,7 +116,7 @@
         try {
             String json = text.substring(part[0].length() + part[1].length() + 2);
             JsonObject env = JsonParser.parseString(json).getAsJsonObject();
-            instances.put(who, new Logic(SettingsReader.read(env), seed, new Writer(who)));
+            instances.put(who, new AdaptiveRoutingPolicy(SettingsReader.read(env), seed, new Writer(who)));
         } catch (JsonParseException | IllegalStateException | UnsupportedOperationException
                 | IllegalArgumentException e) {
             throw malformed("env", e.getMessage());
@@ -126,68 +128,68 @@
             throw malformed("message", "row outside a roster");
         }
         rowsDue--;
-        Gateway.Mode mode = switch (text(3, "mode")) {
-            case "active" -> Gateway.Mode.RUNNING;
-            case "leaving" -> Gateway.Mode.DRAINING;
-            case "left" -> Gateway.Mode.GONE;
+        ServerStatus mode = switch (text(3, "mode")) {
+            case "active" -> ServerStatus.RUNNING;
+            case "leaving" -> ServerStatus.DRAINING;
+            case "left" -> ServerStatus.GONE;
             default -> throw malformed("mode", "unknown mode '" + part[3] + "'");
         };
-        openSheet.add(new Gateway.Listed(integer(6, "switch"), (int) integer(1, "cell"), mode,
+        openSheet.add(new RoutingPolicy.ListedServer(integer(6, "switch"), (int) integer(1, "cell"), mode,
                 number(4, "boot-time-ms", 0), number(2, "heft", 1)));
     }
 
     private void members() {
         String kind = text(2, "kind");
         if (kind.equals("X")) {
-            logic().listFailed(now);
+            logic().serverListFailed(now);
             return;
         }
         if (!kind.equals("D") && !kind.equals("F") && !kind.equals("C")) {
             throw malformed("kind", "unknown kind '" + kind + "'");
         }
-        List<Gateway.Listed> sheet = sheets.get((int) integer(1, "sheet"));
+        List<RoutingPolicy.ListedServer> sheet = sheets.get((int) integer(1, "sheet"));
         if (sheet == null) {
             throw malformed("sheet", "no such roster");
         }
-        logic().listed(now, !kind.equals("D"), sheet);
+        logic().serversListed(now, !kind.equals("D"), sheet);
     }
 
     private void incoming() {
         int flags = (int) number(10, "opts", 0);
-        logic().arrived(now, new Gateway.Call(text(1, "handle"), (int) integer(2, "kind"), text(4, "key"),
+        logic().requestArrived(now, new RoutingPolicy.Request(text(1, "handle"), (int) integer(2, "kind"), text(4, "key"),
                 number(5, "grace-ms"), (int) number(7, "dest", -1), (flags & IN_TRANSIT) != 0));
     }
 
     private void returned() {
         int code = (int) integer(5, "code");
-        Gateway.Ending how = switch (code) {
-            case 200 -> Gateway.Ending.COMPLETED;
-            case 500 -> Gateway.Ending.ERROR;
-            case 503 -> Gateway.Ending.REJECTED;
-            case 504 -> Gateway.Ending.TIMED_OUT;
-            case 502 -> Gateway.Ending.UNREACHABLE;
-            case 598 -> Gateway.Ending.RESET;
-            case 499 -> Gateway.Ending.CANCELLED;
-            case 410 -> Gateway.Ending.NOT_SENT;
+        Outcome how = switch (code) {
+            case 200 -> Outcome.COMPLETED;
+            case 500 -> Outcome.ERROR;
+            case 503 -> Outcome.REJECTED;
+            case 504 -> Outcome.TIMED_OUT;
+            case 502 -> Outcome.UNREACHABLE;
+            case 598 -> Outcome.RESET;
+            case 499 -> Outcome.CANCELLED;
+            case 410 -> Outcome.NOT_SENT;
             default -> throw malformed("code", "unknown outcome " + code);
         };
         int note = (int) Math.max(0, number(7, "note", 0));
         double statedWait = note / NOTE_BITS;
-        if (how == Gateway.Ending.REJECTED && note % NOTE_BITS == NO_LINE) {
-            how = Gateway.Ending.NO_FREE_LINE;
-        } else if (how == Gateway.Ending.ERROR && note % NOTE_BITS == ENGAGED) {
-            how = Gateway.Ending.ENGAGED;
+        if (how == Outcome.REJECTED && note % NOTE_BITS == NO_LINE) {
+            how = Outcome.NO_CAPACITY;
+        } else if (how == Outcome.ERROR && note % NOTE_BITS == ENGAGED) {
+            how = Outcome.BUSY;
         }
-        if (how != Gateway.Ending.REJECTED) {
+        if (how != Outcome.REJECTED) {
             statedWait = 0;
         }
-        logic().ended(now, new Gateway.Ended(text(1, "handle"), (int) integer(4, "try"),
+        logic().attemptEnded(now, new RoutingPolicy.AttemptResult(text(1, "handle"), (int) integer(4, "try"),
                 integer(6, "switch"), how,
                 integer(3, "closed") != 0, number(2, "wait-time-ms"), statedWait, report(8)));
     }
 
     /** The load report in this part of the line, or null where there is none. */
-    private Gateway.Report report(int index) {
+    private RoutingPolicy.LoadReport report(int index) {
         if (index >= part.length || part[index].isEmpty() || part[index].equals("-")) {
             return null;
         }
@@ -213,11 +215,11 @@
                 default -> {}
             }
         }
-        return new Gateway.Report(free, lines, waiting, perSecond, wait, busy);
+        return new RoutingPolicy.LoadReport(free, lines, waiting, perSecond, wait, busy);
     }
 
-    private Gateway logic() {
-        Gateway instance = instances.get(who);
+    private RoutingPolicy logic() {
+        RoutingPolicy instance = instances.get(who);
         if (instance == null) {
             throw malformed("who", "instance " + who + " has not started");
         }
@@ -270,7 +272,7 @@
     }
 
     /** Writes one instance's actions into the reply. */
-    private final class Writer implements Gateway.Actions {
+    private final class Writer implements RoutingPolicy.Actions {
         private final int instance;
 
         Writer(int instance) {
@@ -292,7 +294,7 @@
         }
 
         @Override
-        public void refuse(String call, double adviseMs) {
+        public void reject(String call, double adviseMs) {
             begin("overload_reply").append(call).append('\t').append(adviseMs).append('\n');
         }
 
@@ -307,12 +309,12 @@
         }
 
         @Override
-        public void wakeAfter(double delayMs) {
+        public void scheduleTimer(double delayMs) {
             begin("after").append(delayMs).append("\t0\n");
         }
 
         @Override
-        public void askForList() {
+        public void requestServerList() {
             begin("listen").append("1\n");
         }
     }
--- a/daemon/src/main/java/pathlane/takeover/GroupFile.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupFile.java
@@ -18,7 +18,7 @@
 import org.tomlj.TomlTable;
 import pathlane.group.Keys;
 import pathlane.group.LeaseTerms;
-import pathlane.link.Addresses;
+import pathlane.transport.Addresses;
 
 /**
  * The operator's file that makes a controller a member of a group, in TOML.
--- a/daemon/src/main/java/pathlane/takeover/GroupNode.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupNode.java
@@ -15,8 +15,8 @@
 import pathlane.group.SealedLink;
 import pathlane.handover.Handover;
 import pathlane.handover.Terms;
-import pathlane.link.LimitedLog;
 import pathlane.net.Network;
+import pathlane.transport.RateLimitedLog;
 
 /** This process as a member of a group. On the loop's thread, but for what says otherwise. */
 public final class GroupNode {
@@ -52,17 +52,17 @@
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
-        }, scheduler, new LimitedLog("group", scheduler));
+        }, scheduler, new RateLimitedLog("group", scheduler));
         Set<Integer> waiting = new HashSet<>();
         for (String one : file.waiting()) {
-            if (settings.classNamed(one) < 0) {
+            if (settings.indexOfClass(one) < 0) {
                 throw new IllegalArgumentException("'records.wait-for-cover' names the class '" + one
                         + "', which is not in the settings");
             }
-            waiting.add(settings.classNamed(one));
+            waiting.add(settings.indexOfClass(one));
         }
         handover = new Handover(new Terms(name, file.address(), file.copies(), file.lease(), file.window(), waiting,
-                file.waitMost(), file.pace(), file.orphans(), settings.rules().clearWait()), random.nextLong(),
+                file.waitMost(), file.pace(), file.orphans(), settings.rules().retryDelay()), random.nextLong(),
                 file.voters(), network.dialer(MOST_UNWRITTEN), common, System::nanoTime);
     }
 
--- a/daemon/src/test/java/pathlane/crossings/CallerGoneTest.java
+++ b/daemon/src/test/java/pathlane/crossings/CallerGoneTest.java
@@ -23,7 +23,7 @@
                 gone.send(Peer.setUp(1, 0));
                 gone.close();
             });
-            controller.awaitCount(Counters.Name.GIVEN_UP_BY_CALLER, 1);
+            controller.awaitCount(Counters.Name.GIVEN_UP_BY_CLIENT, 1);
             other.send(Peer.setUp(2, 0));
             server.next(Message.SET_UP, 2);
         }
@@ -62,14 +62,15 @@
         BlockingQueue<Runnable> held = new ArrayBlockingQueue<>(8);
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening),
-                        dialer -> (address, timeout, protocol) -> held.add(() -> dialer.dial(address, timeout, protocol)));
+                        dialer -> (address, timeout, protocol) -> held
+                                .add(() -> dialer.connect(address, timeout, protocol)));
                 Peer other = Peer.to(controller.address)) {
             Runnable dial = held.poll(20, TimeUnit.SECONDS);
             Peer gone = Peer.to(controller.address);
             gone.send(Peer.setUp(1, 0));
             controller.awaitCount(Counters.Name.ATTEMPTS, 1);
             gone.close();
-            controller.awaitCount(Counters.Name.GIVEN_UP_BY_CALLER, 1);
+            controller.awaitCount(Counters.Name.GIVEN_UP_BY_CLIENT, 1);
             dial.run();
             try (Peer server = Peer.at(listening)) {
                 other.send(Peer.setUp(2, 0));
@@ -90,7 +91,7 @@
             }
             controller.awaitCount(Counters.Name.ATTEMPTS_RESET, 1);
             gone.close();
-            controller.awaitCount(Counters.Name.GIVEN_UP_BY_CALLER, 1);
+            controller.awaitCount(Counters.Name.GIVEN_UP_BY_CLIENT, 1);
             other.send(Peer.setUp(2, 0));
             try (Peer second = Peer.at(listening)) {
                 second.next(Message.SET_UP, 2);
--- a/daemon/src/test/java/pathlane/crossings/CallerReconnectsTest.java
+++ b/daemon/src/test/java/pathlane/crossings/CallerReconnectsTest.java
@@ -40,7 +40,7 @@
                 gone.close();
             });
             server.next(Message.RELEASE, 1);
-            controller.awaitCount(Counters.Name.STOOD, 1);
+            controller.awaitCount(Counters.Name.ESTABLISHED, 1);
         }
     }
 }
--- a/daemon/src/test/java/pathlane/crossings/Controller.java
+++ b/daemon/src/test/java/pathlane/crossings/Controller.java
@@ -12,10 +12,10 @@
 import java.util.function.UnaryOperator;
 import pathlane.config.file.NodeConfig;
 import pathlane.core.Counters;
-import pathlane.link.Dialer;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
 import pathlane.platform.PlatformFront;
+import pathlane.transport.Connector;
 
 /** The program's own loop, sockets and platform front, in this process, so that a test can hold its loop up. */
 final class Controller implements AutoCloseable {
@@ -36,7 +36,7 @@
     }
 
     /** {@code around} may hold back what is dialled. */
-    Controller(String config, UnaryOperator<Dialer> around) throws Exception {
+    Controller(String config, UnaryOperator<Connector> around) throws Exception {
         Network network = new Network(loop);
         NodeConfig parsed = NodeConfig.parse(config);
         PlatformFront[] made = new PlatformFront[1];
--- a/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
@@ -16,17 +16,17 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.ProgressReport;
 import pathlane.discovery.PublisherTerms;
 import pathlane.discovery.Revision;
 import pathlane.discovery.Source;
 import pathlane.group.Keys;
 import pathlane.group.SealedLink;
-import pathlane.link.LimitedLog;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
+import pathlane.transport.RateLimitedLog;
 import pathlane.wire.Cause;
 import pathlane.wire.Message;
 
@@ -43,7 +43,7 @@
 
     private final EventLoop loop = new EventLoop();
     private final Source source = onLoop(() -> new Source(1, PublisherTerms.USUAL, new SealedLink.Common("source",
-            () -> Keys.read(KEYS), () -> new byte[16], loop, new LimitedLog("source", loop)), loop,
+            () -> Keys.read(KEYS), () -> new byte[16], loop, new RateLimitedLog("source", loop)), loop,
             new SplittableRandom(1)));
 
     private <T> T onLoop(Supplier<T> task) {
@@ -52,8 +52,8 @@
         return done.orTimeout(MOST_WAIT_S, TimeUnit.SECONDS).join();
     }
 
-    private Revision endpoint(String service, long id, ServerSocket server, Mode mode) {
-        ServerLine line = new ServerLine(id, new InetSocketAddress("127.0.0.1", server.getLocalPort()), mode, 0, 1,
+    private Revision endpoint(String service, long id, ServerSocket server, ServerStatus mode) {
+        ServerEndpoint line = new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", server.getLocalPort()), mode, 0, 1,
                 Instant.EPOCH);
         return onLoop(() -> source.catalogue().update(service, List.of(line), List.of(), Optional.empty()));
     }
@@ -91,8 +91,8 @@
     @Test
     void callsGoToTheServersOfTheirOwnServiceAndToNoneThatDrains() throws Exception {
         try (ServerSocket one = Peer.server(); ServerSocket two = Peer.server(); ServerSocket mail = Peer.server()) {
-            endpoint("billing", 1, one, Mode.RUNNING);
-            endpoint("mail", 9, mail, Mode.RUNNING);
+            endpoint("billing", 1, one, ServerStatus.RUNNING);
+            endpoint("mail", 9, mail, ServerStatus.RUNNING);
             onLoop(() -> {
                 source.catalogue().complete();
                 return true;
@@ -103,8 +103,8 @@
                 caller.send(Peer.setUp(1, 0));
                 Peer first = Peer.at(one);
                 stands(caller, first, 1);
-                awaitInForce(endpoint("billing", 2, two, Mode.RUNNING));
-                awaitInForce(endpoint("billing", 1, one, Mode.DRAINING));
+                awaitInForce(endpoint("billing", 2, two, ServerStatus.RUNNING));
+                awaitInForce(endpoint("billing", 1, one, ServerStatus.DRAINING));
                 Peer second = Peer.at(two);
                 for (int call = 2; call < 12; call++) {
                     caller.send(Peer.setUp(call, call % 2 * 2));
--- a/daemon/src/test/java/pathlane/crossings/DrainTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DrainTest.java
@@ -27,7 +27,7 @@
             stays.next(Message.SET_UP, 1);
             stays.send(Peer.answer(1));
             caller.next(Message.ANSWER, 1);
-            controller.awaitCount(Counters.Name.STOOD, 1);
+            controller.awaitCount(Counters.Name.ESTABLISHED, 1);
             drains.close();
         }
     }
@@ -40,7 +40,7 @@
                     "\"bus\": \"127.0.0.1:" + bus.getLocalPort() + "\", \"known\""),
                     dialer -> (address, timeout, protocol) -> {
                         if (address.getPort() != one.getLocalPort()) {
-                            dialer.dial(address, timeout, protocol);
+                            dialer.connect(address, timeout, protocol);
                         }
                     });
                     Peer stays = Peer.at(two); Peer list = Peer.at(bus); Peer caller = Peer.to(controller.address)) {
--- a/daemon/src/test/java/pathlane/crossings/Program.java
+++ b/daemon/src/test/java/pathlane/crossings/Program.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import pathlane.link.Addresses;
+import pathlane.transport.Addresses;
 
 /** The program in a process of its own, from the classes under test; its log is read line by line. */
 final class Program implements AutoCloseable {
--- a/daemon/src/test/java/pathlane/crossings/UnwritableTest.java
+++ b/daemon/src/test/java/pathlane/crossings/UnwritableTest.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
-import pathlane.link.Connection.Withdrawal;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
+import pathlane.transport.Connection;
+import pathlane.transport.Connection.Withdrawal;
+import pathlane.transport.Protocol;
 import pathlane.wire.Message;
 
 /** What is written to a real socket whose other side does not read, and when it leaves. */
@@ -30,7 +30,7 @@
     /** Hands on what becomes of the connection. */
     private static final class Watched implements Protocol {
         final CompletableFuture<Connection> up = new CompletableFuture<>();
-        final CompletableFuture<ConnectionEnd> end = new CompletableFuture<>();
+        final CompletableFuture<CloseReason> end = new CompletableFuture<>();
 
         @Override
         public void opened(Connection connection) {
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd why) {
+        public void closed(CloseReason why) {
             end.complete(why);
         }
     }
@@ -65,7 +65,7 @@
                 byte[] wanted = Peer.release(3).bytes();
                 int[] sent = new int[1];
                 assertEquals(Withdrawal.WITHDRAWN, inTurn(watched, connection -> {
-                    while (!connection.isStuck()) {
+                    while (!connection.isBlocked()) {
                         sent[0]++;
                         assertTrue(sent[0] < MOST_MESSAGES, "the other side's buffer has no end");
                         connection.write(new Message(Message.PROGRESS, 1).with(1, new byte[LONG]).bytes());
@@ -75,13 +75,13 @@
                     connection.write(unwanted);
                     connection.write(wanted);
                     connection.flush();
-                    return connection.withdraw(unwanted);
+                    return connection.cancelWrite(unwanted);
                 }));
                 for (int i = 0; i < sent[0]; i++) {
                     peer.next(Message.PROGRESS, 1);
                 }
                 peer.next(Message.RELEASE, 3);
-                assertEquals(Withdrawal.LEFT, inTurn(watched, connection -> connection.withdraw(wanted)));
+                assertEquals(Withdrawal.LEFT, inTurn(watched, connection -> connection.cancelWrite(wanted)));
             }
         }
     }
@@ -117,10 +117,10 @@
             try (Peer peer = Peer.at(listening)) {
                 inTurn(watched, connection -> {
                     connection.write(Peer.release(1).bytes());
-                    connection.abort(ConnectionEnd.OVERTAKEN);
+                    connection.abort(CloseReason.OVERTAKEN);
                     return null;
                 });
-                assertEquals(ConnectionEnd.OVERTAKEN, watched.end.get(20, TimeUnit.SECONDS));
+                assertEquals(CloseReason.OVERTAKEN, watched.end.get(20, TimeUnit.SECONDS));
                 peer.awaitEnd();
             }
         }
@@ -128,7 +128,7 @@
 
     private Watched dial(ServerSocket listening) {
         Watched watched = new Watched();
-        network.dial(new InetSocketAddress(listening.getInetAddress(), listening.getLocalPort()),
+        network.connect(new InetSocketAddress(listening.getInetAddress(), listening.getLocalPort()),
                 Duration.ofSeconds(20), watched);
         return watched;
     }
--- a/daemon/src/test/java/pathlane/directory/ServicesTest.java
+++ b/daemon/src/test/java/pathlane/directory/ServicesTest.java
@@ -15,14 +15,14 @@
 import pathlane.config.Settings;
 import pathlane.core.CallController;
 import pathlane.core.CallReplication;
-import pathlane.core.CallerPort;
+import pathlane.core.CallRequest;
+import pathlane.core.ClientPort;
 import pathlane.core.Counters;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 import pathlane.core.ServerPort;
 import pathlane.core.ServiceDirectory;
-import pathlane.core.SetUp;
-import pathlane.decision.Gateway.Ending;
-import pathlane.decision.Gateway.Mode;
+import pathlane.decision.Outcome;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.OnDemandWatches;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceChange;
@@ -46,7 +46,7 @@
     private final CallController controller = new CallController(SETTINGS, 7, time, Port::new, CallReplication.NONE,
             new Directory());
     private final ServerListFeed feed = new ServerListFeed(controller, watches);
-    private final CallerPort caller = new Caller();
+    private final ClientPort caller = new Caller();
     private int revisions;
 
     private final class Watches implements OnDemandWatches.Actions {
@@ -57,7 +57,7 @@
 
         @Override
         public boolean unwatch(String service) {
-            boolean ended = controller.forget(service);
+            boolean ended = controller.forgetService(service);
             log.add((ended ? "unwatch " : "keep ") + service);
             return ended;
         }
@@ -65,17 +65,18 @@
 
     private final class Directory implements ServiceDirectory {
         @Override
-        public Optional<String> serviceOf(SetUp setUp) {
-            return setUp.firstChoice() > 1 ? Optional.empty() : Optional.of(setUp.firstChoice() == 0 ? "billing" : "mail");
+        public Optional<String> serviceOf(CallRequest setUp) {
+            return setUp.preferredPool() > 1 ? Optional.empty()
+                    : Optional.of(setUp.preferredPool() == 0 ? "billing" : "mail");
         }
 
         @Override
-        public boolean use(String service) {
+        public boolean requireService(String service) {
             return watches.use(service);
         }
 
         @Override
-        public void await(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
+        public void awaitService(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
             watches.await(service, atMost, known, unknown);
         }
     }
@@ -83,21 +84,21 @@
     private final class Port implements ServerPort {
         private final long id;
 
-        Port(ServerLine line) {
+        Port(ServerEndpoint line) {
             id = line.id();
         }
 
         @Override
-        public void setUp(SetUp setUp, Duration patience, boolean mayHaveRun) {
+        public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
             log.add(setUp.id() + " at " + id);
-            time.after(Duration.ofMillis(1), () -> controller.answered(id, setUp.id(), new byte[0]));
+            time.after(Duration.ofMillis(1), () -> controller.serverAnswered(id, setUp.id(), new byte[0]));
         }
 
         @Override
-        public void giveUp(String call) {}
+        public void cancel(String call) {}
 
         @Override
-        public void release(String call, Ending how, byte[] content) {}
+        public void release(String call, Outcome how, byte[] content) {}
 
         @Override
         public void drain() {}
@@ -108,14 +109,14 @@
         }
     }
 
-    private final class Caller implements CallerPort {
+    private final class Caller implements ClientPort {
         @Override
         public void answer(String call, byte[] description) {
             log.add(call + " stands");
         }
 
         @Override
-        public void refuse(String call, Duration comeBackAfter) {
+        public void reject(String call, Duration comeBackAfter) {
             log.add(call + " refused " + comeBackAfter.toMillis());
         }
 
@@ -125,25 +126,26 @@
         }
 
         @Override
-        public void release(String call, Ending how) {
+        public void release(String call, Outcome how) {
             log.add(call + " over");
         }
     }
 
     @BeforeEach
     void aCallerIsConnected() {
-        controller.callerOpened(caller);
+        controller.clientConnected(caller);
     }
 
     private void call(String id, int cell, Duration patience) {
-        controller.setUp(new SetUp(id, 0, "n" + id, patience, cell, new byte[0]), caller);
+        controller.submit(new CallRequest(id, 0, "n" + id, patience, cell, new byte[0]), caller);
         time.pass(SHORT);
     }
 
     private ServiceState state(String service, long... servers) {
-        List<ServerLine> lines = new ArrayList<>();
+        List<ServerEndpoint> lines = new ArrayList<>();
         for (long id : servers) {
-            lines.add(new ServerLine(id, new InetSocketAddress("127.0.0.1", (int) id), Mode.RUNNING, 0, 1, Instant.EPOCH));
+            lines.add(new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", (int) id), ServerStatus.RUNNING, 0, 1,
+                    Instant.EPOCH));
         }
         return new ServiceState(service, new Revision(1, ++revisions), 0, lines, "");
     }
@@ -198,7 +200,7 @@
         time.pass(SHORT);
         assertEquals(21, log.stream().filter(line -> line.endsWith(" over")).count());
         assertEquals(0, count("a over"));
-        assertEquals(0, controller.counters().value(Counters.Name.GUARD_NOT_SENT));
+        assertEquals(0, controller.counters().value(Counters.Name.BLOCKED_BY_GUARD));
     }
 
     @Test
@@ -206,10 +208,10 @@
         call("a", 0, PATIENCE);
         ServiceState before = state("billing", 1, 2, 3);
         feed.changed(before, new ServiceChange.Snapshot(before));
-        ServerLine drains = before.endpoints().get(1);
+        ServerEndpoint drains = before.endpoints().get(1);
         ServiceState after = state("billing", 3);
         feed.changed(after, new ServiceChange.Delta("billing", before.revision(), after.revision(), 0,
-                List.of(new ServerLine(2, drains.address(), Mode.DRAINING, 0, 1, Instant.EPOCH)), List.of(1L),
+                List.of(new ServerEndpoint(2, drains.address(), ServerStatus.DRAINING, 0, 1, Instant.EPOCH)), List.of(1L),
                 Optional.empty()));
         assertTrue(log.contains("closed 1"));
         int told = log.size();
@@ -233,7 +235,7 @@
         time.pass(OnDemandWatches.UNUSED_AFTER.plusMinutes(2));
         assertTrue(count("keep billing") > 0);
         assertEquals(0, count("closed 1"));
-        controller.callerReleased("a", new byte[0], caller);
+        controller.clientReleased("a", new byte[0], caller);
         time.pass(Duration.ofMinutes(2));
         assertEquals(1, count("unwatch billing"));
         assertEquals(1, count("closed 1"));
--- a/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
+++ b/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
@@ -22,19 +22,19 @@
 import pathlane.config.file.DiameterConfig;
 import pathlane.config.file.NodeConfig;
 import pathlane.core.CallController;
-import pathlane.core.CallerPort;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.ClientPort;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 import pathlane.diameter.DiameterFront;
-import pathlane.link.Admission;
-import pathlane.link.Connection;
-import pathlane.link.Datagrams;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
 import pathlane.metrics.CollectdReporter;
 import pathlane.metrics.GraphiteReporter;
 import pathlane.platform.PlatformFront;
+import pathlane.transport.Connection;
+import pathlane.transport.ConnectionLimiter;
+import pathlane.transport.Connector;
+import pathlane.transport.Datagrams;
+import pathlane.transport.Protocol;
 
 /**
  * Plays one exchange file against a front, in virtual time and without a socket. Before each input and each wait, all that
@@ -64,7 +64,7 @@
  * <li>{@code lag MS}: what comes next has waited so long for a stall of the program
  * </ul>
  */
-final class ExchangeHarness implements Scheduler, Dialer, Datagrams {
+final class ExchangeHarness implements Scheduler, Connector, Datagrams {
 
     private record Due(Instant at, long order, Runnable task) implements Comparable<Due> {
         @Override
@@ -76,7 +76,7 @@
     private final class Line implements Connection {
         final Protocol protocol;
         final Deque<byte[]> written = new ArrayDeque<>();
-        ConnectionEnd closed;
+        CloseReason closed;
 
         boolean answersWatchdogs;
         boolean stuck;
@@ -101,19 +101,19 @@
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             if (closed == null) {
                 closed = why;
             }
         }
 
         @Override
-        public Withdrawal withdraw(byte[] bytes) {
+        public Withdrawal cancelWrite(byte[] bytes) {
             return stuck && written.removeIf(one -> one == bytes) ? Withdrawal.WITHDRAWN : Withdrawal.LEFT;
         }
 
         @Override
-        public boolean isStuck() {
+        public boolean isBlocked() {
             return stuck;
         }
 
@@ -128,7 +128,7 @@
     private final Map<String, Line> lines = new HashMap<>();
     private final Map<Character, byte[]> kept = new HashMap<>();
     private final Supplier<Protocol> callers;
-    private final Admission admission;
+    private final ConnectionLimiter admission;
     private final Consumer<String> busMoves;
     private final CallController controller;
     private Instant now = Instant.parse("2026-01-01T00:00:00Z");
@@ -146,7 +146,7 @@
                     new SplittableRandom(7));
             callers = front::accept;
             controller = front.controller();
-            admission = new Admission(parsed.callers().connections());
+            admission = new ConnectionLimiter(parsed.callers().connections());
             busMoves = port -> fail("there is no bus");
             if (parsed.graphite() != null) {
                 new GraphiteReporter(parsed.graphite(), front.controller().counters(), this, this).start();
@@ -165,7 +165,7 @@
             });
             callers = front::accept;
             controller = front.controller();
-            admission = new Admission(parsed.callers().connections());
+            admission = new ConnectionLimiter(parsed.callers().connections());
             busMoves = port -> front.reload(NodeConfig.parse(at(config, port)));
         }
     }
@@ -191,7 +191,7 @@
 
     /** What the core keeps, connections that callers hold, and timers that are set. */
     int kept() {
-        return controller.kept() + admission.size() + timers.size();
+        return controller.retainedEntries() + admission.size() + timers.size();
     }
 
     private void step(String[] words) {
@@ -212,7 +212,7 @@
             if (words[0].equals("adopt")) {
                 assertTrue(controller.adopt(words[1], Long.parseLong(of[0]), new Elsewhere(of[1]), ending), at);
             } else {
-                controller.owedToServer(words[1], Long.parseLong(of[0]), ending);
+                controller.deliverServerRelease(words[1], Long.parseLong(of[0]), ending);
             }
         } else if (words[0].equals("looked")) {
             assertEquals(Integer.parseInt(words[1]), looks, at);
@@ -221,10 +221,10 @@
             Protocol protocol = callers.get();
             Line line = new Line(protocol);
             lines.put(words[1], line);
-            if (admission.admit(protocol, line::close)) {
+            if (admission.tryAdmit(protocol, line::close)) {
                 protocol.opened(line);
             } else {
-                line.closed = ConnectionEnd.TURNED_AWAY;
+                line.closed = CloseReason.LIMIT_REACHED;
             }
         } else if (words[0].equals("no")) {
             assertTrue(dials.getOrDefault(Integer.parseInt(words[2]), new ArrayDeque<>()).isEmpty(),
@@ -236,7 +236,7 @@
             if (words[0].equals("accept")) {
                 connect(words[words.length - 1], dialled);
             } else {
-                dialled.closed(words[0].equals("refuse") ? ConnectionEnd.REFUSED : ConnectionEnd.DIAL_TIMED_OUT);
+                dialled.closed(words[0].equals("refuse") ? CloseReason.REFUSED : CloseReason.CONNECT_TIMED_OUT);
             }
         } else {
             exchange(lines.get(words[0]), words[1], words[2]);
@@ -244,7 +244,7 @@
     }
 
     /** A caller whose call another controller set up. */
-    private record Elsewhere(String key) implements CallerPort {
+    private record Elsewhere(String clientKey) implements ClientPort {
 
         @Override
         public void answer(String call, byte[] description) {
@@ -252,7 +252,7 @@
         }
 
         @Override
-        public void refuse(String call, Duration comeBackAfter) {
+        public void reject(String call, Duration comeBackAfter) {
             org.junit.jupiter.api.Assertions.fail("refused");
         }
 
@@ -262,7 +262,7 @@
         }
 
         @Override
-        public void release(String call, Ending how) {
+        public void release(String call, Outcome how) {
             org.junit.jupiter.api.Assertions.fail("it has no connection");
         }
     }
@@ -289,11 +289,11 @@
             case "answers" -> line.answersWatchdogs = true;
             case "ends" -> {
                 nothingUnnamed();
-                line.protocol.closed(ConnectionEnd.valueOf(rest));
+                line.protocol.closed(CloseReason.valueOf(rest));
             }
             case "closed" -> {
-                assertEquals(ConnectionEnd.valueOf(rest), line.closed, at);
-                admission.ended(line.protocol);
+                assertEquals(CloseReason.valueOf(rest), line.closed, at);
+                admission.closed(line.protocol);
                 line.protocol.closed(line.closed);
             }
             default -> fail("can't read " + at);
@@ -350,7 +350,7 @@
     }
 
     @Override
-    public void dial(InetSocketAddress address, Duration timeout, Protocol protocol) {
+    public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
         dials.computeIfAbsent(address.getPort(), port -> new ArrayDeque<>()).add(protocol);
     }
 }
--- a/daemon/src/test/java/pathlane/exchange/FloodTest.java
+++ b/daemon/src/test/java/pathlane/exchange/FloodTest.java
@@ -21,7 +21,7 @@
     void platform() throws IOException {
         String message = "{2 06 e12b454a5d3a91c4} ";
         harness("platform").play(List.of("accept 5001", "accept 5002", "open c", "c > " + message.repeat(AT_ONCE), "wait 1",
-                "c > " + message.repeat(EACH_MILLISECOND), "c > " + message, "c closed BAD_INPUT"));
+                "c > " + message.repeat(EACH_MILLISECOND), "c > " + message, "c closed PROTOCOL_ERROR"));
     }
 
     @Test
@@ -36,6 +36,6 @@
                         + " <258 u32:4>]",
                 "c > " + answer.repeat(AT_ONCE - 1), "wait 1", "c > " + answer.repeat(EACH_MILLISECOND),
                 "c > " + answer,
-                "c closed BAD_INPUT"));
+                "c closed PROTOCOL_ERROR"));
     }
 }
--- a/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
+++ b/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
@@ -15,9 +15,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import pathlane.config.file.NodeConfig;
-import pathlane.link.Protocol;
 import pathlane.platform.PlatformFront;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.Protocol;
 import pathlane.wire.FrameAssembler;
 import pathlane.wire.Message;
 
@@ -89,7 +89,7 @@
                     beat();
                 });
             } else {
-                field.dial(address, timeout, protocol);
+                field.connect(address, timeout, protocol);
             }
         }, time, () -> true, Optional::empty);
         caller = front.accept();
--- a/daemon/src/test/java/pathlane/exchange/ServerField.java
+++ b/daemon/src/test/java/pathlane/exchange/ServerField.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
 import pathlane.standin.RuleBook;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.Connection;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 import pathlane.wire.FrameAssembler;
 import pathlane.wire.Message;
 
@@ -24,7 +24,7 @@
  * connection of its set-up, else on any that is open, else on the next. They tell their lines each second while they
  * run; one that drains takes no connection and tells none. What breaks a rule is written down.
  */
-final class ServerField implements Dialer {
+final class ServerField implements Connector {
 
     private static final Duration ROUND_TRIP = Duration.ofMillis(10);
     private static final Duration WORK = Duration.ofMillis(30);
@@ -112,7 +112,7 @@
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             if (open) {
                 open = false;
                 server.lines.remove(this);
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void dial(InetSocketAddress address, Duration timeout, Protocol protocol) {
+    public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
         dials++;
         held++;
         mostHeld = Math.max(mostHeld, held);
@@ -167,7 +167,7 @@
             Server server = servers.get(address.getPort());
             if (server == null || server.drains()) {
                 held--;
-                protocol.closed(ConnectionEnd.REFUSED);
+                protocol.closed(CloseReason.REFUSED);
                 return;
             }
             Line line = new Line(server, protocol);
--- a/daemon/src/test/java/pathlane/exchange/SilentConnection.java
+++ b/daemon/src/test/java/pathlane/exchange/SilentConnection.java
@@ -1,7 +1,7 @@
 package pathlane.exchange;
 
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
+import pathlane.core.CloseReason;
+import pathlane.transport.Connection;
 
 /** A connection to an event bus that takes what is written and never says anything of itself. */
 class SilentConnection implements Connection {
@@ -10,7 +10,7 @@
     public void write(byte[] bytes) {}
 
     @Override
-    public void close(ConnectionEnd why) {}
+    public void close(CloseReason why) {}
 
     @Override
     public String remote() {
--- a/daemon/src/test/java/pathlane/exchange/StartTest.java
+++ b/daemon/src/test/java/pathlane/exchange/StartTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import pathlane.bus.BusFeed;
-import pathlane.core.ConnectionEnd;
-import pathlane.decision.Gateway.Mode;
-import pathlane.link.Addresses;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
+import pathlane.decision.ServerStatus;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.Addresses;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /** A start is over once the bus has told what happened since the list in the configuration. */
 class StartTest {
@@ -26,13 +26,13 @@
 
     private final VirtualTime time = new VirtualTime();
     private final List<Protocol> dialled = new ArrayList<>();
-    private final List<Mode> told = new ArrayList<>();
+    private final List<ServerStatus> told = new ArrayList<>();
     private BusFeed feed;
 
     @BeforeEach
     void follow() {
         feed = new BusFeed(1, (address, timeout, protocol) -> dialled.add(protocol), time, new SplittableRandom(1),
-                event -> event.lines().forEach(line -> told.add(line.mode())), () -> {});
+                event -> event.lines().forEach(line -> told.add(line.status())), () -> {});
         feed.follow(Addresses.parse("127.0.0.1:9092"));
     }
 
@@ -46,7 +46,7 @@
         frame("0000002400000000000000020200000001" + "7f000001138901000000000000" + "03e80000000000000000");
         time.pass(140);
         assertTrue(feed.current().isDone());
-        assertEquals(List.of(Mode.DRAINING), told);
+        assertEquals(List.of(ServerStatus.DRAINING), told);
     }
 
     @Test
@@ -60,7 +60,7 @@
     void aConnectionThatIsLostShowsNothing() {
         dialled.get(0).opened(UP);
         time.pass(100);
-        dialled.get(0).closed(ConnectionEnd.RESET);
+        dialled.get(0).closed(CloseReason.RESET);
         time.pass(150);
         assertFalse(feed.current().isDone());
         dialled.get(1).opened(UP);
--- a/discovery/src/main/java/pathlane/discovery/Catalogue.java
+++ b/discovery/src/main/java/pathlane/discovery/Catalogue.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 
 /**
  * The services that a publisher can tell of, under a revision that only grows, with a bounded history of changes. The source
@@ -59,7 +59,7 @@
      * @return the service's revision; that from before where nothing differs
      * @throws IllegalArgumentException where something is beyond {@link CatalogueLimits}; nothing has changed then
      */
-    public Revision update(String service, List<ServerLine> upserted, List<Long> removedIds,
+    public Revision update(String service, List<ServerEndpoint> upserted, List<Long> removedIds,
             Optional<String> configuration) {
         CatalogueEntry entry = entries.get(service);
         boolean isNew = entry == null;
@@ -82,7 +82,7 @@
     }
 
     /** Makes this a service's whole content; the difference is worked out. Otherwise as {@link #update}. */
-    public Revision replace(String service, List<ServerLine> endpoints, String configuration) {
+    public Revision replace(String service, List<ServerEndpoint> endpoints, String configuration) {
         return update(service, endpoints, missing(service, endpoints), Optional.of(configuration));
     }
 
@@ -184,10 +184,10 @@
     }
 
     private static ServiceChange.Delta delta(CatalogueEntry entry, Revision from, ChangeHistory.Touched touched) {
-        List<ServerLine> upserted = new ArrayList<>();
+        List<ServerEndpoint> upserted = new ArrayList<>();
         List<Long> gone = new ArrayList<>();
         for (long id : touched.endpoints()) {
-            ServerLine endpoint = entry.endpoint(id);
+            ServerEndpoint endpoint = entry.endpoint(id);
             if (endpoint == null) {
                 gone.add(id);
             } else {
@@ -205,7 +205,7 @@
     }
 
     /** The ids that a service has and a new list of its endpoints has not. */
-    private List<Long> missing(String service, Collection<ServerLine> endpoints) {
+    private List<Long> missing(String service, Collection<ServerEndpoint> endpoints) {
         CatalogueEntry entry = entries.get(service);
         if (entry == null) {
             return List.of();
--- a/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 /** One service of a {@link Catalogue}, changed in place so that a change of one endpoint costs that endpoint. */
 final class CatalogueEntry {
@@ -24,7 +24,7 @@
     }
 
     private final String service;
-    private final Map<Long, ServerLine> endpoints = new TreeMap<>();
+    private final Map<Long, ServerEndpoint> endpoints = new TreeMap<>();
     private String configuration = "";
     private long digest = ServiceDigest.of(List.of(), "");
     private Held held = Held.NOTHING;
@@ -48,7 +48,7 @@
         return held;
     }
 
-    ServerLine endpoint(long id) {
+    ServerEndpoint endpoint(long id) {
         return endpoints.get(id);
     }
 
@@ -57,9 +57,9 @@
     }
 
     /** How many endpoints there would be after a change. */
-    int sizeAfter(List<ServerLine> upserted, List<Long> removed) {
+    int sizeAfter(List<ServerEndpoint> upserted, List<Long> removed) {
         Set<Long> added = new HashSet<>();
-        for (ServerLine endpoint : upserted) {
+        for (ServerEndpoint endpoint : upserted) {
             if (!endpoints.containsKey(endpoint.id())) {
                 added.add(endpoint.id());
             }
@@ -78,11 +78,11 @@
     }
 
     /** Puts a change in; an endpoint that is upserted as gone counts as removed. */
-    Difference change(List<ServerLine> upserted, List<Long> removed, String newConfiguration) {
+    Difference change(List<ServerEndpoint> upserted, List<Long> removed, String newConfiguration) {
         Set<Long> touched = new HashSet<>();
         boolean takesAway = false;
-        for (ServerLine endpoint : upserted) {
-            if (endpoint.mode() == Mode.GONE) {
+        for (ServerEndpoint endpoint : upserted) {
+            if (endpoint.status() == ServerStatus.GONE) {
                 takesAway |= remove(endpoint.id(), touched);
             } else {
                 takesAway |= upsert(endpoint, touched);
@@ -100,8 +100,8 @@
     }
 
     /** Whether the endpoint begins to drain with this. */
-    private boolean upsert(ServerLine endpoint, Set<Long> touched) {
-        ServerLine former = endpoints.put(endpoint.id(), endpoint);
+    private boolean upsert(ServerEndpoint endpoint, Set<Long> touched) {
+        ServerEndpoint former = endpoints.put(endpoint.id(), endpoint);
         if (endpoint.equals(former)) {
             return false;
         }
@@ -110,11 +110,11 @@
         }
         digest = ServiceDigest.with(digest, endpoint);
         touched.add(endpoint.id());
-        return endpoint.mode() == Mode.DRAINING && former != null && former.mode() != Mode.DRAINING;
+        return endpoint.status() == ServerStatus.DRAINING && former != null && former.status() != ServerStatus.DRAINING;
     }
 
     private boolean remove(long id, Set<Long> touched) {
-        ServerLine former = endpoints.remove(id);
+        ServerEndpoint former = endpoints.remove(id);
         if (former == null) {
             return false;
         }
--- a/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Optional;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 
 /**
  * What a service may consist of. A source that let more in would have every subscriber refuse its messages, over and over;
@@ -21,7 +21,7 @@
     private CatalogueLimits() {}
 
     /** {@code size} is the number of endpoints that the service has once this is done. */
-    static void check(String service, int size, List<ServerLine> upserted, Optional<String> configuration) {
+    static void check(String service, int size, List<ServerEndpoint> upserted, Optional<String> configuration) {
         int nameBytes = service.getBytes(StandardCharsets.UTF_8).length;
         require(nameBytes > 0 && nameBytes <= LONGEST_NAME, "a service's name of " + nameBytes + " bytes");
         int length = configuration.map(String::length).orElse(0);
@@ -30,7 +30,7 @@
         upserted.forEach(CatalogueLimits::check);
     }
 
-    private static void check(ServerLine endpoint) {
+    private static void check(ServerEndpoint endpoint) {
         require(isWeight(endpoint.weight()), "a weight of " + endpoint.weight());
     }
 
--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -7,9 +7,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.wire.BadInput;
 
 /**
  * Sends the changes of a catalogue to the subscribers that watch them, each at its own pace, and adds up how far the
@@ -84,7 +83,7 @@
     }
 
     /** Ends all connections. */
-    public void close(ConnectionEnd why) {
+    public void close(CloseReason why) {
         List.copyOf(sessions).forEach(session -> session.end(why));
     }
 
--- a/discovery/src/main/java/pathlane/discovery/PublisherLink.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherLink.java
@@ -1,8 +1,8 @@
 package pathlane.discovery;
 
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.group.SealedLink;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /**
  * The accepting side of a subscriber's connection: messages of the watch in signed frames, above a publisher. The driver
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void down(ConnectionEnd end) {
+    public void down(CloseReason end) {
         if (session != null) {
             session.closed();
         }
@@ -52,7 +52,7 @@
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             link.end(why);
         }
     }
--- a/discovery/src/main/java/pathlane/discovery/Relay.java
+++ b/discovery/src/main/java/pathlane/discovery/Relay.java
@@ -4,11 +4,11 @@
 import java.time.Instant;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.group.SealedLink;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /**
  * One watch of everything upstream for many watches downstream. Without its upstream it goes on serving what it holds, and
@@ -29,7 +29,7 @@
     private Optional<Scheduler.Timer> nextReport = Optional.empty();
 
     /** Dials nothing yet. */
-    public Relay(WatchTerms upstream, PublisherTerms terms, SealedLink.Common common, Dialer dialer, Scheduler scheduler,
+    public Relay(WatchTerms upstream, PublisherTerms terms, SealedLink.Common common, Connector dialer, Scheduler scheduler,
             RandomGenerator random) {
         this.common = common;
         this.scheduler = scheduler;
@@ -49,7 +49,7 @@
     public void stop() {
         nextReport.ifPresent(Scheduler.Timer::cancel);
         upstream.stop();
-        publisher.close(ConnectionEnd.ENDED);
+        publisher.close(CloseReason.SHUTDOWN);
     }
 
     /** The state machine of a connection that a subscriber has opened. */
--- a/discovery/src/main/java/pathlane/discovery/ServiceChange.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChange.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 
 /** One service's part of a {@link WatchMessage.Update}. */
 public sealed interface ServiceChange {
@@ -33,7 +33,7 @@
      * @param removed ids of endpoints that are gone
      * @param configuration the new configuration, where it has changed
      */
-    record Delta(String service, Revision from, Revision revision, long digest, List<ServerLine> upserted,
+    record Delta(String service, Revision from, Revision revision, long digest, List<ServerEndpoint> upserted,
             List<Long> removed, Optional<String> configuration) implements ServiceChange {}
 
     /** The catalogue has no such service at this revision. */
--- a/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
@@ -8,8 +8,8 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.ServiceChange.Absent;
 import pathlane.discovery.ServiceChange.Delta;
 import pathlane.discovery.ServiceChange.Snapshot;
@@ -92,16 +92,16 @@
         return unpacker.tryUnpackNil() ? Optional.empty() : Optional.of(unpacker.unpackString());
     }
 
-    private static void writeEndpoint(MessagePacker packer, ServerLine endpoint) throws IOException {
+    private static void writeEndpoint(MessagePacker packer, ServerEndpoint endpoint) throws IOException {
         packer.packLong(endpoint.id());
         writeAddress(packer, endpoint.address());
-        packer.packInt(number(endpoint.mode())).packInt(endpoint.cell());
+        packer.packInt(number(endpoint.status())).packInt(endpoint.pool());
         writeWeight(packer, endpoint.weight());
         packer.packTimestamp(endpoint.startedAt());
     }
 
-    private static ServerLine endpoint(MessageUnpacker unpacker) throws IOException {
-        return new ServerLine(unpacker.unpackLong(), address(unpacker), mode(unpacker.unpackInt()), unpacker.unpackInt(),
+    private static ServerEndpoint endpoint(MessageUnpacker unpacker) throws IOException {
+        return new ServerEndpoint(unpacker.unpackLong(), address(unpacker), mode(unpacker.unpackInt()), unpacker.unpackInt(),
                 weight(unpacker.unpackDouble()), unpacker.unpackTimestamp());
     }
 
@@ -143,7 +143,7 @@
         return port;
     }
 
-    private static int number(Mode mode) {
+    private static int number(ServerStatus mode) {
         return switch (mode) {
             case RUNNING -> RUNNING;
             case DRAINING -> DRAINING;
@@ -151,10 +151,10 @@
         };
     }
 
-    private static Mode mode(int number) {
+    private static ServerStatus mode(int number) {
         return switch (number) {
-            case RUNNING -> Mode.RUNNING;
-            case DRAINING -> Mode.DRAINING;
+            case RUNNING -> ServerStatus.RUNNING;
+            case DRAINING -> ServerStatus.DRAINING;
             default -> throw new BadInput("an endpoint in mode " + number);
         };
     }
--- a/discovery/src/main/java/pathlane/discovery/ServiceDigest.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceDigest.java
@@ -5,7 +5,7 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.net.InetSocketAddress;
 import java.util.List;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 
 /**
  * A digest of a service's content: the sum, modulo 2^64, of one hash for each endpoint and one of the configuration. The sum
@@ -22,21 +22,21 @@
     private ServiceDigest() {}
 
     /** The digest of a whole content; the order of the endpoints is of no account. */
-    public static long of(List<ServerLine> endpoints, String configuration) {
+    public static long of(List<ServerEndpoint> endpoints, String configuration) {
         long digest = hash(configuration);
-        for (ServerLine endpoint : endpoints) {
+        for (ServerEndpoint endpoint : endpoints) {
             digest += hash(endpoint);
         }
         return digest;
     }
 
     /** The digest once an endpoint has been added. */
-    public static long with(long digest, ServerLine added) {
+    public static long with(long digest, ServerEndpoint added) {
         return digest + hash(added);
     }
 
     /** The digest once an endpoint that the content had has been taken out. */
-    public static long without(long digest, ServerLine removed) {
+    public static long without(long digest, ServerEndpoint removed) {
         return digest - hash(removed);
     }
 
@@ -49,10 +49,10 @@
         return HASH.hashStream().putByte(CONFIGURATION).putString(configuration).getAsLong();
     }
 
-    private static long hash(ServerLine endpoint) {
+    private static long hash(ServerEndpoint endpoint) {
         HashStream64 stream = HASH.hashStream().putByte(ENDPOINT).putLong(endpoint.id());
         putAddress(stream, endpoint.address());
-        return stream.putInt(endpoint.mode().ordinal()).putInt(endpoint.cell()).putDouble(endpoint.weight())
+        return stream.putInt(endpoint.status().ordinal()).putInt(endpoint.pool()).putDouble(endpoint.weight())
                 .putLong(endpoint.startedAt().getEpochSecond()).putInt(endpoint.startedAt().getNano()).getAsLong();
     }
 
--- a/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 
 /**
  * One service's state at a subscriber. A change is applied only where it leads to exactly the content that its sender holds;
@@ -30,7 +30,7 @@
     /** The sender does not hold the whole catalogue yet, and the change would take away what may exist. */
     public record Withheld(String reason) implements Result {}
 
-    private static final Comparator<ServerLine> BY_ID = Comparator.comparingLong(ServerLine::id);
+    private static final Comparator<ServerEndpoint> BY_ID = Comparator.comparingLong(ServerEndpoint::id);
 
     private final String service;
     private Revision revision;
@@ -118,7 +118,7 @@
             return new NeedsSnapshot("a delta from " + delta.from() + " where " + revision + " is in force");
         }
         ServiceState held = state.get();
-        List<ServerLine> endpoints = merge(held.endpoints(), delta.upserted(), delta.removed());
+        List<ServerEndpoint> endpoints = merge(held.endpoints(), delta.upserted(), delta.removed());
         String configuration = delta.configuration().orElse(held.configuration());
         if (digest(held, delta) != delta.digest()) {
             return new NeedsSnapshot("a delta whose result differs from its digest");
@@ -132,33 +132,33 @@
     private static long digest(ServiceState held, ServiceChange.Delta delta) {
         Set<Long> replaced = replaced(delta.upserted(), delta.removed());
         long digest = held.digest();
-        for (ServerLine line : held.endpoints()) {
+        for (ServerEndpoint line : held.endpoints()) {
             if (replaced.contains(line.id())) {
                 digest = ServiceDigest.without(digest, line);
             }
         }
-        for (ServerLine line : delta.upserted()) {
+        for (ServerEndpoint line : delta.upserted()) {
             digest = ServiceDigest.with(digest, line);
         }
         return ServiceDigest.withConfiguration(digest, held.configuration(),
                 delta.configuration().orElse(held.configuration()));
     }
 
-    private static Set<Long> replaced(List<ServerLine> upserted, List<Long> removed) {
+    private static Set<Long> replaced(List<ServerEndpoint> upserted, List<Long> removed) {
         Set<Long> replaced = new HashSet<>(removed);
         upserted.forEach(line -> replaced.add(line.id()));
         return replaced;
     }
 
-    private boolean takesAwayMost(List<ServerLine> fresh) {
-        List<ServerLine> held = state.map(ServiceState::endpoints).orElse(List.of());
+    private boolean takesAwayMost(List<ServerEndpoint> fresh) {
+        List<ServerEndpoint> held = state.map(ServiceState::endpoints).orElse(List.of());
         Set<Long> kept = new HashSet<>();
         fresh.forEach(line -> kept.add(line.id()));
         long removed = held.stream().filter(line -> !kept.contains(line.id())).count();
         return removed * 2 > held.size();
     }
 
-    private static boolean isAscending(List<ServerLine> endpoints) {
+    private static boolean isAscending(List<ServerEndpoint> endpoints) {
         for (int i = 1; i < endpoints.size(); i++) {
             if (endpoints.get(i - 1).id() >= endpoints.get(i).id()) {
                 return false;
@@ -168,9 +168,9 @@
     }
 
     /** The held endpoints, in ascending order, with some added or replaced and others taken out. */
-    private static List<ServerLine> merge(List<ServerLine> held, List<ServerLine> upserted, List<Long> removed) {
+    private static List<ServerEndpoint> merge(List<ServerEndpoint> held, List<ServerEndpoint> upserted, List<Long> removed) {
         Set<Long> replaced = replaced(upserted, removed);
-        List<ServerLine> merged = new ArrayList<>(held.size() + upserted.size());
+        List<ServerEndpoint> merged = new ArrayList<>(held.size() + upserted.size());
         held.stream().filter(line -> !replaced.contains(line.id())).forEach(merged::add);
         merged.addAll(upserted);
         merged.sort(BY_ID);   // two ascending runs: linear
--- a/discovery/src/main/java/pathlane/discovery/ServiceState.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceState.java
@@ -1,7 +1,7 @@
 package pathlane.discovery;
 
 import java.util.List;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 
 /**
  * What a catalogue holds of one service at one revision.
@@ -13,5 +13,5 @@
  *                  server that has gone is absent
  * @param configuration the service's configuration, opaque text; empty where it has none
  */
-public record ServiceState(String service, Revision revision, long digest, List<ServerLine> endpoints,
+public record ServiceState(String service, Revision revision, long digest, List<ServerEndpoint> endpoints,
         String configuration) {}
--- a/discovery/src/main/java/pathlane/discovery/Source.java
+++ b/discovery/src/main/java/pathlane/discovery/Source.java
@@ -4,7 +4,7 @@
 import java.util.random.RandomGenerator;
 import pathlane.core.Scheduler;
 import pathlane.group.SealedLink;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /**
  * The root of the tree of publishers: the catalogue that is written here, the publisher above it, and the time that each
--- a/discovery/src/main/java/pathlane/discovery/SubscriberPort.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberPort.java
@@ -1,6 +1,6 @@
 package pathlane.discovery;
 
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 
 /** A publisher's way to one subscriber. On the loop's thread. */
 public interface SubscriberPort {
@@ -15,5 +15,5 @@
     boolean isStuck();
 
     /** Closes the connection once all that was sent has left; {@link Publisher.Session#closed} follows. */
-    void close(ConnectionEnd why);
+    void close(CloseReason why);
 }
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.discovery.WatchMessage.Acknowledge;
 import pathlane.discovery.WatchMessage.Interest;
 import pathlane.discovery.WatchMessage.Progress;
@@ -112,7 +112,7 @@
         if (comeBackAfter.isPresent()) {
             metrics.refused++;
             send(WatchCodec.bytes(new Refused(comeBackAfter.get())));
-            end(ConnectionEnd.TURNED_AWAY);
+            end(CloseReason.LIMIT_REACHED);
             return false;
         }
         phase = Phase.WATCHING;
@@ -262,13 +262,13 @@
     void tick(Instant now, Duration heartbeatEvery) {
         if (phase == Phase.OPENED) {
             if (isOver(openedAt, terms.deadAfter(), now)) {
-                end(ConnectionEnd.UNFINISHED);
+                end(CloseReason.UNFINISHED);
             }
             return;
         }
         if (window.isDead(now)) {
             metrics.unresponsive++;
-            end(ConnectionEnd.SILENT);
+            end(CloseReason.SILENT);
             return;
         }
         flush();
@@ -323,7 +323,7 @@
     }
 
     /** Ends the session from this side. */
-    void end(ConnectionEnd why) {
+    void end(CloseReason why) {
         closed();
         port.close(why);
     }
--- a/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
+++ b/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import pathlane.decision.Gateway.Mode;
+import pathlane.decision.ServerStatus;
 
 /**
  * Works out what brings a subscriber from what it holds of a service to the newest state, and encodes it once for all
@@ -113,7 +113,7 @@
 
     private EncodedChange encode(ServiceChange.Delta delta, Held result) {
         boolean takesAway = !delta.removed().isEmpty()
-                || delta.upserted().stream().anyMatch(endpoint -> endpoint.mode() == Mode.DRAINING);
+                || delta.upserted().stream().anyMatch(endpoint -> endpoint.status() == ServerStatus.DRAINING);
         metrics.deltasEncoded++;
         return new EncodedChange(EncodedChange.Kind.DELTA, WatchCodec.bytes(delta), result, takesAway);
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchClient.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchClient.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.discovery.WatchMessage.Interest;
 import pathlane.discovery.WatchTerms.PublisherAddress;
 import pathlane.group.SealedLink;
-import pathlane.link.Dialer;
+import pathlane.transport.Connector;
 import pathlane.wire.BadInput;
 
 /**
@@ -30,7 +30,7 @@
     private static final int INTERESTS_PER_MESSAGE = 1_000;
 
     private final WatchTerms terms;
-    private final Dialer dialer;
+    private final Connector dialer;
     private final SealedLink.Common common;
     private final Scheduler scheduler;
     private final WatchListener listener;
@@ -51,7 +51,7 @@
     private Optional<ProgressReport> sentReport = Optional.empty();
 
     /** Dials nothing yet. */
-    public WatchClient(WatchTerms terms, Dialer dialer, SealedLink.Common common, Scheduler scheduler,
+    public WatchClient(WatchTerms terms, Connector dialer, SealedLink.Common common, Scheduler scheduler,
             RandomGenerator random, WatchListener listener) {
         this.terms = terms;
         this.dialer = dialer;
@@ -78,7 +78,7 @@
         current = Optional.empty();
         candidate = Optional.empty();
         status = Optional.empty();
-        sessions.forEach(session -> session.ifPresent(one -> one.end(ConnectionEnd.ENDED)));
+        sessions.forEach(session -> session.ifPresent(one -> one.end(CloseReason.SHUTDOWN)));
     }
 
     private void cancelTimers() {
@@ -178,7 +178,7 @@
 
     private WatchSession open(PublisherAddress publisher) {
         WatchSession session = new WatchSession(publisher, common, scheduler, terms.silentAfter(), tally, connections);
-        dialer.dial(publisher.address(), DIAL_TIMEOUT, session.link());
+        dialer.connect(publisher.address(), DIAL_TIMEOUT, session.link());
         return session;
     }
 
@@ -208,12 +208,12 @@
             throw new BadInput("a watch that is accepted twice");
         }
         if (services.isOutdated(fresh.revision())) {
-            session.end(ConnectionEnd.OVERTAKEN);   // it never heard that the source has begun anew
+            session.end(CloseReason.OVERTAKEN);   // it never heard that the source has begun anew
             return;
         }
         if (isCandidate(session)) {
             if (!isReliable(fresh)) {
-                session.end(ConnectionEnd.DISCONNECTED);
+                session.end(CloseReason.DISCONNECTED);
                 return;
             }
             moveTo(session);
@@ -235,17 +235,17 @@
         Optional<WatchSession> former = current;
         current = Optional.of(better);
         candidate = Optional.empty();
-        former.ifPresent(session -> session.end(ConnectionEnd.REPLACED));
+        former.ifPresent(session -> session.end(CloseReason.REPLACED));
     }
 
     private void refused(WatchSession session, Duration comeBackAfter) {
         tally.refused++;
         session.setRefused();
         selector.refused(session.publisher().name(), comeBackAfter, scheduler.now());
-        session.end(ConnectionEnd.TURNED_AWAY);
+        session.end(CloseReason.LIMIT_REACHED);
     }
 
-    private void lost(WatchSession session, ConnectionEnd end) {
+    private void lost(WatchSession session, CloseReason end) {
         current = Optional.empty();
         if (session.isAccepted()) {
             LOG.log(Level.WARNING, "the publisher {0} is lost: {1}; the last state stays in force",
@@ -340,7 +340,7 @@
             if (isCurrent(session) || isCandidate(session)) {
                 resume(session);
             } else {
-                session.end(ConnectionEnd.ENDED);
+                session.end(CloseReason.SHUTDOWN);
             }
         }
 
@@ -361,7 +361,7 @@
         }
 
         @Override
-        public void ended(WatchSession session, ConnectionEnd end) {
+        public void ended(WatchSession session, CloseReason end) {
             if (!isCurrent(session) && !isCandidate(session)) {
                 return;
             }
--- a/discovery/src/main/java/pathlane/discovery/WatchSession.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchSession.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.discovery.WatchMessage.Request;
 import pathlane.discovery.WatchMessage.Response;
@@ -22,7 +22,7 @@
         void received(WatchSession session, Response response);
 
         /** It has ended, or never came up; called once, and last. */
-        void ended(WatchSession session, ConnectionEnd end);
+        void ended(WatchSession session, CloseReason end);
     }
 
     private static final Duration LEAST_CHECK = Duration.ofMillis(10);
@@ -83,7 +83,7 @@
     }
 
     /** Ends it; the owner hears of it within this call, however long the connection takes to close. */
-    void end(ConnectionEnd why) {
+    void end(CloseReason why) {
         link.end(why);
         down(why);
     }
@@ -100,7 +100,7 @@
         Duration silent = Duration.between(lastReceived, scheduler.now()).minus(scheduler.lag());
         Duration left = silentAfter.minus(silent);
         if (left.isZero() || left.isNegative()) {
-            end(ConnectionEnd.SILENT);
+            end(CloseReason.SILENT);
             return;
         }
         silence = scheduler.after(left.compareTo(LEAST_CHECK) < 0 ? LEAST_CHECK : left, this::checkSilence);
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public void down(ConnectionEnd end) {
+    public void down(CloseReason end) {
         if (ended) {
             return;
         }
--- a/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
+++ b/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
@@ -18,8 +18,8 @@
 import java.util.Random;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.ServiceChange.Delta;
 import pathlane.discovery.ServiceChange.Snapshot;
 
@@ -49,7 +49,7 @@
     void anEndpointThatIsGoneIsRemoved() {
         Catalogue catalogue = begun(10);
         catalogue.replace("a", endpoints(1, 2), "");
-        catalogue.update("a", List.of(endpoint(1, Mode.GONE)), List.of(), Optional.empty());
+        catalogue.update("a", List.of(endpoint(1, ServerStatus.GONE)), List.of(), Optional.empty());
         assertEquals(endpoints(2, 2), catalogue.state("a").orElseThrow().endpoints());
     }
 
@@ -57,9 +57,9 @@
     void theDigestIsThatOfTheContentAfterAnyChanges() {
         Random random = new Random(3);
         Catalogue catalogue = begun(10);
-        Map<Long, ServerLine> content = new HashMap<>();
+        Map<Long, ServerEndpoint> content = new HashMap<>();
         for (int i = 0; i < 500; i++) {
-            ServerLine endpoint = endpoint(random.nextInt(20), Mode.values()[random.nextInt(2)]);
+            ServerEndpoint endpoint = endpoint(random.nextInt(20), ServerStatus.values()[random.nextInt(2)]);
             if (random.nextBoolean()) {
                 content.put(endpoint.id(), endpoint);
                 catalogue.update("a", List.of(endpoint), List.of(), Optional.of("c" + i / 100));
@@ -67,7 +67,7 @@
                 content.remove(endpoint.id());
                 catalogue.update("a", List.of(), List.of(endpoint.id()), Optional.of("c" + i / 100));
             }
-            List<ServerLine> shuffled = new ArrayList<>(content.values());
+            List<ServerEndpoint> shuffled = new ArrayList<>(content.values());
             Collections.shuffle(shuffled, random);
             assertEquals(ServiceDigest.of(shuffled, "c" + i / 100), catalogue.state("a").orElseThrow().digest());
         }
@@ -75,16 +75,17 @@
 
     @Test
     void theDigestDependsOnEveryField() {
-        ServerLine one = endpoint(1);
+        ServerEndpoint one = endpoint(1);
         long digest = ServiceDigest.of(List.of(one), "");
         InetSocketAddress address = one.address();
-        for (ServerLine other : List.of(new ServerLine(2, address, Mode.RUNNING, 1, 1, Instant.EPOCH),
-                new ServerLine(1, new InetSocketAddress("127.0.0.2", address.getPort()), Mode.RUNNING, 1, 1, Instant.EPOCH),
-                new ServerLine(1, new InetSocketAddress("127.0.0.1", 1), Mode.RUNNING, 1, 1, Instant.EPOCH),
-                new ServerLine(1, address, Mode.DRAINING, 1, 1, Instant.EPOCH),
-                new ServerLine(1, address, Mode.RUNNING, 2, 1, Instant.EPOCH),
-                new ServerLine(1, address, Mode.RUNNING, 1, 2, Instant.EPOCH),
-                new ServerLine(1, address, Mode.RUNNING, 1, 1, Instant.ofEpochSecond(0, 1)))) {
+        for (ServerEndpoint other : List.of(new ServerEndpoint(2, address, ServerStatus.RUNNING, 1, 1, Instant.EPOCH),
+                new ServerEndpoint(1, new InetSocketAddress("127.0.0.2", address.getPort()), ServerStatus.RUNNING, 1, 1,
+                        Instant.EPOCH),
+                new ServerEndpoint(1, new InetSocketAddress("127.0.0.1", 1), ServerStatus.RUNNING, 1, 1, Instant.EPOCH),
+                new ServerEndpoint(1, address, ServerStatus.DRAINING, 1, 1, Instant.EPOCH),
+                new ServerEndpoint(1, address, ServerStatus.RUNNING, 2, 1, Instant.EPOCH),
+                new ServerEndpoint(1, address, ServerStatus.RUNNING, 1, 2, Instant.EPOCH),
+                new ServerEndpoint(1, address, ServerStatus.RUNNING, 1, 1, Instant.ofEpochSecond(0, 1)))) {
             assertNotEquals(digest, ServiceDigest.of(List.of(other), ""));
         }
         assertNotEquals(digest, ServiceDigest.of(List.of(one), "x"));
@@ -96,10 +97,10 @@
         Revision from = catalogue.replace("a", endpoints(1, 3), "x");
         catalogue.update("a", List.of(endpoint(4), endpoint(5)), List.of(1L), Optional.empty());
         catalogue.replace("b", endpoints(1, 3), "");
-        catalogue.update("a", List.of(endpoint(2, Mode.DRAINING)), List.of(5L), Optional.of("y"));
+        catalogue.update("a", List.of(endpoint(2, ServerStatus.DRAINING)), List.of(5L), Optional.of("y"));
         ServiceState now = catalogue.state("a").orElseThrow();
         assertEquals(Optional.of(new Delta("a", from, now.revision(), now.digest(),
-                List.of(endpoint(2, Mode.DRAINING), endpoint(4)), List.of(1L, 5L), Optional.of("y"))),
+                List.of(endpoint(2, ServerStatus.DRAINING), endpoint(4)), List.of(1L, 5L), Optional.of("y"))),
                 deltaSince(catalogue, from));
         assertEquals(Optional.empty(), deltaSince(catalogue, new Revision(1, 9)));
     }
@@ -186,12 +187,13 @@
     @Test
     void whatNoSubscriberCouldReadIsRefusedBeforeAnythingChanges() {
         Catalogue catalogue = begun(10);
-        ServerLine weightless = new ServerLine(1, endpoint(1).address(), Mode.RUNNING, 0, Double.NaN, Instant.EPOCH);
+        ServerEndpoint weightless =
+                new ServerEndpoint(1, endpoint(1).address(), ServerStatus.RUNNING, 0, Double.NaN, Instant.EPOCH);
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("", List.of(), ""));
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("x".repeat(65), List.of(), ""));
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("a", List.of(weightless), ""));
-        List<ServerLine> many = LongStream.range(0, 65_537).mapToObj(id -> new ServerLine(id, endpoint(1).address(),
-                Mode.RUNNING, 0, 1, Instant.EPOCH)).toList();
+        List<ServerEndpoint> many = LongStream.range(0, 65_537).mapToObj(id -> new ServerEndpoint(id, endpoint(1).address(),
+                ServerStatus.RUNNING, 0, 1, Instant.EPOCH)).toList();
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("a", many, ""));
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("a", List.of(), "x".repeat(70_000)));
         assertEquals(List.of(), catalogue.services());
--- a/discovery/src/test/java/pathlane/discovery/PublisherAdmissionTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherAdmissionTest.java
@@ -6,7 +6,7 @@
 
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.discovery.PublisherHarness.Subscriber;
 import pathlane.discovery.WatchMessage.Accepted;
 import pathlane.discovery.WatchMessage.Refused;
@@ -24,7 +24,7 @@
         Duration first = fourth.all(Refused.class).get(0).comeBackAfter();
         Duration second = fifth.all(Refused.class).get(0).comeBackAfter();
         assertTrue(first.toMillis() >= 100 && second.toMillis() >= 200 && second.toMillis() <= 250, first + " " + second);
-        assertEquals(ConnectionEnd.TURNED_AWAY, fourth.end);
+        assertEquals(CloseReason.LIMIT_REACHED, fourth.end);
         harness.time.pass(first);
         assertEquals(1, harness.subscriber("c4").watch("a").all(Accepted.class).size());
         assertEquals(2, harness.publisher.counters().refused());
@@ -51,8 +51,8 @@
         harness.time.pass(Duration.ofMillis(4_900));
         assertNull(silent.end);
         harness.time.pass(Duration.ofMillis(300));
-        assertEquals(ConnectionEnd.SILENT, silent.end);
-        assertEquals(ConnectionEnd.UNFINISHED, unspoken.end);
+        assertEquals(CloseReason.SILENT, silent.end);
+        assertEquals(CloseReason.UNFINISHED, unspoken.end);
         assertNull(alive.end);
         assertEquals(1, harness.publisher.counters().unresponsive());
         alive.disconnect();
@@ -73,6 +73,6 @@
         subscriber.acknowledging();
         harness.time.pass(Duration.ofSeconds(4));
         assertNull(subscriber.end);
-        assertEquals(ConnectionEnd.UNFINISHED, unspoken.end);
+        assertEquals(CloseReason.UNFINISHED, unspoken.end);
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.discovery.WatchMessage.Interest;
 import pathlane.discovery.WatchMessage.Subscribe;
@@ -91,7 +91,7 @@
         boolean acknowledges;
         boolean stuck;
         boolean closesWithinSend;
-        ConnectionEnd end;
+        CloseReason end;
 
         private Subscriber(String name) {
             this.name = name;
@@ -174,7 +174,7 @@
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             end = why;
             session.closed();
         }
--- a/discovery/src/test/java/pathlane/discovery/PublisherLinkTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherLinkTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.group.SealedLink;
 
 /** A source behind signed frames, and the frames of a subscriber. */
@@ -22,7 +22,7 @@
     private final Source source = new Source(1, PublisherHarness.TERMS, network.common("source"), network.time,
             new Random(1));
     private final List<WatchMessage> received = new ArrayList<>();
-    private ConnectionEnd end;
+    private CloseReason end;
     private final SealedLink client = new SealedLink(network.common("c1"), true, new SealedLink.Upper() {
         @Override
         public void up(SealedLink link, String name) {
@@ -35,14 +35,14 @@
         }
 
         @Override
-        public void down(ConnectionEnd why) {
+        public void down(CloseReason why) {
             end = why;
         }
     });
 
     private void connect() {
         network.listen(ADDRESS, source::accept);
-        network.dial(ADDRESS, Duration.ofSeconds(1), client);
+        network.connect(ADDRESS, Duration.ofSeconds(1), client);
         network.pass(Duration.ofMillis(200));
     }
 
@@ -64,7 +64,7 @@
         assertEquals(1, source.publisher().counters().subscribers());
         client.write(new byte[] {99});
         network.pass(Duration.ofMillis(100));
-        assertEquals(ConnectionEnd.CLOSED_BY_PEER, end);
+        assertEquals(CloseReason.CLOSED_BY_PEER, end);
         assertEquals(0, source.publisher().counters().subscribers());
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/PublisherTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import pathlane.decision.Gateway.Mode;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.PublisherHarness.Subscriber;
 import pathlane.discovery.ServiceChange.Absent;
 import pathlane.discovery.ServiceChange.Delta;
@@ -94,7 +94,7 @@
         subscriber.clear();
         harness.catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
         harness.catalogue.update("b", List.of(endpoint(4)), List.of(), Optional.empty());
-        harness.catalogue.update("c", List.of(endpoint(1, Mode.DRAINING)), List.of(), Optional.empty());
+        harness.catalogue.update("c", List.of(endpoint(1, ServerStatus.DRAINING)), List.of(), Optional.empty());
         harness.catalogue.update("d", List.of(), List.of(1L), Optional.empty());
         harness.catalogue.update("b", List.of(), List.of(2L), Optional.empty());
         harness.endTurn();
--- a/discovery/src/test/java/pathlane/discovery/RelayTest.java
+++ b/discovery/src/test/java/pathlane/discovery/RelayTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.discovery.WatchTerms.PublisherAddress;
 
 /** A source, two relays one above the other, and a controller's client below them, over signed links in virtual time. */
@@ -113,7 +113,7 @@
     @Test
     void aRelayWithoutItsSourceServesOnAndSaysHowOldItsContentIs() {
         network.stopListening(SOURCE);
-        source.publisher().close(ConnectionEnd.ENDED);
+        source.publisher().close(CloseReason.SHUTDOWN);
         network.pass(Duration.ofSeconds(20));
         assertEquals(10, client.state(Samples.SERVICE).orElseThrow().endpoints().size());
         PublisherStatus status = client.status().orElseThrow();
@@ -126,7 +126,7 @@
 
     @Test
     void aSourceThatStartsAnewIsFollowedWithoutContentWhereNothingDiffers() {
-        source.publisher().close(ConnectionEnd.ENDED);
+        source.publisher().close(CloseReason.SHUTDOWN);
         Source former = source;
         source = source(2);
         source.catalogue().replace(Samples.SERVICE, Samples.endpoints(1, 10), "");
@@ -136,7 +136,7 @@
         assertEquals(new Revision(2, 1), client.inForce());
         assertEquals(Optional.empty(), lower.catalogue().state("other"));
         network.listen(SOURCE, former::accept);   // the old process was stopped, and goes on
-        source.publisher().close(ConnectionEnd.ENDED);
+        source.publisher().close(CloseReason.SHUTDOWN);
         network.pass(Duration.ofSeconds(10));
         assertEquals(Optional.empty(), upper.upstream().publisher());
         assertEquals(new Revision(2, 1), client.inForce());
@@ -145,7 +145,7 @@
     @Test
     void aRelayThatStartsEmptyIsNotUsedBeforeItHasEverything() {
         network.stopListening(SOURCE);
-        source.publisher().close(ConnectionEnd.ENDED);
+        source.publisher().close(CloseReason.SHUTDOWN);
         lower.stop();
         Relay fresh = relay("fresh", SOURCE);
         network.listen(LOWER, fresh::accept);
--- a/discovery/src/test/java/pathlane/discovery/Samples.java
+++ b/discovery/src/test/java/pathlane/discovery/Samples.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.stream.LongStream;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 /** Content of services for tests. */
 final class Samples {
@@ -17,30 +17,30 @@
 
     private Samples() {}
 
-    static ServerLine endpoint(long id, Mode mode) {
-        return new ServerLine(id, new InetSocketAddress("127.0.0.1", 1000 + (int) id), mode, 1, 1, Instant.EPOCH);
+    static ServerEndpoint endpoint(long id, ServerStatus mode) {
+        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", 1000 + (int) id), mode, 1, 1, Instant.EPOCH);
     }
 
-    static ServerLine endpoint(long id) {
-        return endpoint(id, Mode.RUNNING);
+    static ServerEndpoint endpoint(long id) {
+        return endpoint(id, ServerStatus.RUNNING);
     }
 
     /** The ids from one to another, both among them. */
-    static List<ServerLine> endpoints(long from, long to) {
+    static List<ServerEndpoint> endpoints(long from, long to) {
         return LongStream.rangeClosed(from, to).mapToObj(Samples::endpoint).toList();
     }
 
-    static ServiceState state(Revision revision, List<ServerLine> endpoints) {
+    static ServiceState state(Revision revision, List<ServerEndpoint> endpoints) {
         return new ServiceState(SERVICE, revision, ServiceDigest.of(endpoints, ""), endpoints, "");
     }
 
-    static ServiceChange.Snapshot snapshot(Revision revision, List<ServerLine> endpoints) {
+    static ServiceChange.Snapshot snapshot(Revision revision, List<ServerEndpoint> endpoints) {
         return new ServiceChange.Snapshot(state(revision, endpoints));
     }
 
     /** The delta that adds an endpoint to a state. */
-    static ServiceChange.Delta adding(ServiceState before, Revision revision, ServerLine added) {
-        List<ServerLine> after = new ArrayList<>(before.endpoints());
+    static ServiceChange.Delta adding(ServiceState before, Revision revision, ServerEndpoint added) {
+        List<ServerEndpoint> after = new ArrayList<>(before.endpoints());
         after.add(added);
         return new ServiceChange.Delta(SERVICE, before.revision(), revision, ServiceDigest.of(after, ""), List.of(added),
                 List.of(), Optional.empty());
@@ -49,7 +49,7 @@
     /** The delta that removes endpoints from a state. */
     static ServiceChange.Delta removing(ServiceState before, Revision revision, Long... ids) {
         List<Long> removed = Arrays.asList(ids);
-        List<ServerLine> after = before.endpoints().stream().filter(line -> !removed.contains(line.id())).toList();
+        List<ServerEndpoint> after = before.endpoints().stream().filter(line -> !removed.contains(line.id())).toList();
         return new ServiceChange.Delta(SERVICE, before.revision(), revision, ServiceDigest.of(after, ""), List.of(),
                 removed, Optional.empty());
     }
--- a/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
+++ b/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
@@ -4,11 +4,11 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.discovery.WatchMessage.Acknowledge;
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.group.SealedLink;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /** A publisher that says what a test has it say, and keeps what it heard. */
 final class ScriptedPublisher implements SealedLink.Upper {
@@ -65,7 +65,7 @@
     void dies() {
         network.stopListening(address);
         if (link != null) {
-            link.end(ConnectionEnd.ENDED);
+            link.end(CloseReason.SHUTDOWN);
         }
     }
 
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void down(ConnectionEnd end) {
+    public void down(CloseReason end) {
         open--;
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/ServiceReplicaTest.java
+++ b/discovery/src/test/java/pathlane/discovery/ServiceReplicaTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.ServiceReplica.Applied;
 import pathlane.discovery.ServiceReplica.Ignored;
 import pathlane.discovery.ServiceReplica.NeedsSnapshot;
@@ -26,15 +26,15 @@
         assertInstanceOf(Applied.class, replica.apply(new ServiceChange.Snapshot(TEN), true));
     }
 
-    private List<ServerLine> held() {
+    private List<ServerEndpoint> held() {
         return replica.state().orElseThrow().endpoints();
     }
 
     @Test
     void aDeltaThatFollowsChangesExactlyWhatItSays() {
         holdTen();
-        ServerLine draining = Samples.endpoint(4, Mode.DRAINING);
-        List<ServerLine> after = List.of(Samples.endpoint(1), draining, Samples.endpoint(5), Samples.endpoint(11));
+        ServerEndpoint draining = Samples.endpoint(4, ServerStatus.DRAINING);
+        List<ServerEndpoint> after = List.of(Samples.endpoint(1), draining, Samples.endpoint(5), Samples.endpoint(11));
         ServiceChange.Delta delta = new ServiceChange.Delta(Samples.SERVICE, FIRST, SECOND, ServiceDigest.of(after, "slow"),
                 List.of(Samples.endpoint(11), draining), List.of(2L, 3L, 6L, 7L, 8L, 9L, 10L), Optional.of("slow"));
         assertInstanceOf(Applied.class, replica.apply(delta, true));
--- a/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
+++ b/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.group.Keys;
 import pathlane.group.SealedLink;
-import pathlane.link.Connection;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.Connection;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 
 /** Connections in one process and in virtual time; bytes take a millisecond. Listeners can be taken away and put back. */
-final class VirtualNetwork implements Dialer {
+final class VirtualNetwork implements Connector {
 
     private static final Duration LATENCY = Duration.ofMillis(1);
     private static final Keys KEYS = Keys.read("test 000102030405060708090a0b0c0d0e0f");
@@ -29,7 +29,8 @@
 
     SealedLink.Common common(String name) {
         return new SealedLink.Common(name, () -> KEYS,
-                () -> ByteBuffer.allocate(16).putLong(nonces.incrementAndGet()).array(), time, new LimitedLog("test", time));
+                () -> ByteBuffer.allocate(16).putLong(nonces.incrementAndGet()).array(), time,
+                new RateLimitedLog("test", time));
     }
 
     void listen(InetSocketAddress address, Supplier<Protocol> accept) {
@@ -45,11 +46,11 @@
     }
 
     @Override
-    public void dial(InetSocketAddress address, Duration timeout, Protocol protocol) {
+    public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
         time.after(LATENCY, () -> {
             Supplier<Protocol> accept = listeners.get(address);
             if (accept == null) {
-                protocol.closed(ConnectionEnd.REFUSED);
+                protocol.closed(CloseReason.REFUSED);
                 return;
             }
             End near = new End(protocol);
@@ -82,12 +83,12 @@
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             ended(why);
-            time.after(LATENCY, () -> other.ended(ConnectionEnd.CLOSED_BY_PEER));
+            time.after(LATENCY, () -> other.ended(CloseReason.CLOSED_BY_PEER));
         }
 
-        private void ended(ConnectionEnd why) {
+        private void ended(CloseReason why) {
             if (open) {
                 open = false;
                 time.after(Duration.ZERO, () -> protocol.closed(why));
--- a/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
+++ b/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
@@ -15,8 +15,8 @@
 import java.util.Optional;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.ServiceChange.Absent;
 import pathlane.discovery.ServiceChange.Delta;
 import pathlane.discovery.ServiceChange.Snapshot;
@@ -35,10 +35,11 @@
 
     private static final Revision REVISION = new Revision(Long.MAX_VALUE, 3);
     private static final PublisherStatus STATUS = new PublisherStatus(true, REVISION, Duration.ofMillis(1_234));
-    private static final ServerLine ODD = new ServerLine(Long.MIN_VALUE, new InetSocketAddress("::1", 65_535),
-            Mode.DRAINING, -5, 0.1, Instant.parse("2026-01-02T03:04:05.006007008Z"));
-    private static final ServerLine NAMED = new ServerLine(-1, InetSocketAddress.createUnresolved("server.example", 0),
-            Mode.RUNNING, 9, 2, Instant.ofEpochSecond(-1));
+    private static final ServerEndpoint ODD = new ServerEndpoint(Long.MIN_VALUE, new InetSocketAddress("::1", 65_535),
+            ServerStatus.DRAINING, -5, 0.1, Instant.parse("2026-01-02T03:04:05.006007008Z"));
+    private static final ServerEndpoint NAMED =
+            new ServerEndpoint(-1, InetSocketAddress.createUnresolved("server.example", 0),
+                    ServerStatus.RUNNING, 9, 2, Instant.ofEpochSecond(-1));
     private static final ServiceChange SNAPSHOT =
             new Snapshot(new ServiceState("ä", REVISION, -7, List.of(ODD, NAMED, endpoint(5)), "text"));
     private static final ServiceChange DELTA = new Delta("b", Revision.NONE, REVISION, 7, List.of(ODD), List.of(-1L, 2L),
@@ -103,8 +104,8 @@
         assertRefused(new Progress(new ProgressReport(
                 Collections.nCopies(17, new ProgressReport.Level(REVISION, 1)), List.of())));
         assertRefused(new Progress(new ProgressReport(List.of(new ProgressReport.Level(REVISION, 1L << 31)), List.of())));
-        assertRefused(new Update(1, List.of(new Delta("a", REVISION, REVISION, 0, List.of(new ServerLine(1,
-                endpoint(1).address(), Mode.RUNNING, 0, Double.NaN, Instant.EPOCH)), List.of(), Optional.empty()))));
+        assertRefused(new Update(1, List.of(new Delta("a", REVISION, REVISION, 0, List.of(new ServerEndpoint(1,
+                endpoint(1).address(), ServerStatus.RUNNING, 0, Double.NaN, Instant.EPOCH)), List.of(), Optional.empty()))));
     }
 
     private static void assertRefused(WatchMessage message) {
--- a/example/grpc/src/main/java/example/SigningExample.java
+++ b/example/grpc/src/main/java/example/SigningExample.java
@@ -72,7 +72,7 @@
                 System.out.println("try " + attempt + ": " + e.getStatus());
             }
         }
-        System.out.println(pathlane.tries() + " " + pathlane.counters().line());
+        System.out.println(pathlane.tries() + " " + pathlane.counters().summary());
         channel.shutdownNow();
         pathlane.close();
         server.shutdownNow();
--- a/files/src/main/java/pathlane/files/TomlFile.java
+++ b/files/src/main/java/pathlane/files/TomlFile.java
@@ -16,7 +16,7 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
-import pathlane.link.Addresses;
+import pathlane.transport.Addresses;
 
 /**
  * One table of a TOML file, read key by key. Whatever can't be used ends in an {@link IllegalArgumentException} with one
--- a/group/src/main/java/pathlane/group/RegisterClient.java
+++ b/group/src/main/java/pathlane/group/RegisterClient.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Dialer;
+import pathlane.transport.Connector;
 import pathlane.wire.BadInput;
 
 /**
@@ -42,7 +42,7 @@
     private static final Duration UNANSWERED = Duration.ofSeconds(1);
 
     private final List<InetSocketAddress> voters;
-    private final Dialer dialer;
+    private final Connector dialer;
     private final Scheduler scheduler;
     private final SealedLink.Common common;
     private final Runnable changed;
@@ -61,7 +61,7 @@
      *
      * @param changed run after each change of the register that was followed
      */
-    public RegisterClient(List<InetSocketAddress> voters, Dialer dialer, SealedLink.Common common, Runnable changed) {
+    public RegisterClient(List<InetSocketAddress> voters, Connector dialer, SealedLink.Common common, Runnable changed) {
         this.voters = List.copyOf(voters);
         this.dialer = dialer;
         this.scheduler = common.scheduler();
@@ -78,7 +78,7 @@
     public void stop() {
         stopped = true;
         if (session != null) {
-            session.link.end(ConnectionEnd.DISCONNECTED);
+            session.link.end(CloseReason.DISCONNECTED);
         }
     }
 
@@ -118,7 +118,7 @@
     private void dial() {
         if (!stopped) {
             session = new Session();
-            dialer.dial(voters.get(voter), DIAL_TIMEOUT, session.link);
+            dialer.connect(voters.get(voter), DIAL_TIMEOUT, session.link);
         }
     }
 
@@ -146,7 +146,7 @@
             if (silence != null) {
                 silence.cancel();
             }
-            silence = scheduler.after(SILENCE, () -> link.end(ConnectionEnd.SILENT));
+            silence = scheduler.after(SILENCE, () -> link.end(CloseReason.SILENT));
         }
 
         @Override
@@ -162,11 +162,11 @@
             int kind = unpacker.unpackInt();
             switch (kind) {
                 case ANSWER -> answer(unpacker.unpackLong(), Optional.of(RegisterCodec.reply(binary(unpacker))));
-                case ELSEWHERE -> link.end(ConnectionEnd.DISCONNECTED);
+                case ELSEWHERE -> link.end(CloseReason.DISCONNECTED);
                 case STATE -> {
                     long at = unpacker.unpackLong();
                     if (at < index) {
-                        link.end(ConnectionEnd.OVERTAKEN);   // it led once, and does not know that it is behind
+                        link.end(CloseReason.OVERTAKEN);   // it led once, and does not know that it is behind
                         return;
                     }
                     seen = RegisterCodec.register(binary(unpacker));
@@ -188,7 +188,7 @@
         }
 
         @Override
-        public void down(ConnectionEnd end) {
+        public void down(CloseReason end) {
             if (silence != null) {
                 silence.cancel();
             }
--- a/group/src/main/java/pathlane/group/SealedLink.java
+++ b/group/src/main/java/pathlane/group/SealedLink.java
@@ -9,11 +9,11 @@
 import java.util.function.Supplier;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 import pathlane.wire.BadInput;
 import pathlane.wire.FrameAssembler;
 
@@ -46,7 +46,7 @@
         void message(byte[] payload);
 
         /** It has ended, or never came up; called once, and last. */
-        void down(ConnectionEnd end);
+        void down(CloseReason end);
     }
 
     /**
@@ -56,7 +56,7 @@
      * @param random fills 16 bytes that are never the same again
      */
     public record Common(String name, Supplier<Keys> keys, Supplier<byte[]> random, Scheduler scheduler,
-            LimitedLog log) {}
+            RateLimitedLog log) {}
 
     private final Common common;
     private final boolean dialled;
@@ -93,7 +93,7 @@
         signs = mac(key.secret());
         connection.write(ByteBuffer.allocate(LENGTH_BYTES + ownOpening.length).putInt(ownOpening.length).put(ownOpening)
                 .array());
-        opening = common.scheduler().after(OPENING, () -> end(ConnectionEnd.UNFINISHED));
+        opening = common.scheduler().after(OPENING, () -> end(CloseReason.UNFINISHED));
     }
 
     private static Mac mac(byte[] secret) {
@@ -113,7 +113,7 @@
         } catch (BadInput e) {
             common.log().warn("{0} closed: {1}", otherName == null ? connection.remote() : otherName, e.getMessage());
             bytes.position(bytes.limit());
-            end(ConnectionEnd.BAD_INPUT);
+            end(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -204,11 +204,11 @@
 
     /** Whether the other side has stopped reading. */
     public boolean isStuck() {
-        return connection != null && connection.isStuck();
+        return connection != null && connection.isBlocked();
     }
 
     /** Closes it; {@link Upper#down} follows. */
-    public void end(ConnectionEnd why) {
+    public void end(CloseReason why) {
         ended = true;
         if (opening != null) {
             opening.cancel();
@@ -219,7 +219,7 @@
     }
 
     @Override
-    public void closed(ConnectionEnd end) {
+    public void closed(CloseReason end) {
         ended = true;
         if (opening != null) {
             opening.cancel();
--- a/group/src/main/java/pathlane/group/Voter.java
+++ b/group/src/main/java/pathlane/group/Voter.java
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.msgpack.core.MessageUnpacker;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 import pathlane.wire.BadInput;
 
 /**
@@ -66,7 +66,7 @@
 
     public void stop() {
         stopped = true;
-        List.copyOf(sessions).forEach(session -> session.link.end(ConnectionEnd.DISCONNECTED));
+        List.copyOf(sessions).forEach(session -> session.link.end(CloseReason.DISCONNECTED));
     }
 
     /** The state machine for a connection that a member has opened. */
@@ -114,7 +114,7 @@
         register = RegisterCodec.register(state);
         expiry.forget();
         sessions.forEach(session -> session.follows = false);
-        List.copyOf(sessions).forEach(session -> session.link.end(ConnectionEnd.OVERTAKEN));
+        List.copyOf(sessions).forEach(session -> session.link.end(CloseReason.OVERTAKEN));
     }
 
     /** All of the register, for a new beginning of the log. */
@@ -250,7 +250,7 @@
         }
 
         @Override
-        public void down(ConnectionEnd end) {
+        public void down(CloseReason end) {
             sessions.remove(this);
         }
     }
--- a/grpc/src/main/java/pathlane/grpc/Attempt.java
+++ b/grpc/src/main/java/pathlane/grpc/Attempt.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
 import pathlane.core.Scheduler;
+import pathlane.decision.Outcome;
 import pathlane.grpc.Endings.StreamEnd;
 
 /**
@@ -220,7 +221,7 @@
         boolean neverRan = neverSent || streams.get() > 1 && !fromServer;
         StreamEnd end = new StreamEnd(status.getCode(), fromServer, neverRan,
                 Optional.ofNullable(trailers.get(Endings.PUSHBACK)));
-        if (Endings.ofAttempt(end) == pathlane.decision.Gateway.Ending.COMPLETED) {
+        if (Endings.ofAttempt(end) == Outcome.COMPLETED) {
             stood();
         }
         if (state.get() == State.STOOD) {
--- a/grpc/src/main/java/pathlane/grpc/BusNameResolver.java
+++ b/grpc/src/main/java/pathlane/grpc/BusNameResolver.java
@@ -12,8 +12,8 @@
 import java.util.SplittableRandom;
 import pathlane.bus.BusFeed;
 import pathlane.bus.ServerList;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 /**
  * Follows the event bus: servers with their ids, drains and starts, as soon as the bus tells them. Each address group
@@ -23,12 +23,12 @@
 
     /** All that the list says of the server at an address. */
     @EquivalentAddressGroup.Attr
-    static final Attributes.Key<ServerLine> LINE = Attributes.Key.create("pathlane-server-line");
+    static final Attributes.Key<ServerEndpoint> LINE = Attributes.Key.create("pathlane-server-line");
 
     private final InetSocketAddress bus;
     private final SocketDialer dialer;
     private final LoopTime time;
-    private final Map<Long, ServerLine> lines = new LinkedHashMap<>();
+    private final Map<Long, ServerEndpoint> lines = new LinkedHashMap<>();
     private Listener2 listener;
     private boolean shutdown;
 
@@ -56,8 +56,8 @@
         if (list.whole()) {
             lines.clear();
         }
-        for (ServerLine line : list.lines()) {
-            if (line.mode() == Mode.GONE) {
+        for (ServerEndpoint line : list.lines()) {
+            if (line.status() == ServerStatus.GONE) {
                 lines.remove(line.id());
             } else {
                 lines.put(line.id(), line);
--- a/grpc/src/main/java/pathlane/grpc/Directory.java
+++ b/grpc/src/main/java/pathlane/grpc/Directory.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 /**
  * The list of servers that the controller is told, from what the resolvers of one or several channels name. State
@@ -21,14 +21,14 @@
  */
 final class Directory {
 
-    private final Map<Object, Map<Long, ServerLine>> named = new HashMap<>();
+    private final Map<Object, Map<Long, ServerEndpoint>> named = new HashMap<>();
     private final Map<Long, Integer> calls = new HashMap<>();
-    private Map<Long, ServerLine> listed = new LinkedHashMap<>();
+    private Map<Long, ServerEndpoint> listed = new LinkedHashMap<>();
     private boolean any;
 
     /** A resolver's whole list; the source is the channel it is for. */
-    void named(Object source, List<ServerLine> lines) {
-        Map<Long, ServerLine> list = new LinkedHashMap<>();
+    void named(Object source, List<ServerEndpoint> lines) {
+        Map<Long, ServerEndpoint> list = new LinkedHashMap<>();
         lines.forEach(line -> list.put(line.id(), line));
         named.put(source, list);
         any |= !lines.isEmpty();
@@ -54,25 +54,26 @@
     /** An attempt, or the call that it set up, is over there. True: the list to tell has changed by it. */
     boolean callEnds(long server) {
         calls.computeIfPresent(server, (id, count) -> count == 1 ? null : count - 1);
-        return !calls.containsKey(server) && listed.containsKey(server) && listed.get(server).mode() == Mode.DRAINING;
+        return !calls.containsKey(server) && listed.containsKey(server)
+                && listed.get(server).status() == ServerStatus.DRAINING;
     }
 
     /** The whole list as the controller is to be told it now. */
-    List<ServerLine> lines() {
-        Map<Long, ServerLine> lines = new LinkedHashMap<>();
+    List<ServerEndpoint> lines() {
+        Map<Long, ServerEndpoint> lines = new LinkedHashMap<>();
         named.values().forEach(list -> list.forEach((id, line) -> {
-            ServerLine known = lines.get(id);
-            if (known == null || known.mode() != Mode.RUNNING) {
+            ServerEndpoint known = lines.get(id);
+            if (known == null || known.status() != ServerStatus.RUNNING) {
                 lines.put(id, line);
             }
         }));
         listed.forEach((id, line) -> {
             if (!lines.containsKey(id) && calls.containsKey(id)) {
-                lines.put(id, new ServerLine(id, line.address(), Mode.DRAINING, line.cell(), line.weight(),
+                lines.put(id, new ServerEndpoint(id, line.address(), ServerStatus.DRAINING, line.pool(), line.weight(),
                         line.startedAt()));
             }
         });
-        lines.values().removeIf(line -> line.mode() == Mode.GONE && !calls.containsKey(line.id()));
+        lines.values().removeIf(line -> line.status() == ServerStatus.GONE && !calls.containsKey(line.id()));
         listed = lines;
         return new ArrayList<>(lines.values());
     }
--- a/grpc/src/main/java/pathlane/grpc/Endings.java
+++ b/grpc/src/main/java/pathlane/grpc/Endings.java
@@ -4,7 +4,7 @@
 import io.grpc.Status;
 import java.time.Duration;
 import java.util.Optional;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
 /** What every gRPC status, and every way in which a stream ends, means to the module: the one place that says so. */
 final class Endings {
@@ -26,31 +26,31 @@
     private Endings() {}
 
     /** The end of an attempt before its call stood. COMPLETED: the status is the server's answer, and goes on. */
-    static Ending ofAttempt(StreamEnd end) {
+    static Outcome ofAttempt(StreamEnd end) {
         if (end.neverRan()) {
-            return Ending.UNREACHABLE;
+            return Outcome.UNREACHABLE;
         }
         if (end.fromServer() && forbidsRetry(end)) {
-            return Ending.COMPLETED;
+            return Outcome.COMPLETED;
         }
         return switch (end.code()) {
-            case OK -> Ending.COMPLETED;
+            case OK -> Outcome.COMPLETED;
             case INVALID_ARGUMENT, NOT_FOUND, ALREADY_EXISTS, PERMISSION_DENIED, UNAUTHENTICATED, FAILED_PRECONDITION,
                     OUT_OF_RANGE, UNIMPLEMENTED, ABORTED, DATA_LOSS ->
-                end.fromServer() ? Ending.COMPLETED : Ending.ERROR;
-            case UNKNOWN, INTERNAL -> end.fromServer() ? Ending.ERROR : Ending.RESET;
-            case RESOURCE_EXHAUSTED -> end.fromServer() ? Ending.REJECTED : Ending.ERROR;
-            case UNAVAILABLE -> end.fromServer() ? Ending.REJECTED : Ending.RESET;
-            case DEADLINE_EXCEEDED -> Ending.TIMED_OUT;
-            case CANCELLED -> Ending.RESET;   // what this side cancels is not asked here
+                end.fromServer() ? Outcome.COMPLETED : Outcome.ERROR;
+            case UNKNOWN, INTERNAL -> end.fromServer() ? Outcome.ERROR : Outcome.RESET;
+            case RESOURCE_EXHAUSTED -> end.fromServer() ? Outcome.REJECTED : Outcome.ERROR;
+            case UNAVAILABLE -> end.fromServer() ? Outcome.REJECTED : Outcome.RESET;
+            case DEADLINE_EXCEEDED -> Outcome.TIMED_OUT;
+            case CANCELLED -> Outcome.RESET;   // what this side cancels is not asked here
         };
     }
 
     /** The end of a call that stood: COMPLETED, or RESET for one that was cut; its own deadline cuts no call. */
-    static Ending ofStanding(StreamEnd end) {
+    static Outcome ofStanding(StreamEnd end) {
         boolean cut = end.code() == Status.Code.UNAVAILABLE || !end.fromServer() && end.code() != Status.Code.OK
                 && end.code() != Status.Code.DEADLINE_EXCEEDED;
-        return cut ? Ending.RESET : Ending.COMPLETED;
+        return cut ? Outcome.RESET : Outcome.COMPLETED;
     }
 
     /** The wait that a server states; nought where it states none. */
--- a/grpc/src/main/java/pathlane/grpc/Engine.java
+++ b/grpc/src/main/java/pathlane/grpc/Engine.java
@@ -12,20 +12,20 @@
 import pathlane.config.Millis;
 import pathlane.config.Settings;
 import pathlane.core.CallController;
-import pathlane.core.CallerPort;
+import pathlane.core.CallRequest;
+import pathlane.core.ClientPort;
 import pathlane.core.Scheduler;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 import pathlane.core.ServerPort;
-import pathlane.core.SetUp;
-import pathlane.decision.Gateway.Ending;
-import pathlane.retry.RetryGuard;
+import pathlane.decision.Outcome;
+import pathlane.retry.RetryTracker;
 
 /**
  * The controller inside the plug-in, shared by the channels that it is attached to. Everything in it happens in one
  * turn, {@link #execute}: one task at a time, on whichever thread brings it, so that a call in quiet times changes no
  * thread.
  */
-final class Engine implements CallerPort {
+final class Engine implements ClientPort {
 
     private static final Logger LOG = System.getLogger("grpc");
     private static final byte[] NOTHING = {};
@@ -38,7 +38,7 @@
     private final Directory directory = new Directory();
     private PluginConfig config;
     private CallController controller;
-    private RetryGuard retries;
+    private RetryTracker retries;
     private String target;
     private long lastId;
     private boolean closed;
@@ -70,10 +70,10 @@
         config = fresh;
         Settings settings = fresh.settings();
         double longest = settings.classes().stream().mapToDouble(Settings.CallClass::deadlineMs).max().orElseThrow();
-        retries = new RetryGuard(fresh.remembered(), Math.max(longest, settings.rules().clearWaitMs()),
-                settings.rules().clearWaitMs());
+        retries = new RetryTracker(fresh.remembered(), Math.max(longest, settings.rules().retryDelayMs()),
+                settings.rules().retryDelayMs());
         controller = new CallController(settings, seed, time, line -> new Port(line.id()));
-        controller.callerOpened(this);
+        controller.clientConnected(this);
     }
 
     boolean isConfigured() {
@@ -88,7 +88,7 @@
         return controller;
     }
 
-    RetryGuard retries() {
+    RetryTracker retries() {
         return retries;
     }
 
@@ -110,7 +110,7 @@
     }
 
     /** A channel's resolver names its servers. */
-    void named(Attachment channel, List<ServerLine> lines) {
+    void named(Attachment channel, List<ServerEndpoint> lines) {
         directory.named(channel, lines);
         tellList();
     }
@@ -122,7 +122,7 @@
 
     private void tellList() {
         if (directory.isAny()) {
-            controller.listed(true, directory.lines());
+            controller.updateServers(true, directory.lines());
         }
     }
 
@@ -167,7 +167,7 @@
 
     /** What is kept, of whatever kind: it must not grow with the length of the day. */
     int kept() {
-        return calls.size() + directory.kept() + (controller == null ? 0 : controller.kept());
+        return calls.size() + directory.kept() + (controller == null ? 0 : controller.retainedEntries());
     }
 
     // ---- the core's way to the callers, by id
@@ -178,7 +178,7 @@
     }
 
     @Override
-    public void refuse(String id, Duration comeBackAfter) {
+    public void reject(String id, Duration comeBackAfter) {
         calls.get(id).refused(comeBackAfter);
     }
 
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void release(String id, Ending how) {
+    public void release(String id, Outcome how) {
         if (calls.containsKey(id)) {
             calls.get(id).releasedByController();
         }
@@ -204,17 +204,17 @@
         }
 
         @Override
-        public void setUp(SetUp setUp, Duration patience, boolean mayHaveRun) {
+        public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
             calls.get(setUp.id()).attempt(server, patience);
         }
 
         @Override
-        public void giveUp(String id) {
+        public void cancel(String id) {
             calls.get(id).giveUpAttempt();
         }
 
         @Override
-        public void release(String id, Ending how, byte[] content) {
+        public void release(String id, Outcome how, byte[] content) {
             if (calls.containsKey(id)) {
                 calls.get(id).releasedByController();
             }
--- a/grpc/src/main/java/pathlane/grpc/Pathlane.java
+++ b/grpc/src/main/java/pathlane/grpc/Pathlane.java
@@ -95,8 +95,8 @@
 
     /** Calls and their tries since the start. */
     public Tries tries() {
-        return engine.retries() == null ? new Tries(0, 0, 0) : new Tries(engine.retries().firstTries(),
-                engine.retries().retries(), engine.retries().heldBack());
+        return engine.retries() == null ? new Tries(0, 0, 0) : new Tries(engine.retries().firstCalls(),
+                engine.retries().retries(), engine.retries().delayed());
     }
 
     /** Gives open calls their final answer, UNAVAILABLE; streams that stand go on, channels stay open. */
--- a/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancer.java
+++ b/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancer.java
@@ -14,8 +14,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 /**
  * The channel's side of the plug-in: keeps a connection to each server that the resolver names, and leads each attempt
@@ -57,10 +57,10 @@
             handleNameResolutionError(none);
             return none;
         }
-        Map<List<SocketAddress>, ServerLine> lines = new HashMap<>();
-        List<ServerLine> inOrder = new ArrayList<>();
+        Map<List<SocketAddress>, ServerEndpoint> lines = new HashMap<>();
+        List<ServerEndpoint> inOrder = new ArrayList<>();
         for (EquivalentAddressGroup group : resolved.getAddresses()) {
-            ServerLine line = line(group, inOrder.size());
+            ServerEndpoint line = line(group, inOrder.size());
             if (lines.putIfAbsent(group.getAddresses(), line) == null) {
                 inOrder.add(line);
                 connect(group, line);
@@ -97,7 +97,7 @@
     }
 
     /** In the engine's turn: the controller hears of its servers, then calls may come. */
-    private void servers(List<ServerLine> lines) {
+    private void servers(List<ServerEndpoint> lines) {
         attachment.engine.named(attachment, lines);
         attachment.listed(true);
         helper.getSynchronizationContext().execute(() -> {
@@ -121,7 +121,7 @@
         return why;
     }
 
-    private void connect(EquivalentAddressGroup group, ServerLine line) {
+    private void connect(EquivalentAddressGroup group, ServerEndpoint line) {
         Entry known = servers.get(group.getAddresses());
         if (known != null && known.path().server == line.id()) {
             return;
@@ -160,8 +160,8 @@
     }
 
     /** Where the server stands in the resolver's list, unless the resolver tells all of it. */
-    private static ServerLine line(EquivalentAddressGroup group, int place) {
-        ServerLine told = group.getAttributes().get(BusNameResolver.LINE);
+    private static ServerEndpoint line(EquivalentAddressGroup group, int place) {
+        ServerEndpoint told = group.getAttributes().get(BusNameResolver.LINE);
         if (told != null) {
             return told;
         }
@@ -171,7 +171,7 @@
                 : InetSocketAddress.createUnresolved(text, 0);
         // The same address has the same id whenever it comes back, without anything being kept for it.
         long id = Hashing.murmur3_128().hashString(text, StandardCharsets.UTF_8).asLong();
-        return new ServerLine(id, address, Mode.RUNNING, place, 1, Instant.EPOCH);
+        return new ServerEndpoint(id, address, ServerStatus.RUNNING, place, 1, Instant.EPOCH);
     }
 
     /** A fresh picker, so that what waits is asked for again. */
--- a/grpc/src/main/java/pathlane/grpc/PluginCall.java
+++ b/grpc/src/main/java/pathlane/grpc/PluginCall.java
@@ -26,12 +26,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import pathlane.config.Millis;
 import pathlane.config.Settings;
+import pathlane.core.CallRequest;
 import pathlane.core.Scheduler;
-import pathlane.core.SetUp;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 import pathlane.grpc.Endings.StreamEnd;
-import pathlane.retry.RetryGuard;
-import pathlane.retry.RetryGuard.Admission;
+import pathlane.retry.RetryTracker;
+import pathlane.retry.RetryTracker.Admission;
 
 /**
  * One call of the application, over all its attempts. What the application says is kept until an attempt's call
@@ -90,7 +90,7 @@
     private OptionalDouble lostAt = OptionalDouble.empty();
     private Attempt<Q, R> current;
     private int attempts;
-    private Ending lastEnding;
+    private Outcome lastEnding;
     private Status lastStatus;
     private Metadata lastTrailers;
     private Scheduler.Timer gap;
@@ -276,7 +276,7 @@
         deadline = now.plus(patience);
         admit(Millis.of(now));
         engine.begin(id, this);
-        Duration wait = Millis.span(admission.notBefore() - Millis.of(now));
+        Duration wait = Millis.toDuration(admission.notBefore() - Millis.of(now));
         if (wait.isNegative() || wait.isZero()) {
             setUp(callClass);
         } else if (wait.compareTo(patience) >= 0) {
@@ -310,9 +310,9 @@
 
     /** At one time for all: a call that is held back by nothing must not wait for a timer. */
     private void admit(double now) {
-        RetryGuard guard = engine.retries();
+        RetryTracker guard = engine.retries();
         // Nothing is remembered in quiet times, and then no request is read for its key.
-        admission = guard.remembersNothing(now) ? guard.arrivedFresh(number, now)
+        admission = guard.isEmpty(now) ? guard.arrivedWhileEmpty(number, now)
                 : guard.arrived(key(), number, now);
     }
 
@@ -337,8 +337,8 @@
         String called = options.getOption(PathlaneOptions.NUMBER);
         Integer first = options.getOption(PathlaneOptions.FIRST_CHOICE);
         open = true;
-        boolean taken = engine.controller().setUp(new SetUp(id, callClass,
-                called != null ? called : Long.toString(admission.first()),
+        boolean taken = engine.controller().submit(new CallRequest(id, callClass,
+                called != null ? called : Long.toString(admission.firstCallId()),
                 Duration.between(engine.time().now(), deadline), first == null ? -1 : first, Engine.nothing()), engine);
         if (!taken) {
             throw new IllegalStateException("call " + id + " is there already");
@@ -358,13 +358,13 @@
             return;
         }
         if (path == null) {
-            engine.execute(() -> engine.controller().released(server, id, Ending.UNREACHABLE, Duration.ZERO));
+            engine.execute(() -> engine.controller().serverReleased(server, id, Outcome.UNREACHABLE, Duration.ZERO));
             return;
         }
         Attempt<Q, R> made = new Attempt<>(this, path, patience);
         current = made;
         engine.attemptBegins(server);
-        made.begin(engine.config().settings().dialTimeout());
+        made.begin(engine.config().settings().connectTimeout());
     }
 
     Metadata headersOfAttempt() {
@@ -405,7 +405,7 @@
         lastEnding = Endings.ofAttempt(end);
         lastStatus = status;
         lastTrailers = trailers;
-        if (RetryGuard.leavesGap(lastEnding)) {
+        if (RetryTracker.requiresRetryDelay(lastEnding)) {
             lostAt = OptionalDouble.of(engine.nowMs());
         }
         if (context.isCancelled()) {
@@ -414,7 +414,7 @@
             leaveController();
             finish(status, trailers);
         } else {
-            engine.controller().released(attempt.path.server, id, lastEnding, Endings.statedWait(end));
+            engine.controller().serverReleased(attempt.path.server, id, lastEnding, Endings.statedWait(end));
         }
         engine.attemptOver(attempt.path.server);
     }
@@ -431,7 +431,7 @@
         }
         current = null;
         latest = null;
-        lastEnding = Ending.TIMED_OUT;
+        lastEnding = Outcome.TIMED_OUT;
         lastStatus = Status.DEADLINE_EXCEEDED;
         if (attempt.hasLeft()) {
             lostAt = OptionalDouble.of(engine.nowMs());
@@ -444,7 +444,7 @@
         standing = true;
         open = false;
         if (admission.isRetry()) {
-            engine.retries().stood(key());
+            engine.retries().recordSuccess(key());
         }
     }
 
@@ -513,7 +513,7 @@
     private void leaveController() {
         if (open) {
             open = false;
-            engine.controller().callerReleased(id, Engine.nothing(), engine);
+            engine.controller().clientReleased(id, Engine.nothing(), engine);
         }
     }
 
@@ -539,7 +539,7 @@
         if (admission != null) {
             engine.over(id);
             if (inVain) {
-                engine.retries().inVain(key(), admission, lostAt, engine.nowMs());
+                engine.retries().recordFailure(key(), admission, lostAt, engine.nowMs());
             }
         }
         if (context != Context.ROOT) {
@@ -576,7 +576,7 @@
                 standing = true;
                 leaveController();
             } else {
-                engine.controller().answered(attempt.path.server, id, Engine.nothing());
+                engine.controller().serverAnswered(attempt.path.server, id, Engine.nothing());
             }
         });
     }
@@ -585,18 +585,18 @@
     void closed(Attempt<Q, R> attempt, StreamEnd end, Status status, Metadata trailers) {
         Status last = cut != null && status.getCode() == Status.Code.CANCELLED ? cut : status;
         engine.execute(() -> {
-            Ending how = Endings.ofStanding(end);
+            Outcome how = Endings.ofStanding(end);
             boolean leftByCaller = !end.fromServer() && (left || status.getCode() == Status.Code.DEADLINE_EXCEEDED);
-            if (how == Ending.RESET) {
+            if (how == Outcome.RESET) {
                 lostAt = OptionalDouble.of(engine.nowMs());
             }
             current = null;
             if (leftByCaller) {
-                engine.controller().callerReleased(id, Engine.nothing(), engine);
+                engine.controller().clientReleased(id, Engine.nothing(), engine);
             } else {
-                engine.controller().released(attempt.path.server, id, how, Duration.ZERO);
+                engine.controller().serverReleased(attempt.path.server, id, how, Duration.ZERO);
             }
-            end(how == Ending.RESET && !leftByCaller);
+            end(how == Outcome.RESET && !leftByCaller);
             engine.attemptOver(attempt.path.server);
         });
         listener.onClose(last, trailers);
--- a/grpc/src/main/java/pathlane/grpc/PluginConfig.java
+++ b/grpc/src/main/java/pathlane/grpc/PluginConfig.java
@@ -28,7 +28,7 @@
     }
 
     private static void known(Settings settings, String name) {
-        if (settings.classNamed(name) < 0) {
+        if (settings.indexOfClass(name) < 0) {
             throw new IllegalArgumentException("class '" + name + "' is not in the settings");
         }
     }
@@ -76,13 +76,14 @@
         String name = named != null ? named : classes.get(method);
         name = name != null ? name : classes.get(service);
         name = name != null ? name : defaultClass.orElse(null);
-        return name != null ? settings.classNamed(name) : cheapest();
+        return name != null ? settings.indexOfClass(name) : cheapest();
     }
 
     private int cheapest() {
         int cheapest = 0;
         for (int i = 1; i < settings.classes().size(); i++) {
-            cheapest = settings.classes().get(i).worth() < settings.classes().get(cheapest).worth() ? i : cheapest;
+            cheapest = settings.classes().get(i).priorityWeight() < settings.classes().get(cheapest).priorityWeight() ? i
+                    : cheapest;
         }
         return cheapest;
     }
--- a/grpc/src/main/java/pathlane/grpc/Refusal.java
+++ b/grpc/src/main/java/pathlane/grpc/Refusal.java
@@ -6,7 +6,7 @@
 import io.grpc.Status;
 import io.grpc.protobuf.StatusProto;
 import java.time.Duration;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
 /**
  * A final answer that the module gave, as gRPC says it.
@@ -16,11 +16,11 @@
 record Refusal(Status status, Metadata trailers) {
 
     /** Turned away; {@code last} is how the last attempt ended, or null where none was made. */
-    static Refusal of(Ending last, Status lastStatus, boolean deadlineOver, Duration comeBackAfter) {
+    static Refusal of(Outcome last, Status lastStatus, boolean deadlineOver, Duration comeBackAfter) {
         Status status;
-        if (last == Ending.TIMED_OUT && deadlineOver) {
+        if (last == Outcome.TIMED_OUT && deadlineOver) {
             status = Status.DEADLINE_EXCEEDED.withDescription("no session server answered in time");
-        } else if (last == null || last == Ending.REJECTED || last == Ending.NO_FREE_LINE) {
+        } else if (last == null || last == Outcome.REJECTED || last == Outcome.NO_CAPACITY) {
             status = Status.RESOURCE_EXHAUSTED.withDescription("turned away: no session server has room");
         } else {
             status = Status.UNAVAILABLE.withDescription("turned away after an attempt that ended as " + last
--- a/grpc/src/main/java/pathlane/grpc/SocketDialer.java
+++ b/grpc/src/main/java/pathlane/grpc/SocketDialer.java
@@ -12,16 +12,16 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executor;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
+import pathlane.transport.Connection;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /**
  * Sockets for the one connection to the event bus, with a thread that reads it: a driver without decisions, so that
  * the plug-in needs no transport library beside gRPC's. What is read is handed on in the given turn.
  */
-final class SocketDialer implements Dialer {
+final class SocketDialer implements Connector {
 
     private static final int READ = 8 * 1024;
 
@@ -34,14 +34,14 @@
     }
 
     @Override
-    public void dial(InetSocketAddress address, Duration timeout, Protocol protocol) {
+    public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
         Thread reader = new Thread(() -> run(address, timeout, protocol), "pathlane-bus");
         reader.setDaemon(true);
         reader.start();
     }
 
     private void run(InetSocketAddress address, Duration timeout, Protocol protocol) {
-        ConnectionEnd end = ConnectionEnd.NOT_DIALLED;
+        CloseReason end = CloseReason.NOT_ATTEMPTED;
         Socket socket = new Socket();
         Line line = new Line(socket, address);
         open.add(socket);
@@ -51,7 +51,7 @@
             }
             socket.setTcpNoDelay(true);
             socket.connect(address, (int) Math.max(1, timeout.toMillis()));
-            end = ConnectionEnd.RESET;
+            end = CloseReason.RESET;
             turn.execute(() -> protocol.opened(line));
             InputStream in = socket.getInputStream();
             byte[] buffer = new byte[READ];
@@ -63,16 +63,16 @@
                     }
                 });
             }
-            end = ConnectionEnd.CLOSED_BY_PEER;
+            end = CloseReason.CLOSED_BY_PEER;
         } catch (SocketTimeoutException e) {
-            end = ConnectionEnd.DIAL_TIMED_OUT;
+            end = CloseReason.CONNECT_TIMED_OUT;
         } catch (ConnectException e) {
-            end = ConnectionEnd.REFUSED;
+            end = CloseReason.REFUSED;
         } catch (IOException e) {
             // it broke, or could not be tried: as noted so far
         } finally {
             open.remove(socket);
-            ConnectionEnd last = end;
+            CloseReason last = end;
             turn.execute(() -> {
                 if (!closed) {
                     protocol.closed(line.why != null ? line.why : last);
@@ -99,7 +99,7 @@
 
         private final Socket socket;
         private final InetSocketAddress address;
-        private volatile ConnectionEnd why;
+        private volatile CloseReason why;
 
         Line(Socket socket, InetSocketAddress address) {
             this.socket = socket;
@@ -116,7 +116,7 @@
         }
 
         @Override
-        public void close(ConnectionEnd end) {
+        public void close(CloseReason end) {
             why = why == null ? end : why;
             closeQuietly(socket);
         }
--- a/grpc/src/test/java/pathlane/grpc/ChannelTest.java
+++ b/grpc/src/test/java/pathlane/grpc/ChannelTest.java
@@ -242,7 +242,7 @@
             harness.time.pass(200);
             assertEquals(Status.Code.OK, first.code());
             assertEquals(Status.Code.OK, second.code());
-            assertEquals(2, harness.pathlane.counters().value(Name.STOOD));
+            assertEquals(2, harness.pathlane.counters().value(Name.ESTABLISHED));
             ManagedChannel other = harness.keep(harness.pathlane.attach(harness.builder("elsewhere")).build());
             Response refused = harness.check(other, "three");
             assertEquals(Status.Code.INTERNAL, refused.code());
@@ -299,7 +299,7 @@
             harness.time.pass(100);
             context.cancel(null);
             assertEquals(Status.Code.CANCELLED, response[0].code());
-            assertEquals(1, harness.pathlane.counters().value(Name.GIVEN_UP_BY_CALLER));
+            assertEquals(1, harness.pathlane.counters().value(Name.GIVEN_UP_BY_CLIENT));
             assertEquals(0, harness.pathlane.engine().controller().openCalls());
         }
     }
--- a/grpc/src/test/java/pathlane/grpc/EndingsTest.java
+++ b/grpc/src/test/java/pathlane/grpc/EndingsTest.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 import pathlane.grpc.Endings.StreamEnd;
 
 class EndingsTest {
@@ -33,7 +33,7 @@
     @Test
     void whatNeverRanIsFreeToGoElsewhereAtOnceWhateverItsStatus() {
         for (Code code : Code.values()) {
-            assertEquals(Ending.UNREACHABLE,
+            assertEquals(Outcome.UNREACHABLE,
                     Endings.ofAttempt(new StreamEnd(code, false, true, Optional.empty())));
         }
     }
@@ -41,9 +41,9 @@
     @Test
     void aServersPushbackIsItsStatedWaitAndANegativeOneItsLastWord() {
         assertEquals(Duration.ofMillis(250), Endings.statedWait(end(Code.RESOURCE_EXHAUSTED, true, "250")));
-        assertEquals(Ending.REJECTED, Endings.ofAttempt(end(Code.RESOURCE_EXHAUSTED, true, "250")));
+        assertEquals(Outcome.REJECTED, Endings.ofAttempt(end(Code.RESOURCE_EXHAUSTED, true, "250")));
         for (String never : new String[] {"-1", "soon"}) {
-            assertEquals(Ending.COMPLETED, Endings.ofAttempt(end(Code.RESOURCE_EXHAUSTED, true, never)));
+            assertEquals(Outcome.COMPLETED, Endings.ofAttempt(end(Code.RESOURCE_EXHAUSTED, true, never)));
             assertEquals(Duration.ZERO, Endings.statedWait(end(Code.RESOURCE_EXHAUSTED, true, never)));
         }
     }
--- a/grpc/src/test/java/pathlane/grpc/PluginHarness.java
+++ b/grpc/src/test/java/pathlane/grpc/PluginHarness.java
@@ -29,7 +29,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 import pathlane.standin.GrpcFront;
 import pathlane.standin.Processor;
 import pathlane.standin.RuleBook;
@@ -86,7 +86,7 @@
     final Map<String, Processor> processors = new LinkedHashMap<>();
     final Map<String, GrpcFront> fronts = new LinkedHashMap<>();
     /** What the list says of a server beside its address, as the bus would tell it. */
-    final Map<String, ServerLine> lines = new LinkedHashMap<>();
+    final Map<String, ServerEndpoint> lines = new LinkedHashMap<>();
     final List<Server> servers = new ArrayList<>();
     final List<ManagedChannel> channels = new ArrayList<>();
     final Pathlane pathlane;
--- a/grpc/src/test/java/pathlane/grpc/PluginTest.java
+++ b/grpc/src/test/java/pathlane/grpc/PluginTest.java
@@ -26,7 +26,7 @@
             harness.time.pass(100);
             assertEquals(List.of("one"), response.messages);
             assertEquals(Status.Code.OK, response.code());
-            assertEquals(1, harness.pathlane.counters().value(Name.STOOD));
+            assertEquals(1, harness.pathlane.counters().value(Name.ESTABLISHED));
             assertEquals(1, harness.pathlane.counters().value(Name.RELEASED_BY_SERVER));
             assertEquals(List.of(), harness.rules.broken());
         }
@@ -39,11 +39,11 @@
             harness.time.pass(100);
             assertEquals(List.of("one"), response.messages);
             assertEquals(0, response.closes);
-            assertEquals(1, harness.pathlane.engine().controller().standingCalls());
+            assertEquals(1, harness.pathlane.engine().controller().establishedCalls());
             harness.time.pass(8000);
             assertEquals(Status.Code.OK, response.code());
             assertEquals(1, harness.pathlane.counters().value(Name.RELEASED_BY_SERVER));
-            assertEquals(0, harness.pathlane.engine().controller().standingCalls());
+            assertEquals(0, harness.pathlane.engine().controller().establishedCalls());
         }
     }
 
@@ -56,7 +56,7 @@
             harness.time.pass(200);
             left.call.cancel("enough", null);
             assertEquals(Status.Code.CANCELLED, left.code());
-            assertEquals(1, harness.pathlane.counters().value(Name.RELEASED_BY_CALLER));
+            assertEquals(1, harness.pathlane.counters().value(Name.RELEASED_BY_CLIENT));
             harness.processors.get("a").stop();
             assertEquals(Status.Code.UNAVAILABLE, cut.code());
             assertEquals(1, harness.pathlane.counters().value(Name.CUT));
@@ -78,9 +78,9 @@
                 call.request(10);
                 call.sendMessage(new byte[] {'1'});
                 call.sendMessage(new byte[] {'2'});
-                long stood = harness.pathlane.counters().value(Name.STOOD);
+                long stood = harness.pathlane.counters().value(Name.ESTABLISHED);
                 harness.time.pass(90);
-                assertEquals(stood + 1, harness.pathlane.counters().value(Name.STOOD), "stands at its headers");
+                assertEquals(stood + 1, harness.pathlane.counters().value(Name.ESTABLISHED), "stands at its headers");
                 assertEquals(List.of(), response.messages);
                 call.sendMessage(new byte[] {'3'});
                 harness.time.pass(200);
@@ -159,7 +159,7 @@
             long advised = info.getRetryDelay().getSeconds() * 1000 + info.getRetryDelay().getNanos() / 1_000_000;
             assertTrue(advised > 0 && advised <= 2000, "advised " + advised);
             assertEquals(Long.toString(advised), refused.trailers.get(Endings.PUSHBACK));
-            assertEquals(harness.pathlane.counters().value(Name.REFUSED),
+            assertEquals(harness.pathlane.counters().value(Name.REJECTED),
                     all.stream().filter(response -> response.code() != Status.Code.OK).count());
             assertEquals(List.of(), harness.rules.broken());
         }
--- a/grpc/src/test/java/pathlane/grpc/SharedColdTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SharedColdTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pathlane.config.file.NodeConfig;
 import pathlane.core.CallController;
-import pathlane.core.CallerPort;
-import pathlane.core.ConnectionEnd;
-import pathlane.core.ServerLine;
-import pathlane.core.SetUp;
-import pathlane.decision.Gateway.Ending;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.CallRequest;
+import pathlane.core.ClientPort;
+import pathlane.core.CloseReason;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.Outcome;
+import pathlane.decision.ServerStatus;
 import pathlane.grpc.PluginHarness.Response;
-import pathlane.link.Connection;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
 import pathlane.platform.PlatformFront;
 import pathlane.standin.PlatformServer;
 import pathlane.standin.Processor;
+import pathlane.transport.Connection;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /** A daemon and a plug-in, each with its own front and its own traffic, send to the same stand-in processors. */
 class SharedColdTest {
@@ -37,7 +37,7 @@
     private static final Duration HOLDS = Duration.ofSeconds(8);
 
     /** The daemon's calls, each answered once. */
-    private static final class Callers implements CallerPort {
+    private static final class Callers implements ClientPort {
         final Map<String, Integer> finals = new HashMap<>();
         long issued;
 
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public void refuse(String call, Duration comeBackAfter) {
+        public void reject(String call, Duration comeBackAfter) {
             finals.merge(call, 1, Integer::sum);
         }
 
@@ -57,7 +57,7 @@
         }
 
         @Override
-        public void release(String call, Ending how) {}
+        public void release(String call, Outcome how) {}
     }
 
     /** Both ends of a connection, in virtual time. */
@@ -82,12 +82,12 @@
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             harness.time.after(Duration.ZERO, () -> {
                 if (!closed) {
                     closed = true;
                     back.closed = true;
-                    other.closed(ConnectionEnd.CLOSED_BY_PEER);
+                    other.closed(CloseReason.CLOSED_BY_PEER);
                     own.closed(why);
                 }
             });
@@ -119,17 +119,17 @@
             }
             harness.list("a", "b");
             CallController daemon = daemon(harness, settings(stated, 0));
-            daemon.listed(true, List.of(harness.lines.get("a"), harness.lines.get("b")));
+            daemon.updateServers(true, List.of(harness.lines.get("a"), harness.lines.get("b")));
             ManagedChannel channel = harness.channel();
             Callers callers = new Callers();
-            daemon.callerOpened(callers);
+            daemon.clientConnected(callers);
             List<Response> response = new ArrayList<>();
             play(harness, daemon, callers, channel, response, 6, pluginRate, daemonRate);
             harness.processors.get("b").drain(Duration.ofSeconds(2));
             harness.add("c").startCold();
             harness.lines.put("c", line("c", harness.time.nowMs()));
             harness.list("a", "c");
-            daemon.listed(true, List.of(harness.lines.get("a"), harness.lines.get("c")));
+            daemon.updateServers(true, List.of(harness.lines.get("a"), harness.lines.get("c")));
             play(harness, daemon, callers, channel, response, 14, daemonRate, pluginRate);
             harness.time.pass(15_000);
 
@@ -162,8 +162,8 @@
             Callers callers = new Callers();
             for (int i = 0; i < daemons; i++) {
                 CallController daemon = daemon(harness, shared.replace("NUMBER", Integer.toString(i)));
-                daemon.listed(true, List.of(harness.lines.get("a")));
-                daemon.callerOpened(callers);
+                daemon.updateServers(true, List.of(harness.lines.get("a")));
+                daemon.clientConnected(callers);
                 controllers.add(daemon);
             }
             List<Response> response = new ArrayList<>();
@@ -172,10 +172,10 @@
                     harness.add("c", 10).startCold();
                     harness.lines.put("c", line("c", harness.time.nowMs()));
                     harness.list("a", "c");
-                    controllers.forEach(one -> one.listed(false, List.of(harness.lines.get("c"))));
+                    controllers.forEach(one -> one.updateServers(false, List.of(harness.lines.get("c"))));
                 }
                 String id = String.format("%016x", ++callers.issued);
-                controllers.get(step % daemons).setUp(new SetUp(id, 0, "d" + id, Duration.ofMillis(3000),
+                controllers.get(step % daemons).submit(new CallRequest(id, 0, "d" + id, Duration.ofMillis(3000),
                         step >= 600 ? 2 : -1, new byte[] {1}), callers);
                 if (step % 40 == 0) {
                     response.add(harness.check(channel, "p" + response.size()));
@@ -198,7 +198,7 @@
             int inSecond = step % steps;
             for (int i = inSecond * daemonRate / steps; i < (inSecond + 1) * daemonRate / steps; i++) {
                 String id = String.format("%016x", ++callers.issued);
-                daemon.setUp(new SetUp(id, 0, "d" + id, Duration.ofMillis(3000), -1, new byte[] {1}), callers);
+                daemon.submit(new CallRequest(id, 0, "d" + id, Duration.ofMillis(3000), -1, new byte[] {1}), callers);
             }
             for (int i = inSecond * pluginRate / steps; i < (inSecond + 1) * pluginRate / steps; i++) {
                 response.add(harness.check(channel, "p" + response.size()));
@@ -207,15 +207,16 @@
         }
     }
 
-    private static ServerLine line(String name, double startedMs) {
-        return new ServerLine(name.charAt(0), new InetSocketAddress("127.0.0.1", 5000 + name.charAt(0)), Mode.RUNNING,
+    private static ServerEndpoint line(String name, double startedMs) {
+        return new ServerEndpoint(name.charAt(0), new InetSocketAddress("127.0.0.1", 5000 + name.charAt(0)),
+                ServerStatus.RUNNING,
                 name.charAt(0) - 'a', 1, java.time.Instant.ofEpochMilli((long) startedMs));
     }
 
     private static CallController daemon(PluginHarness harness, String settings) {
         NodeConfig config = NodeConfig.parse("{\"name\": \"d\", \"listen\": \"127.0.0.1:0\", \"seed\": \"3\","
                 + "\"limits\": {\"sockets\": 1024}, \"settings\": " + settings + "}");
-        Dialer dialer = (address, timeout, protocol) -> harness.time.after(Duration.ofMillis(1), () -> {
+        Connector dialer = (address, timeout, protocol) -> harness.time.after(Duration.ofMillis(1), () -> {
             String name = String.valueOf((char) (address.getPort() - 5000));
             PlatformServer server =
                     new PlatformServer(name, harness.processors.get(name), harness.time, HOLDS, harness.rules);
--- a/grpc/src/test/java/pathlane/grpc/SocketTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SocketTest.java
@@ -50,8 +50,8 @@
             try {
                 byte[] answer = call(channel, CallOptions.DEFAULT);
                 assertEquals("ok", new String(answer, StandardCharsets.UTF_8));
-                assertEquals(1, pathlane.counters().value(counted), pathlane.counters().line());
-                assertEquals(2, pathlane.counters().value(Name.ATTEMPTS), pathlane.counters().line());
+                assertEquals(1, pathlane.counters().value(counted), pathlane.counters().summary());
+                assertEquals(2, pathlane.counters().value(Name.ATTEMPTS), pathlane.counters().summary());
                 assertEquals(2, server.arrivals.size());
                 if (counted == Name.ATTEMPTS_RESET) {
                     long gap = (server.arrivals.get(1) - server.arrivals.get(0)) / 1_000_000;
--- a/handover/src/main/java/pathlane/handover/AdoptedCaller.java
+++ b/handover/src/main/java/pathlane/handover/AdoptedCaller.java
@@ -1,11 +1,11 @@
 package pathlane.handover;
 
 import java.time.Duration;
-import pathlane.core.CallerPort;
-import pathlane.decision.Gateway.Ending;
+import pathlane.core.ClientPort;
+import pathlane.decision.Outcome;
 
 /** The caller of a call that another member set up: known by name alone, and reached by whichever connection reaches it. */
-record AdoptedCaller(String key) implements CallerPort {
+record AdoptedCaller(String clientKey) implements ClientPort {
 
     @Override
     public void answer(String call, byte[] description) {
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public void refuse(String call, Duration comeBackAfter) {
+    public void reject(String call, Duration comeBackAfter) {
         throw new IllegalStateException("call " + call + " was answered before");
     }
 
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void release(String call, Ending how) {
+    public void release(String call, Outcome how) {
         throw new IllegalStateException("call " + call + " has no connection of its own");
     }
 }
--- a/handover/src/main/java/pathlane/handover/AdoptedCalls.java
+++ b/handover/src/main/java/pathlane/handover/AdoptedCalls.java
@@ -15,7 +15,7 @@
 import pathlane.core.CallController;
 import pathlane.core.CallEvent;
 import pathlane.core.Scheduler;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 import pathlane.group.Placement;
 import pathlane.group.Registrar;
 
@@ -78,11 +78,11 @@
             case SENT, WAITS -> goOnWithAttempt(record);
             case OWES_CALLER -> {
                 over(record.call());
-                controller.owedToCaller(record.call(), new AdoptedCaller(record.caller()), record.how());
+                controller.deliverRelease(record.call(), new AdoptedCaller(record.caller()), record.how());
             }
             case OWES_SERVER -> {
                 over(record.call());
-                controller.owedToServer(record.call(), record.server(), record.ending());
+                controller.deliverServerRelease(record.call(), record.server(), record.ending());
             }
             case OVER -> {}
         }
@@ -162,13 +162,13 @@
 
     /** Resolves an open attempt by an event; false where the event is still to reach its caller. */
     boolean resolveAttempt(CallEvent event) {
-        OpenAttempt attempt = openAttempts.remove(event.call());
+        OpenAttempt attempt = openAttempts.remove(event.callId());
         if (event instanceof CallEvent.Ended) {
-            replicationLog.drop(event.call());
+            replicationLog.drop(event.callId());
             return false;   // towards whichever connection from callers there is
         }
-        over(event.call());
-        controller.owedToServer(event.call(), attempt.record().server(), attempt.record().ending());
+        over(event.callId());
+        controller.deliverServerRelease(event.callId(), attempt.record().server(), attempt.record().ending());
         return true;
     }
 
@@ -196,8 +196,8 @@
         boolean elsewhere = replicaStore.ownerOf(record.call()).filter(registrar.seen()::isLive).isPresent();
         if (!elsewhere) {
             LOG.log(Level.INFO, "call {0} was left open by its controller; it is ended", record.call());
-            controller.owedToServer(record.call(), record.server(), record.ending());
-            controller.owedToCaller(record.call(), new AdoptedCaller(record.caller()), Ending.RESET);
+            controller.deliverServerRelease(record.call(), record.server(), record.ending());
+            controller.deliverRelease(record.call(), new AdoptedCaller(record.caller()), Outcome.RESET);
         }
     }
 
@@ -207,11 +207,11 @@
         replicationLog.put(record);
         if (controller.adopt(call, record.server(), new AdoptedCaller(record.caller()), record.ending())) {
             unplaced.remove(call);
-            replicaStore.take(call).forEach(controller::happened);
-        } else if (controller.hasGone(record.server()) || !scheduler.now().isBefore(until)) {
+            replicaStore.take(call).forEach(controller::handleOwned);
+        } else if (controller.isRemoved(record.server()) || !scheduler.now().isBefore(until)) {
             unplaced.remove(call);
             over(call);
-            controller.owedToCaller(call, new AdoptedCaller(record.caller()), Ending.RESET);
+            controller.deliverRelease(call, new AdoptedCaller(record.caller()), Outcome.RESET);
         } else {
             unplaced.put(call, until);
         }
--- a/handover/src/main/java/pathlane/handover/CallRecord.java
+++ b/handover/src/main/java/pathlane/handover/CallRecord.java
@@ -1,7 +1,7 @@
 package pathlane.handover;
 
 import java.time.Duration;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
 /**
  * What a successor has to know of one call.
@@ -13,7 +13,7 @@
  * @param ending what its server needs beside its id to be told its end; empty where it needs nothing, or in other kinds
  * @param lasts how long an attempt may be out, or nothing may be sent, from when the record was made
  */
-public record CallRecord(String call, Kind kind, long server, String caller, Ending how, Duration lasts,
+public record CallRecord(String call, Kind kind, long server, String caller, Outcome how, Duration lasts,
         byte[] ending) {
 
     /** What is left to do. The place in this list is the number in messages. */
@@ -35,26 +35,26 @@
     private static final byte[] NOTHING = {};
 
     static CallRecord sent(String call, long server, String caller, Duration lasts, byte[] ending) {
-        return new CallRecord(call, Kind.SENT, server, caller, Ending.COMPLETED, lasts, ending);
+        return new CallRecord(call, Kind.SENT, server, caller, Outcome.COMPLETED, lasts, ending);
     }
 
     static CallRecord waits(String call, long server, String caller, Duration lasts, byte[] ending) {
-        return new CallRecord(call, Kind.WAITS, server, caller, Ending.COMPLETED, lasts, ending);
+        return new CallRecord(call, Kind.WAITS, server, caller, Outcome.COMPLETED, lasts, ending);
     }
 
     static CallRecord stands(String call, long server, String caller, byte[] ending) {
-        return new CallRecord(call, Kind.STANDS, server, caller, Ending.COMPLETED, Duration.ZERO, ending);
+        return new CallRecord(call, Kind.STANDS, server, caller, Outcome.COMPLETED, Duration.ZERO, ending);
     }
 
-    static CallRecord owesCaller(String call, String caller, Ending how) {
+    static CallRecord owesCaller(String call, String caller, Outcome how) {
         return new CallRecord(call, Kind.OWES_CALLER, 0, caller, how, Duration.ZERO, NOTHING);
     }
 
     static CallRecord owesServer(String call, long server, byte[] ending) {
-        return new CallRecord(call, Kind.OWES_SERVER, server, "", Ending.COMPLETED, Duration.ZERO, ending);
+        return new CallRecord(call, Kind.OWES_SERVER, server, "", Outcome.COMPLETED, Duration.ZERO, ending);
     }
 
     static CallRecord over(String call) {
-        return new CallRecord(call, Kind.OVER, 0, "", Ending.COMPLETED, Duration.ZERO, NOTHING);
+        return new CallRecord(call, Kind.OVER, 0, "", Outcome.COMPLETED, Duration.ZERO, NOTHING);
     }
 }
--- a/handover/src/main/java/pathlane/handover/Handover.java
+++ b/handover/src/main/java/pathlane/handover/Handover.java
@@ -12,17 +12,17 @@
 import pathlane.core.CallController;
 import pathlane.core.CallEvent;
 import pathlane.core.CallReplication;
-import pathlane.core.CallerPort;
+import pathlane.core.ClientPort;
 import pathlane.core.Scheduler;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 import pathlane.group.LeaseHolder;
 import pathlane.group.Placement;
 import pathlane.group.Register;
 import pathlane.group.RegisterClient;
 import pathlane.group.SealedLink;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
-import pathlane.link.RateLimit;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimiter;
 
 /**
  * One controller's part in a group whose members go on with each other's calls: its lease, its records at others, what it
@@ -49,7 +49,7 @@
     private final Succession succession;
     private final OrphanedEvents orphanedEvents;
     private final Reclaim reclaim;
-    private final RateLimit orphanedEventLimit;
+    private final RateLimiter orphanedEventLimit;
     private final ParkedEvents parkedEvents = new ParkedEvents();
     private final AdoptedCalls adoptedCalls;
     private final ReplicaRelease replicaRelease;
@@ -65,7 +65,7 @@
      * @param voters where the register's voters are reached
      * @param nanos the monotonic clock
      */
-    public Handover(Terms terms, long incarnation, List<InetSocketAddress> voters, Dialer dialer,
+    public Handover(Terms terms, long incarnation, List<InetSocketAddress> voters, Connector dialer,
             SealedLink.Common common, LongSupplier nanos) {
         this.terms = terms;
         this.scheduler = common.scheduler();
@@ -78,12 +78,12 @@
         this.adoptedCalls = new AdoptedCalls(terms, scheduler, client, links, replicationLog, replicaStore, this::handle);
         this.succession = new Succession(client, leaseHolder, scheduler, replicaStore, terms.pace(), adoptedCalls);
         this.orphanedEvents = new OrphanedEvents(client, scheduler, replicaStore, links, leaseHolder::token,
-                event -> controller.unowned(event));
+                event -> controller.handleUnowned(event));
         this.reclaim = new Reclaim(client, new ReclaimListener());
         this.replicaRelease = new ReplicaRelease(scheduler, leaseHolder, replicationLog, links, this::released);
         links.deliverTo(new IncomingMessages(client, replicaStore, replicationLog, succession, orphanedEvents,
                 replicaRelease, this::reported));
-        this.orphanedEventLimit = new RateLimit(ORPHANED_EVENTS_AT_ONCE, ORPHANED_EVENT_EVERY, scheduler);
+        this.orphanedEventLimit = new RateLimiter(ORPHANED_EVENTS_AT_ONCE, ORPHANED_EVENT_EVERY, scheduler);
     }
 
     /** Begins; the controller is the one that replicates its calls by this. */
@@ -163,19 +163,19 @@
     // ---- from the life of a call
 
     @Override
-    public void sent(String call, long server, Duration patience, CallerPort caller, Supplier<byte[]> ending) {
-        replicationLog.put(CallRecord.sent(call, server, caller.key(), patience, ending.get()));
+    public void attemptStarted(String call, long server, Duration patience, ClientPort caller, Supplier<byte[]> ending) {
+        replicationLog.put(CallRecord.sent(call, server, caller.clientKey(), patience, ending.get()));
     }
 
     @Override
-    public void attemptOver(String call, long server, Duration wait, CallerPort caller) {
-        replicationLog.put(CallRecord.waits(call, server, caller.key(), wait, ending(call)));
+    public void attemptEnded(String call, long server, Duration wait, ClientPort caller) {
+        replicationLog.put(CallRecord.waits(call, server, caller.clientKey(), wait, ending(call)));
     }
 
     @Override
-    public void stands(String call, long server, CallerPort caller) {
+    public void callEstablished(String call, long server, ClientPort caller) {
         adoptedCalls.stands(call);
-        replicationLog.put(CallRecord.stands(call, server, caller.key(), ending(call)));
+        replicationLog.put(CallRecord.stands(call, server, caller.clientKey(), ending(call)));
     }
 
     private byte[] ending(String call) {
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void answer(String call, int callClass, Runnable write) {
+    public void deliverAnswer(String call, int callClass, Runnable write) {
         if (terms.waiting().contains(callClass) && leaseHolder.isValid()) {
             replicationLog.whenKept(call, terms.waitMost(), write);
         } else {
@@ -192,17 +192,17 @@
     }
 
     @Override
-    public void owesCaller(String call, CallerPort caller, Ending how) {
-        replicationLog.put(CallRecord.owesCaller(call, caller == null ? "" : caller.key(), how));
+    public void clientReleasePending(String call, ClientPort caller, Outcome how) {
+        replicationLog.put(CallRecord.owesCaller(call, caller == null ? "" : caller.clientKey(), how));
     }
 
     @Override
-    public void owesServer(String call, long server, byte[] ending) {
+    public void serverReleasePending(String call, long server, byte[] ending) {
         replicationLog.put(CallRecord.owesServer(call, server, ending));
     }
 
     @Override
-    public void over(String call) {
+    public void callCompleted(String call) {
         adoptedCalls.over(call);
     }
 
@@ -213,16 +213,16 @@
     }
 
     @Override
-    public void park(CallEvent event) {
+    public void defer(CallEvent event) {
         parkedEvents.park(event);
     }
 
     @Override
-    public boolean seesTo(CallEvent event) {
-        if (adoptedCalls.hasOpenAttempt(event.call())) {
+    public boolean delegate(CallEvent event) {
+        if (adoptedCalls.hasOpenAttempt(event.callId())) {
             return adoptedCalls.resolveAttempt(event);
         }
-        if (client.seen().members().size() < 2 || !orphanedEventLimit.take()) {
+        if (client.seen().members().size() < 2 || !orphanedEventLimit.tryAcquire()) {
             return false;
         }
         orphanedEvents.tell(event);
@@ -230,26 +230,26 @@
     }
 
     @Override
-    public Duration heldBack(String call) {
+    public Duration delayBeforeFirstAttempt(String call) {
         return replicaStore.heldBack(call);
     }
 
     /** Handles an event of a call that does not stand here. */
     private void handle(CallEvent event) {
-        if (!seesTo(event)) {
-            controller.unowned(event);
+        if (!delegate(event)) {
+            controller.handleUnowned(event);
         }
     }
 
     /** Another member has reported an event: whether it is handled here, or stored until it is. */
     private boolean reported(CallEvent event) {
-        String call = event.call();
-        if (controller.stands(call)) {
+        String call = event.callId();
+        if (controller.isEstablished(call)) {
             boolean may = mayAct(call);
             if (may) {
-                controller.happened(event);
+                controller.handleOwned(event);
             } else {
-                park(event);   // and the other member keeps it too
+                defer(event);   // and the other member keeps it too
             }
             return may;
         }
@@ -333,7 +333,7 @@
     }
 
     private void replayParked() {
-        parkedEvents.handOver(call -> false, controller::happened);
+        parkedEvents.handOver(call -> false, controller::handleOwned);
     }
 
     // ---- from the register and the clock
@@ -382,12 +382,12 @@
         @Override
         public void own(CallRecord record) {
             if (record.kind() == CallRecord.Kind.OWES_CALLER) {
-                controller.owedToCaller(record.call(), new AdoptedCaller(record.caller()), record.how());
+                controller.deliverRelease(record.call(), new AdoptedCaller(record.caller()), record.how());
             } else if (record.kind() == CallRecord.Kind.OWES_SERVER) {
-                controller.owedToServer(record.call(), record.server(), record.ending());
-            } else if (controller.stands(record.call())) {
+                controller.deliverServerRelease(record.call(), record.server(), record.ending());
+            } else if (controller.isEstablished(record.call())) {
                 replicationLog.put(record);
-                parkedEvents.take(record.call()).forEach(controller::happened);
+                parkedEvents.take(record.call()).forEach(controller::handleOwned);
             }
         }
 
--- a/handover/src/main/java/pathlane/handover/Links.java
+++ b/handover/src/main/java/pathlane/handover/Links.java
@@ -20,13 +20,13 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.group.Member;
 import pathlane.group.Registrar;
 import pathlane.group.SealedLink;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 import pathlane.wire.BadInput;
 
 /**
@@ -55,7 +55,7 @@
 
     private record Waiting(byte[] message, Instant until) {}
 
-    private final Dialer dialer;
+    private final Connector dialer;
     private final SealedLink.Common common;
     private final Scheduler scheduler;
     private final Registrar registrar;
@@ -67,7 +67,7 @@
     private boolean stopped;
 
     /** {@code self} is the token of the present lease, 0 while there is none. */
-    Links(Dialer dialer, SealedLink.Common common, Registrar registrar, LongSupplier self) {
+    Links(Connector dialer, SealedLink.Common common, Registrar registrar, LongSupplier self) {
         this.dialer = dialer;
         this.common = common;
         this.scheduler = common.scheduler();
@@ -138,7 +138,7 @@
     /** Ends all. */
     void stop() {
         stopped = true;
-        List.copyOf(outgoing.values()).forEach(link -> link.link.end(ConnectionEnd.DISCONNECTED));
+        List.copyOf(outgoing.values()).forEach(link -> link.link.end(CloseReason.DISCONNECTED));
     }
 
     private void received(byte[] payload, long stream, SealedLink link) {
@@ -176,7 +176,7 @@
             }
             link = new SealedLink(common, true, this);
             int colon = member.address().lastIndexOf(':');
-            dialer.dial(new InetSocketAddress(member.address().substring(0, colon),
+            dialer.connect(new InetSocketAddress(member.address().substring(0, colon),
                     Integer.parseInt(member.address().substring(colon + 1))), DIAL_TIMEOUT, link);
         }
 
@@ -199,7 +199,7 @@
                         endIfUnused();
                     } else {
                         outgoing.remove(member.token(), this);
-                        link.end(ConnectionEnd.IDLE);
+                        link.end(CloseReason.IDLE);
                     }
                 }
             });
@@ -222,7 +222,7 @@
         }
 
         @Override
-        public void down(ConnectionEnd end) {
+        public void down(CloseReason end) {
             if (outgoing.get(member.token()) != this) {
                 return;
             }
@@ -247,7 +247,7 @@
         }
 
         @Override
-        public void down(ConnectionEnd end) {
+        public void down(CloseReason end) {
             // It is dialled again from the other side.
         }
     }
--- a/handover/src/main/java/pathlane/handover/OrphanedEvents.java
+++ b/handover/src/main/java/pathlane/handover/OrphanedEvents.java
@@ -69,7 +69,7 @@
         }
         Register register = registrar.seen();
         // Whoever it belongs to, its keepers are among the first of its slot.
-        List<Member> asked = Placement.keepers(Placement.slot(event.call()), register.members(), self.getAsLong(),
+        List<Member> asked = Placement.keepers(Placement.slot(event.callId()), register.members(), self.getAsLong(),
                 register.copies() + 1);
         if (asked.isEmpty()) {
             scheduler.after(Duration.ZERO, () -> unowned.accept(event));
@@ -119,14 +119,14 @@
 
     /** Stores an event of a call whose record is kept here, and forwards it; false where no record is. */
     boolean keep(CallEvent event) {
-        Optional<Long> owner = replicaStore.ownerOf(event.call());
+        Optional<Long> owner = replicaStore.ownerOf(event.callId());
         if (owner.isEmpty()) {
             return false;
         }
         if (replicaStore.happened(event)) {
-            deliver(event.call(), owner.get());
+            deliver(event.callId(), owner.get());
             Register register = registrar.seen();
-            int slot = Placement.slot(event.call());
+            int slot = Placement.slot(event.callId());
             List<Member> others = new ArrayList<>(register.estate(owner.get()).map(estate -> register.heirs(estate, slot))
                     .orElseGet(() -> register.keepers(owner.get(), slot, register.replicatedView(owner.get()))));
             others.removeIf(member -> member.token() == self.getAsLong() || !register.isLive(member.token()));
--- a/handover/src/main/java/pathlane/handover/ParkedEvents.java
+++ b/handover/src/main/java/pathlane/handover/ParkedEvents.java
@@ -14,7 +14,7 @@
     private final Map<String, List<CallEvent>> events = new LinkedHashMap<>();
 
     void park(CallEvent event) {
-        List<CallEvent> ofCall = events.computeIfAbsent(event.call(), call -> new ArrayList<>());
+        List<CallEvent> ofCall = events.computeIfAbsent(event.callId(), call -> new ArrayList<>());
         if (ofCall.stream().noneMatch(one -> one.getClass() == event.getClass())) {
             ofCall.add(event);
         }
--- a/handover/src/main/java/pathlane/handover/PeerCodec.java
+++ b/handover/src/main/java/pathlane/handover/PeerCodec.java
@@ -11,7 +11,7 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
 import pathlane.core.CallEvent;
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 import pathlane.handover.CallRecord.Kind;
 import pathlane.wire.BadInput;
 
@@ -34,7 +34,7 @@
     private static final int ID_DIGITS = 16;
     private static final int MOST_ITEMS = 1 << 20;
     private static final Kind[] KINDS = Kind.values();
-    private static final Ending[] ENDINGS = Ending.values();
+    private static final Outcome[] ENDINGS = Outcome.values();
 
     private PeerCodec() {}
 
@@ -182,7 +182,7 @@
         };
     }
 
-    private static Ending ending(MessageUnpacker unpacker) throws IOException {
+    private static Outcome ending(MessageUnpacker unpacker) throws IOException {
         int place = unpacker.unpackInt();
         if (place < 0 || place >= ENDINGS.length) {
             throw new BadInput("an end of kind " + place);
@@ -193,13 +193,13 @@
     private static void write(MessageBufferPacker packer, CallEvent event) throws IOException {
         if (event instanceof CallEvent.Released released) {
             packer.packBoolean(true);
-            writeId(packer, released.call());
+            writeId(packer, released.callId());
             binary(packer, released.content());
         } else {
             CallEvent.Ended ended = (CallEvent.Ended) event;
             packer.packBoolean(false);
-            writeId(packer, ended.call());
-            packer.packInt(ended.how().ordinal());
+            writeId(packer, ended.callId());
+            packer.packInt(ended.outcome().ordinal());
         }
     }
 
--- a/handover/src/main/java/pathlane/handover/ReplicaStore.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaStore.java
@@ -184,7 +184,7 @@
 
     /** Keeps what happened for whoever goes on with the call; false where it is kept already. */
     boolean happened(CallEvent event) {
-        List<CallEvent> all = events.computeIfAbsent(event.call(), call -> new ArrayList<>());
+        List<CallEvent> all = events.computeIfAbsent(event.callId(), call -> new ArrayList<>());
         if (all.stream().anyMatch(one -> one.getClass() == event.getClass())) {
             return false;
         }
@@ -198,7 +198,7 @@
 
     /** Whoever acts on the call knows of it. */
     void done(CallEvent event) {
-        events.computeIfPresent(event.call(), (call, all) -> {
+        events.computeIfPresent(event.callId(), (call, all) -> {
             all.removeIf(one -> one.getClass() == event.getClass());
             return all.isEmpty() ? null : all;
         });
--- a/lab/src/main/java/pathlane/lab/EventBus.java
+++ b/lab/src/main/java/pathlane/lab/EventBus.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.BiFunction;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /** The event bus: the list of session servers as numbered events, told to each controller with its own addresses. */
 public final class EventBus {
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             lines.remove(this);
         }
     }
--- a/lab/src/main/java/pathlane/lab/Path.java
+++ b/lab/src/main/java/pathlane/lab/Path.java
@@ -5,10 +5,10 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /**
  * One connection between two state machines, with what is wrong on the way in each direction. Bytes keep their order. A
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             if (open) {
                 open = false;
                 enqueue(CLOSE);
@@ -91,7 +91,7 @@
             if (bytes == CLOSE) {
                 if (other.open) {
                     other.open = false;
-                    ended(other, ConnectionEnd.CLOSED_BY_PEER);
+                    ended(other, CloseReason.CLOSED_BY_PEER);
                 }
             } else if (other.open) {
                 other.protocol.received(ByteBuffer.wrap(bytes));
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public boolean isStuck() {
+        public boolean isBlocked() {
             return !held.isEmpty();
         }
 
@@ -133,7 +133,7 @@
         near.opened(this.near);
     }
 
-    private void ended(End end, ConnectionEnd why) {
+    private void ended(End end, CloseReason why) {
         if (++ends == 2) {
             faults.closed(this);
         }
@@ -149,12 +149,12 @@
     }
 
     void reset() {
-        end(near, ConnectionEnd.RESET);
-        end(far, ConnectionEnd.RESET);
+        end(near, CloseReason.RESET);
+        end(far, CloseReason.RESET);
     }
 
     void halfClose(String told) {
-        end(near.name.equals(told) ? near : far, ConnectionEnd.RESET);
+        end(near.name.equals(told) ? near : far, CloseReason.RESET);
     }
 
     /** A process has gone: its side is not told, the other one is once the news gets through. */
@@ -170,7 +170,7 @@
         }
     }
 
-    private void end(End end, ConnectionEnd why) {
+    private void end(End end, CloseReason why) {
         if (end.open) {
             end.open = false;
             ended(end, why);
--- a/lab/src/main/java/pathlane/lab/ProcessTime.java
+++ b/lab/src/main/java/pathlane/lab/ProcessTime.java
@@ -5,10 +5,10 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /**
  * Time as one process of the virtual fleet sees it: stopped and gone on, or killed, with a monotonic clock of its own that
@@ -101,7 +101,7 @@
             }
 
             @Override
-            public void closed(ConnectionEnd end) {
+            public void closed(CloseReason end) {
                 run(() -> protocol.closed(end));
             }
         };
--- a/lab/src/main/java/pathlane/lab/ScriptedCaller.java
+++ b/lab/src/main/java/pathlane/lab/ScriptedCaller.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.lab.Witness.What;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 import pathlane.wire.FrameAssembler;
 import pathlane.wire.Message;
 
@@ -169,7 +169,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             connection = null;
             lines.remove(controller, this);
             lines.values().stream().filter(one -> one.connection != null).findFirst()
--- a/lab/src/main/java/pathlane/lab/SessionServer.java
+++ b/lab/src/main/java/pathlane/lab/SessionServer.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.lab.Witness.What;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 import pathlane.wire.Cause;
 import pathlane.wire.FrameAssembler;
 import pathlane.wire.Message;
@@ -108,7 +108,7 @@
                 (id, call) -> history.note(call.stands ? What.ENDED : What.GIVEN_UP, name, "", id, "the process died"));
         calls.clear();
         waiting.clear();
-        List.copyOf(lines).forEach(line -> line.connection.close(ConnectionEnd.RESET));
+        List.copyOf(lines).forEach(line -> line.connection.close(CloseReason.RESET));
     }
 
     /** A new process begins there. */
@@ -209,7 +209,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             open = false;
             lines.remove(this);
             List.copyOf(calls.entrySet()).forEach(one -> {
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -12,17 +12,17 @@
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import pathlane.config.file.NodeConfig;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.group.Keys;
 import pathlane.group.LeaseTerms;
 import pathlane.group.SealedLink;
 import pathlane.handover.Handover;
 import pathlane.handover.Terms;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
 import pathlane.platform.PlatformFront;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 
 /**
  * A fleet in virtual time and one thread: the real platform front, core, decisions, group and handover in each controller,
@@ -59,9 +59,9 @@
         void start() {
             time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * shape.lease.drift() * 0.9);
             ProcessTime own = time;
-            Dialer dialer = (address, timeout, protocol) -> dial(name, address, timeout, own.own(protocol));
+            Connector dialer = (address, timeout, protocol) -> dial(name, address, timeout, own.own(protocol));
             SealedLink.Common common = new SealedLink.Common(name, () -> KEYS, () -> bytes(random),
-                    own, new LimitedLog("group", own));
+                    own, new RateLimitedLog("group", own));
             handover = new Handover(new Terms(name, "127.0.0.1:" + (MEMBER_PORT + place), shape.copies, shape.lease,
                     Duration.ofMillis(5), Set.of(), Duration.ofMillis(200), shape.pace, Duration.ofSeconds(2),
                     Duration.ofMillis(215)), random.nextLong(), voterAddresses(), dialer, common, own::nanos);
@@ -154,12 +154,12 @@
         Function<String, Protocol> accepts = listeners.get(address.getPort());
         world.after(LATENCY, () -> {
             if (to != null && (faults.way(from, to).cut || faults.way(to, from).cut)) {
-                world.after(timeout, () -> protocol.closed(ConnectionEnd.DIAL_TIMED_OUT));
+                world.after(timeout, () -> protocol.closed(CloseReason.CONNECT_TIMED_OUT));
                 return;
             }
             Protocol far = accepts == null ? null : accepts.apply(from);
             if (far == null) {
-                protocol.closed(ConnectionEnd.REFUSED);
+                protocol.closed(CloseReason.REFUSED);
             } else {
                 new Path(world, faults, LATENCY, from, protocol, to, far);
             }
--- a/lab/src/main/java/pathlane/lab/VirtualVoter.java
+++ b/lab/src/main/java/pathlane/lab/VirtualVoter.java
@@ -9,8 +9,8 @@
 import pathlane.group.LeaseTerms;
 import pathlane.group.SealedLink;
 import pathlane.group.Voter;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 import pathlane.voter.RaftLog;
 
 /** A voter of the virtual fleet: the real one, with a disk in memory and messages that are lost where the way is cut. */
@@ -64,7 +64,7 @@
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
-        }, own, new LimitedLog("register", own));
+        }, own, new RateLimitedLog("register", own));
         voter = new Voter(lease, common, own::nanos);
         log = new RaftLog(name, voters.stream().map(VirtualVoter::name).toList(), voter, own, own::nanos,
                 new RaftLog.Sender() {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/CountedBytes.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/CountedBytes.java
@@ -2,9 +2,9 @@
 
 import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.LongAdder;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /** Counts what a stand-in's state machines write, in bytes and messages, over all of their connections. Safe for threads. */
 final class CountedBytes {
@@ -51,7 +51,7 @@
                 }
 
                 @Override
-                public void close(ConnectionEnd why) {
+                public void close(CloseReason why) {
                     connection.close(why);
                 }
 
@@ -68,7 +68,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             open.decrement();
             protocol.closed(end);
         }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/DecisionCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/DecisionCost.java
@@ -10,15 +10,17 @@
 import java.util.List;
 import pathlane.config.Settings;
 import pathlane.config.SettingsReader;
-import pathlane.decision.Gateway;
-import pathlane.decision.Logic;
+import pathlane.decision.AdaptiveRoutingPolicy;
+import pathlane.decision.Outcome;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 
 /**
  * What the decision module alone costs by the number of servers in its list: the decision of a call, a server's capacity
  * report, an event that changes one server, and the whole list. 48 calls stand and 8 are out all the time. One thread, no
  * sockets; run on the first compiler tier, as the daemon is.
  */
-final class DecisionCost implements Gateway.Actions {
+final class DecisionCost implements RoutingPolicy.Actions {
 
     static final int[] SIZES = {3, 30, 300, 3_000, 26_000};
 
@@ -44,7 +46,7 @@
     private record Sent(String call, long server) {}
 
     private final int servers;
-    private final Logic logic;
+    private final AdaptiveRoutingPolicy logic;
     private final Deque<Sent> out = new ArrayDeque<>();
     private final Deque<Sent> standing = new ArrayDeque<>();
     private final ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -55,10 +57,10 @@
 
     private DecisionCost(int servers) {
         this.servers = servers;
-        this.logic = new Logic(settings(), 7, this);
-        logic.listed(now, true, lines(Gateway.Mode.RUNNING, servers));
+        this.logic = new AdaptiveRoutingPolicy(settings(), 7, this);
+        logic.serversListed(now, true, lines(ServerStatus.RUNNING, servers));
         for (int i = 0; i < Math.min(servers, REPORTING); i++) {
-            logic.reported(now, i, report());
+            logic.loadReported(now, i, report());
         }
         for (int i = 0; i < STANDING + 2 * OUT; i++) {
             arrive();
@@ -70,14 +72,14 @@
         return SettingsReader.read(JsonParser.parseString(SETTINGS).getAsJsonObject());
     }
 
-    private static Gateway.Report report() {
-        return new Gateway.Report(90_000, 100_000, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    private static RoutingPolicy.LoadReport report() {
+        return new RoutingPolicy.LoadReport(90_000, 100_000, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    static List<Gateway.Listed> lines(Gateway.Mode mode, int count) {
-        List<Gateway.Listed> lines = new ArrayList<>(count);
+    static List<RoutingPolicy.ListedServer> lines(ServerStatus mode, int count) {
+        List<RoutingPolicy.ListedServer> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            lines.add(new Gateway.Listed(i, i, mode, 0, 1));
+            lines.add(new RoutingPolicy.ListedServer(i, i, mode, 0, 1));
         }
         return lines;
     }
@@ -132,19 +134,21 @@
 
     private void arrive() {
         now += BETWEEN_MS;
-        logic.arrived(now, new Gateway.Call(Long.toString(++calls), (int) (calls % 16 / 15), "n" + calls, 3000,
-                (int) (calls * 37 % servers), false));
+        logic.requestArrived(now,
+                new RoutingPolicy.Request(Long.toString(++calls), (int) (calls % 16 / 15), "n" + calls, 3000,
+                        (int) (calls * 37 % servers), false));
     }
 
     private void finishOldest() {
         if (out.size() > Math.min(OUT, servers)) {
             Sent first = out.removeFirst();
-            logic.stands(now, first.call(), 0, first.server(), 50);
+            logic.callEstablished(now, first.call(), 0, first.server(), 50);
             standing.addLast(first);
         }
         if (standing.size() > STANDING) {
             Sent first = standing.removeFirst();
-            logic.ended(now, new Gateway.Ended(first.call(), 0, first.server(), Gateway.Ending.COMPLETED, true, 0, 0, null));
+            logic.attemptEnded(now,
+                    new RoutingPolicy.AttemptResult(first.call(), 0, first.server(), Outcome.COMPLETED, true, 0, 0, null));
         }
     }
 
@@ -156,18 +160,18 @@
 
     private void reportNext() {
         now += 1;
-        logic.reported(now, reporting++ % servers, report());
+        logic.loadReported(now, reporting++ % servers, report());
     }
 
     private void changeOne() {
         now += 1;
-        logic.listed(now, false, List.of(new Gateway.Listed(0, 0,
-                reporting++ % 2 == 0 ? Gateway.Mode.DRAINING : Gateway.Mode.RUNNING, 0, 1)));
+        logic.serversListed(now, false, List.of(new RoutingPolicy.ListedServer(0, 0,
+                reporting++ % 2 == 0 ? ServerStatus.DRAINING : ServerStatus.RUNNING, 0, 1)));
     }
 
     private void replaceList() {
         now += 1;
-        logic.listed(now, true, lines(Gateway.Mode.RUNNING, servers));
+        logic.serversListed(now, true, lines(ServerStatus.RUNNING, servers));
     }
 
     /** Nanoseconds of one run, after a warm-up. */
@@ -195,7 +199,7 @@
     }
 
     @Override
-    public void refuse(String call, double adviseMs) {}
+    public void reject(String call, double adviseMs) {}
 
     @Override
     public void fail(String call) {}
@@ -204,8 +208,8 @@
     public void cancel(String call, int attempt) {}
 
     @Override
-    public void wakeAfter(double delayMs) {}
+    public void scheduleTimer(double delayMs) {}
 
     @Override
-    public void askForList() {}
+    public void requestServerList() {}
 }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
@@ -12,15 +12,16 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import pathlane.config.file.NodeConfig;
-import pathlane.core.ConnectionEnd;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway;
-import pathlane.decision.Logic;
+import pathlane.core.CloseReason;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.AdaptiveRoutingPolicy;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 import pathlane.lab.FleetConfig;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
 import pathlane.platform.PlatformFront;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /**
  * What the whole platform front (bus feed, core, decision module, server links) costs by the number of listed servers, in
@@ -67,7 +68,7 @@
     }
 
     /** How the bus feed ends its connection over a whole list of so many servers, where it does. */
-    static Optional<ConnectionEnd> refusal(int servers) {
+    static Optional<CloseReason> refusal(int servers) {
         return new Front(FEW).refusal(servers);
     }
 
@@ -105,18 +106,18 @@
         recorder.record("memory-front-bytes", size, repetition, retained(() -> new Front(config)));
     }
 
-    private static List<ServerLine> serverLines(int size) {
-        List<ServerLine> lines = new ArrayList<>(size);
+    private static List<ServerEndpoint> serverLines(int size) {
+        List<ServerEndpoint> lines = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
-            lines.add(new ServerLine(i, new InetSocketAddress("127.0.0.1", SERVER_PORT), Gateway.Mode.RUNNING, i, 1,
+            lines.add(new ServerEndpoint(i, new InetSocketAddress("127.0.0.1", SERVER_PORT), ServerStatus.RUNNING, i, 1,
                     Instant.ofEpochMilli(i)));
         }
         return lines;
     }
 
-    private static Logic module(int size) {
-        Logic logic = new Logic(DecisionCost.settings(), 7, new IgnoredActions());
-        logic.listed(0, true, DecisionCost.lines(Gateway.Mode.RUNNING, size));
+    private static AdaptiveRoutingPolicy module(int size) {
+        AdaptiveRoutingPolicy logic = new AdaptiveRoutingPolicy(DecisionCost.settings(), 7, new IgnoredActions());
+        logic.serversListed(0, true, DecisionCost.lines(ServerStatus.RUNNING, size));
         return logic;
     }
 
@@ -147,7 +148,7 @@
         private final int size;
         private Protocol bus;
         private long number = 1;
-        private Optional<ConnectionEnd> closed = Optional.empty();
+        private Optional<CloseReason> closed = Optional.empty();
 
         Front(int size) {
             this(config(size), size);
@@ -180,7 +181,7 @@
         }
 
         /** How the feed ended its connection over a whole list of so many servers, where it did. */
-        Optional<ConnectionEnd> refusal(int servers) {
+        Optional<CloseReason> refusal(int servers) {
             bus.received(ByteBuffer.wrap(BusFrames.whole(++number, servers, SERVER_PORT)));
             return closed;
         }
@@ -189,7 +190,7 @@
         public void write(byte[] bytes) {}
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             closed = Optional.of(why);
         }
 
@@ -199,12 +200,12 @@
         }
     }
 
-    private static final class IgnoredActions implements Gateway.Actions {
+    private static final class IgnoredActions implements RoutingPolicy.Actions {
         @Override
         public void send(String call, long server, double giveUpAfterMs) {}
 
         @Override
-        public void refuse(String call, double adviseMs) {}
+        public void reject(String call, double adviseMs) {}
 
         @Override
         public void fail(String call) {}
@@ -213,9 +214,9 @@
         public void cancel(String call, int attempt) {}
 
         @Override
-        public void wakeAfter(double delayMs) {}
+        public void scheduleTimer(double delayMs) {}
 
         @Override
-        public void askForList() {}
+        public void requestServerList() {}
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/ControllerInvariants.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerInvariants.java
@@ -1,8 +1,8 @@
 package pathlane.lab.discovery;
 
 import java.util.Optional;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceChange;
@@ -90,7 +90,7 @@
 
     private void checkWithdrawn(ControllerProcess controller, ServiceChange.Delta delta) {
         delta.removed().forEach(server -> checkNothingSent(controller, delta, server));
-        delta.upserted().stream().filter(line -> line.mode() == Mode.DRAINING).map(ServerLine::id)
+        delta.upserted().stream().filter(line -> line.status() == ServerStatus.DRAINING).map(ServerEndpoint::id)
                 .forEach(server -> checkNothingSent(controller, delta, server));
     }
 
