--- a/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceChange;
@@ -16,7 +16,7 @@
 import pathlane.discovery.WatchClient;
 import pathlane.discovery.WatchListener;
 import pathlane.group.SealedLink;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /**
  * A call controller's process, as far as discovery goes: a watch client, and the servers that calls would be sent to, kept
@@ -27,7 +27,7 @@
     private final List<RelayProcess> relays;
     private final ControllerInvariants invariants;
     private final Set<String> watched = new TreeSet<>();
-    private final Map<String, TreeMap<Long, ServerLine>> servers = new HashMap<>();
+    private final Map<String, TreeMap<Long, ServerEndpoint>> servers = new HashMap<>();
     private final Map<String, Revision> revisions = new HashMap<>();
     private WatchClient client;
     private Optional<PublisherStatus> lastStatus = Optional.empty();
@@ -110,12 +110,12 @@
 
     /** Whether a call of the service could be sent to the server now. */
     boolean wouldSendTo(String service, long server) {
-        ServerLine line = servers.getOrDefault(service, new TreeMap<>()).get(server);
-        return line != null && line.mode() == Mode.RUNNING;
+        ServerEndpoint line = servers.getOrDefault(service, new TreeMap<>()).get(server);
+        return line != null && line.status() == ServerStatus.RUNNING;
     }
 
     /** The servers of a service by the changes that were told. */
-    List<ServerLine> servers(String service) {
+    List<ServerEndpoint> servers(String service) {
         return List.copyOf(servers.getOrDefault(service, new TreeMap<>()).values());
     }
 
@@ -147,7 +147,7 @@
         }
 
         private void take(String service, ServiceChange change) {
-            TreeMap<Long, ServerLine> lines = servers.computeIfAbsent(service, any -> new TreeMap<>());
+            TreeMap<Long, ServerEndpoint> lines = servers.computeIfAbsent(service, any -> new TreeMap<>());
             if (change instanceof ServiceChange.Snapshot snapshot) {
                 lines.clear();
                 snapshot.state().endpoints().forEach(line -> lines.put(line.id(), line));
--- a/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
@@ -13,16 +13,16 @@
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.discovery.ServiceState;
 import pathlane.discovery.WatchTerms;
 import pathlane.group.Keys;
 import pathlane.lab.Faults;
 import pathlane.lab.Path;
 import pathlane.lab.ProcessTime;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /**
  * Discovery's state machines as a fleet in virtual time and one thread: a source, a relay for each region, relays for each
@@ -153,7 +153,7 @@
     }
 
     /** Dials as the present life of a process. */
-    Dialer dialer(FleetProcess subscriber) {
+    Connector dialer(FleetProcess subscriber) {
         ProcessTime life = subscriber.time();
         return (address, timeout, protocol) -> dial(subscriber, life, address, timeout, protocol);
     }
@@ -169,12 +169,12 @@
                 return;
             }
             if (faults.isCut(from, to) || faults.isCut(to, from)) {
-                world.after(timeout, () -> own.closed(ConnectionEnd.DIAL_TIMED_OUT));
+                world.after(timeout, () -> own.closed(CloseReason.CONNECT_TIMED_OUT));
                 return;
             }
             Optional<Protocol> accepted = publisher.isUp() ? publisher.accept() : Optional.empty();
             if (accepted.isEmpty()) {
-                own.closed(ConnectionEnd.REFUSED);
+                own.closed(CloseReason.REFUSED);
                 return;
             }
             ObservedLink link = new ObservedLink(subscriber, publisher, trace, observer);
--- a/lab/src/main/java/pathlane/lab/discovery/FleetProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FleetProcess.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import pathlane.group.SealedLink;
 import pathlane.lab.ProcessTime;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 
 /** A process of the virtual fleet: killed, stopped, continued and started anew under one name. */
 abstract class FleetProcess {
@@ -78,7 +78,7 @@
         life++;
         time = new ProcessTime(fleet.world(), 1);
         fleet.trace().note(name, "starts, life " + life);
-        begin(new SealedLink.Common(name, fleet::keys, fleet::nonce, time, new LimitedLog("discovery", time)));
+        begin(new SealedLink.Common(name, fleet::keys, fleet::nonce, time, new RateLimitedLog("discovery", time)));
     }
 
     /** Its process dies; its connections end at the other sides. */
--- a/lab/src/main/java/pathlane/lab/discovery/ObservedLink.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ObservedLink.java
@@ -6,13 +6,13 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.Revision;
 import pathlane.discovery.WatchCodec;
 import pathlane.discovery.WatchMessage;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /**
  * One connection between a subscriber and a publisher, with the messages on it read along at both ends. The frames are
@@ -130,7 +130,7 @@
             }
 
             @Override
-            public void closed(ConnectionEnd end) {
+            public void closed(CloseReason end) {
                 trace.note(subscriber.name(), "closed to " + publisher.name() + " " + end);
                 protocol.closed(end);
             }
@@ -156,7 +156,7 @@
             }
 
             @Override
-            public void closed(ConnectionEnd end) {
+            public void closed(CloseReason end) {
                 publisherClosedAt = publisher.time().now();
                 trace.note(publisher.name(), "closed to " + subscriber.name() + " " + end);
                 protocol.closed(end);
@@ -174,12 +174,12 @@
             }
 
             @Override
-            public boolean isStuck() {
-                return connection.isStuck();
+            public boolean isBlocked() {
+                return connection.isBlocked();
             }
 
             @Override
-            public void close(ConnectionEnd why) {
+            public void close(CloseReason why) {
                 connection.close(why);
             }
 
--- a/lab/src/main/java/pathlane/lab/discovery/RelayProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/RelayProcess.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import pathlane.discovery.Relay;
 import pathlane.group.SealedLink;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /** A relay's process, of a region or a zone; each life begins empty. */
 final class RelayProcess extends FleetProcess {
--- a/lab/src/main/java/pathlane/lab/discovery/ServiceContents.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ServiceContents.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 /** What the world outside would have the source publish; drawn changes of it. It outlives the source's processes. */
 final class ServiceContents {
@@ -18,15 +18,15 @@
     private static final int MOST_SERVERS_OF_SERVICE = 12;
 
     /** A change of one service, as the source is told of it; a removed service has nothing else. */
-    record Change(String service, boolean removesService, List<ServerLine> upserted, List<Long> removed,
+    record Change(String service, boolean removesService, List<ServerEndpoint> upserted, List<Long> removed,
             Optional<String> configuration) {}
 
     /** One service. */
     static final class Content {
-        final TreeMap<Long, ServerLine> servers = new TreeMap<>();
+        final TreeMap<Long, ServerEndpoint> servers = new TreeMap<>();
         String configuration = "";
 
-        List<ServerLine> endpoints() {
+        List<ServerEndpoint> endpoints() {
             return List.copyOf(servers.values());
         }
     }
@@ -102,9 +102,9 @@
 
     Change addServers(String service, int number) {
         Content content = services.get(service);
-        List<ServerLine> added = new ArrayList<>();
+        List<ServerEndpoint> added = new ArrayList<>();
         for (int i = 0; i < number && content.servers.size() < MOST_SERVERS_OF_SERVICE; i++) {
-            ServerLine line = line(++lastServer, Mode.RUNNING);
+            ServerEndpoint line = line(++lastServer, ServerStatus.RUNNING);
             content.servers.put(line.id(), line);
             added.add(line);
         }
@@ -129,9 +129,9 @@
 
     Change drainServer(String service) {
         Content content = services.get(service);
-        List<ServerLine> drained = new ArrayList<>();
+        List<ServerEndpoint> drained = new ArrayList<>();
         if (!content.servers.isEmpty()) {
-            ServerLine line = line(anyServer(content), Mode.DRAINING);
+            ServerEndpoint line = line(anyServer(content), ServerStatus.DRAINING);
             content.servers.put(line.id(), line);
             drained.add(line);
         }
@@ -142,8 +142,8 @@
         return List.copyOf(content.servers.keySet()).get(random.nextInt(content.servers.size()));
     }
 
-    private static ServerLine line(long id, Mode mode) {
-        return new ServerLine(id, new InetSocketAddress("127.0.0.1", SERVER_PORT + (int) id), mode, (int) id, 1,
+    private static ServerEndpoint line(long id, ServerStatus mode) {
+        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", SERVER_PORT + (int) id), mode, (int) id, 1,
                 Instant.EPOCH);
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/SourceHistory.java
+++ b/lab/src/main/java/pathlane/lab/discovery/SourceHistory.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceState;
 
@@ -85,13 +85,13 @@
     }
 
     private static Set<Long> present(Optional<ServiceState> state) {
-        return state.map(ServiceState::endpoints).orElse(List.of()).stream().map(ServerLine::id)
+        return state.map(ServiceState::endpoints).orElse(List.of()).stream().map(ServerEndpoint::id)
                 .collect(Collectors.toSet());
     }
 
     /** The servers of a state that may be sent calls. */
     private static Set<Long> running(Optional<ServiceState> state) {
         return state.map(ServiceState::endpoints).orElse(List.of()).stream()
-                .filter(line -> line.mode() == Mode.RUNNING).map(ServerLine::id).collect(Collectors.toSet());
+                .filter(line -> line.status() == ServerStatus.RUNNING).map(ServerEndpoint::id).collect(Collectors.toSet());
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/SourceProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/SourceProcess.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 import pathlane.discovery.Catalogue;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceState;
 import pathlane.discovery.Source;
 import pathlane.group.SealedLink;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /**
  * The source's process. A new life has a greater epoch, and is incomplete until it has loaded the contents, a few servers of
@@ -69,13 +69,13 @@
 
     private void load(String service) {
         ServiceContents.Content content = contents.services().get(service);
-        List<ServerLine> held = endpoints(service);
-        List<ServerLine> missing = content.endpoints().stream().filter(line -> !held.contains(line))
+        List<ServerEndpoint> held = endpoints(service);
+        List<ServerEndpoint> missing = content.endpoints().stream().filter(line -> !held.contains(line))
                 .limit(SERVERS_AT_ONCE).toList();
         noteChange(service, catalogue().update(service, missing, List.of(), Optional.of(content.configuration)));
     }
 
-    private List<ServerLine> endpoints(String service) {
+    private List<ServerEndpoint> endpoints(String service) {
         return catalogue().state(service).map(ServiceState::endpoints).orElse(List.of());
     }
 
--- a/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -16,7 +16,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
-import pathlane.decision.Gateway.Mode;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.WatchTerms.PublisherAddress;
 import pathlane.lab.Faults;
 import pathlane.lab.History;
@@ -170,12 +170,12 @@
 
     /** These servers of a service begin to drain. */
     public void serversDrain(String service, List<Long> ids) throws InterruptedException {
-        loop.run(() -> ids.forEach(id -> told.tell(id, service, Mode.DRAINING)));
+        loop.run(() -> ids.forEach(id -> told.tell(id, service, ServerStatus.DRAINING)));
     }
 
     /** These servers of a service have gone for good. */
     public void serversGo(String service, List<Long> ids) throws InterruptedException {
-        loop.run(() -> ids.forEach(id -> told.tell(id, service, Mode.GONE)));
+        loop.run(() -> ids.forEach(id -> told.tell(id, service, ServerStatus.GONE)));
     }
 
     // ---- processes and links
--- a/lab/src/main/java/pathlane/lab/rig/Relay.java
+++ b/lab/src/main/java/pathlane/lab/rig/Relay.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Function;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.lab.Faults;
 import pathlane.lab.Path;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /**
  * Puts a {@link Path} with its faults between sockets of two processes, or between a socket and one of the rig's own
@@ -48,7 +48,7 @@
     /** A stand-in of the rig's comes to a process. */
     void out(String from, Protocol standIn, String to, InetSocketAddress target) {
         Joint joint = new Joint();
-        loop.dial(target, DIAL_TIMEOUT, joint.socketSide(
+        loop.connect(target, DIAL_TIMEOUT, joint.socketSide(
                 () -> new Path(loop, faults, Duration.ZERO, from, standIn, to, joint.pathSide()),
                 end -> standIn.closed(end)));
     }
@@ -58,13 +58,13 @@
 
         private Connection socket;
         private Connection path;
-        private ConnectionEnd socketEnd;
+        private CloseReason socketEnd;
 
         Protocol socketSide(Runnable opened) {
             return socketSide(opened, end -> {});
         }
 
-        Protocol socketSide(Runnable opened, java.util.function.Consumer<ConnectionEnd> neverUp) {
+        Protocol socketSide(Runnable opened, java.util.function.Consumer<CloseReason> neverUp) {
             return new Protocol() {
                 @Override
                 public void opened(Connection up) {
@@ -80,7 +80,7 @@
                 }
 
                 @Override
-                public void closed(ConnectionEnd end) {
+                public void closed(CloseReason end) {
                     socketEnd = end;
                     if (path != null) {
                         path.close(end);
@@ -106,7 +106,7 @@
                 }
 
                 @Override
-                public void closed(ConnectionEnd end) {
+                public void closed(CloseReason end) {
                     if (socketEnd == null) {
                         socket.close(end);
                     }
@@ -153,16 +153,16 @@
             }
             dialled = true;
             Joint far = new Joint();
-            loop.dial(target, DIAL_TIMEOUT, far.socketSide(() -> {
+            loop.connect(target, DIAL_TIMEOUT, far.socketSide(() -> {
                 if (closed) {
-                    far.socket.close(ConnectionEnd.RESET);
+                    far.socket.close(CloseReason.RESET);
                     return;
                 }
                 new Path(loop, faults, Duration.ZERO, name.get(), near.pathSide(), to, far.pathSide());
                 joined = true;
                 before.forEach(part -> onSocket.received(ByteBuffer.wrap(part)));
                 before.clear();
-            }, end -> near.socket.close(ConnectionEnd.RESET)));
+            }, end -> near.socket.close(CloseReason.RESET)));
         }
 
         @Override
@@ -178,7 +178,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             closed = true;
             onSocket.closed(end);
         }
--- a/lab/src/main/java/pathlane/lab/rig/Rig.java
+++ b/lab/src/main/java/pathlane/lab/rig/Rig.java
@@ -24,7 +24,7 @@
 import pathlane.lab.ScriptedCaller;
 import pathlane.lab.SessionServer;
 import pathlane.lab.Witness.What;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /**
  * A group of real processes on loopback: call controllers n1, n2, ... and voters v1, v2, ..., each a process of the built
--- a/lab/src/main/java/pathlane/lab/rig/RigLoop.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigLoop.java
@@ -33,17 +33,17 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /**
  * The rig's one thread, its time and its sockets, on loopback alone. Unlike the program's own driver it can break a
  * connection (RST), which is one of the faults. Its lag is how far the rig's own times may be off.
  */
-public final class RigLoop implements Scheduler, Dialer, AutoCloseable {
+public final class RigLoop implements Scheduler, Connector, AutoCloseable {
 
     private static final Duration BEAT = Duration.ofMillis(5);
     /** Few, so that it is soon full; the loop takes connections at once. */
@@ -168,12 +168,12 @@
     }
 
     @Override
-    public void dial(InetSocketAddress address, Duration timeout, Protocol protocol) {
+    public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
         new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timeout.toMillis()).handler(new Socket(protocol))
                 .connect(address).addListener(done -> {
                     if (!done.isSuccess()) {
-                        protocol.closed(ConnectionEnd.REFUSED);
+                        protocol.closed(CloseReason.REFUSED);
                     }
                 });
     }
@@ -203,7 +203,7 @@
 
         private final Protocol protocol;
         private Channel channel;
-        private ConnectionEnd end;
+        private CloseReason end;
 
         Socket(Protocol protocol) {
             this.protocol = protocol;
@@ -228,12 +228,12 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            protocol.closed(end == null ? ConnectionEnd.CLOSED_BY_PEER : end);
+            protocol.closed(end == null ? CloseReason.CLOSED_BY_PEER : end);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            end = end == null ? ConnectionEnd.RESET : end;
+            end = end == null ? CloseReason.RESET : end;
             context.close();
         }
 
@@ -245,10 +245,10 @@
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             if (end == null) {
                 end = why;
-                if (why == ConnectionEnd.RESET) {
+                if (why == CloseReason.RESET) {
                     ((SocketChannel) channel).config().setSoLinger(0);
                     channel.close();
                 } else {
--- a/lab/src/main/java/pathlane/lab/rig/ToldServers.java
+++ b/lab/src/main/java/pathlane/lab/rig/ToldServers.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.lab.EventBus;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /** The event bus and what it has told of each service's servers: what every watch client must end at. On the rig's loop. */
 final class ToldServers {
@@ -22,7 +22,7 @@
 
     private final List<String> services;
     private final EventBus bus;
-    private final Map<String, TreeMap<Long, ServerLine>> servers = new HashMap<>();
+    private final Map<String, TreeMap<Long, ServerEndpoint>> servers = new HashMap<>();
     private final Set<Long> gone = new HashSet<>();
     private long lastId;
 
@@ -43,26 +43,27 @@
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             ids.add(++lastId);
-            tell(lastId, service, Mode.RUNNING);
+            tell(lastId, service, ServerStatus.RUNNING);
         }
         return ids;
     }
 
     /** Tells a server's state. */
-    void tell(long id, String service, Mode mode) {
+    void tell(long id, String service, ServerStatus mode) {
         int cell = services.indexOf(service);
-        if (mode == Mode.GONE) {
+        if (mode == ServerStatus.GONE) {
             gone.add(id);
             servers.get(service).remove(id);
         } else {
-            servers.get(service).put(id, new ServerLine(id, new InetSocketAddress(HOST, FIRST_PORT + cell), mode, cell, 1,
-                    Instant.EPOCH));
+            servers.get(service).put(id,
+                    new ServerEndpoint(id, new InetSocketAddress(HOST, FIRST_PORT + cell), mode, cell, 1,
+                            Instant.EPOCH));
         }
         bus.tell(id, cell, mode.ordinal(), 0);
     }
 
     /** The servers that a service has by now, in ascending order of their ids. */
-    List<ServerLine> endpoints(String service) {
+    List<ServerEndpoint> endpoints(String service) {
         return List.copyOf(servers.get(service).values());
     }
 
--- a/lab/src/main/java/pathlane/lab/rig/WatchClients.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchClients.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 import pathlane.discovery.ServiceDigest;
 import pathlane.discovery.ServiceState;
 import pathlane.discovery.WatchClient;
@@ -19,8 +19,8 @@
 import pathlane.group.Keys;
 import pathlane.group.SealedLink;
 import pathlane.lab.rig.DiscoveryRig.ClientShape;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
+import pathlane.transport.Connector;
+import pathlane.transport.RateLimitedLog;
 
 /**
  * Real watch clients on the rig's loop, each with a {@link WatchWitness}; they reach publishers by the rig's {@link Relay}.
@@ -55,14 +55,14 @@
     void add(ClientShape shape, List<PublisherAddress> publishers) {
         Map<InetSocketAddress, String> names = new HashMap<>();
         publishers.forEach(publisher -> names.put(publisher.address(), publisher.name()));
-        Dialer dialer = (address, timeout, protocol) -> relay.out(shape.name(), protocol, names.get(address), address);
+        Connector dialer = (address, timeout, protocol) -> relay.out(shape.name(), protocol, names.get(address), address);
         Keys keys = Keys.read(DiscoveryRig.KEYS);
         SplittableRandom nonces = random.split();
         SealedLink.Common common = new SealedLink.Common(shape.name(), () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             nonces.nextBytes(nonce);
             return nonce;
-        }, loop, new LimitedLog("rig", loop));
+        }, loop, new RateLimitedLog("rig", loop));
         WatchTerms terms = new WatchTerms(shape.name(), shape.zone(), shape.region(), publishers, BACKOFF_FIRST,
                 BACKOFF_MOST, SILENT_AFTER, RETURN_WITHIN);
         WatchWitness witness = new WatchWitness(shape.name(), told::hasGone);
@@ -108,7 +108,7 @@
     /** In what a client differs from what the bus has told. */
     private Optional<String> difference(Watching watching) {
         for (String service : watching.shape.services()) {
-            List<ServerLine> expected = told.endpoints(service);
+            List<ServerEndpoint> expected = told.endpoints(service);
             Optional<ServiceState> state = watching.client.state(service);
             if (state.isEmpty() || !state.get().endpoints().equals(expected)
                     || state.get().digest() != ServiceDigest.of(expected, "")) {
--- a/lab/src/main/java/pathlane/lab/rig/WatchWitness.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchWitness.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.LongPredicate;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceChange;
@@ -83,7 +83,7 @@
         if (before == null) {
             return;
         }
-        for (ServerLine endpoint : before.endpoints()) {
+        for (ServerEndpoint endpoint : before.endpoints()) {
             if (!kept.contains(endpoint.id()) && !hasGone.test(endpoint.id())) {
                 broken.add(client + ": endpoint " + endpoint.id() + " of " + before.service() + " was taken away at "
                         + revision + " and is not gone");
--- a/lab/src/main/java/pathlane/lab/scale/BaselineControllers.java
+++ b/lab/src/main/java/pathlane/lab/scale/BaselineControllers.java
@@ -10,9 +10,9 @@
 import pathlane.bus.ServerList;
 import pathlane.config.Millis;
 import pathlane.config.Settings;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway;
-import pathlane.decision.Logic;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.AdaptiveRoutingPolicy;
+import pathlane.decision.RoutingPolicy;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
 
@@ -53,13 +53,13 @@
     private final class Controller {
 
         private final CountedDialer dialer = new CountedDialer(network.dialer(MOST_UNWRITTEN));
-        private final Map<Long, ServerLine> listed = new HashMap<>();
-        private final Logic logic;
+        private final Map<Long, ServerEndpoint> listed = new HashMap<>();
+        private final AdaptiveRoutingPolicy logic;
         private final BusFeed feed;
         private long events;
 
         Controller(int number) {
-            logic = new Logic(settings, number, new IdleActions(loop, this::woken));
+            logic = new AdaptiveRoutingPolicy(settings, number, new IdleActions(loop, this::woken));
             feed = new BusFeed(0, dialer, loop, new SplittableRandom(number), this::told, () -> {});
         }
 
@@ -69,16 +69,16 @@
             if (list.whole()) {
                 listed.clear();
             }
-            List<Gateway.Listed> lines = new ArrayList<>();
-            for (ServerLine line : list.lines()) {
+            List<RoutingPolicy.ListedServer> lines = new ArrayList<>();
+            for (ServerEndpoint line : list.lines()) {
                 listed.put(line.id(), line);
                 lines.add(HollowController.listed(line));
             }
-            logic.listed(nowMillis(), list.whole(), lines);
+            logic.serversListed(nowMillis(), list.whole(), lines);
         }
 
         private void woken() {
-            logic.woken(nowMillis());
+            logic.timerFired(nowMillis());
         }
 
         private double nowMillis() {
--- a/lab/src/main/java/pathlane/lab/scale/BaselineRun.java
+++ b/lab/src/main/java/pathlane/lab/scale/BaselineRun.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.lab.rig.Ports;
 import pathlane.net.EventLoop;
 
@@ -19,13 +19,13 @@
     private static final Duration POLL = Duration.ofMillis(50);
 
     private final ScalePlan.Baseline baseline;
-    private final List<ServerLine> list;
+    private final List<ServerEndpoint> list;
     private final FleetLayout layout;
     private final SourceHost source;
     private final ProcessFleet fleet;
     private final Deadline deadline;
 
-    BaselineRun(ScalePlan.Baseline baseline, List<ServerLine> list, FleetLayout layout, SourceHost source,
+    BaselineRun(ScalePlan.Baseline baseline, List<ServerEndpoint> list, FleetLayout layout, SourceHost source,
             ProcessFleet fleet, Deadline deadline) {
         this.baseline = baseline;
         this.list = list;
@@ -94,7 +94,7 @@
         OnLoop.run(loop, () -> {
             Instant startedAt = loop.now().truncatedTo(ChronoUnit.MILLIS);
             for (int change = 0; change < count; change++) {
-                ServerLine line = layout.line(random.nextInt(list.size()), Mode.RUNNING, startedAt);
+                ServerEndpoint line = layout.line(random.nextInt(list.size()), ServerStatus.RUNNING, startedAt);
                 loop.after(Duration.ofNanos((long) (change / perSecond * Duration.ofSeconds(1).toNanos())),
                         () -> bus.change(line));
             }
--- a/lab/src/main/java/pathlane/lab/scale/CountedDialer.java
+++ b/lab/src/main/java/pathlane/lab/scale/CountedDialer.java
@@ -4,20 +4,20 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.List;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
+import pathlane.transport.Connection;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /** Counts what one controller reads and writes, and can break the connection that is up. On the loop's thread. */
-final class CountedDialer implements Dialer {
+final class CountedDialer implements Connector {
 
-    private final Dialer dialer;
+    private final Connector dialer;
     private long received;
     private long written;
     private Connection current;
 
-    CountedDialer(Dialer dialer) {
+    CountedDialer(Connector dialer) {
         this.dialer = dialer;
     }
 
@@ -34,13 +34,13 @@
     /** Breaks the connection that is up, if there is one, as the network would. */
     void breakConnection() {
         if (current != null) {
-            current.abort(ConnectionEnd.RESET);
+            current.abort(CloseReason.RESET);
         }
     }
 
     @Override
-    public void dial(InetSocketAddress address, Duration timeout, Protocol protocol) {
-        dialer.dial(address, timeout, new CountedProtocol(protocol));
+    public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
+        dialer.connect(address, timeout, new CountedProtocol(protocol));
     }
 
     private final class CountedProtocol implements Protocol {
@@ -66,7 +66,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             if (current == connection) {
                 current = null;
             }
@@ -94,33 +94,33 @@
         }
 
         @Override
-        public Withdrawal withdraw(byte[] bytes) {
-            return connection.withdraw(bytes);
+        public Withdrawal cancelWrite(byte[] bytes) {
+            return connection.cancelWrite(bytes);
         }
 
         @Override
-        public boolean isStuck() {
-            return connection.isStuck();
+        public boolean isBlocked() {
+            return connection.isBlocked();
         }
 
         @Override
-        public void close(ConnectionEnd why) {
+        public void close(CloseReason why) {
             connection.close(why);
         }
 
         @Override
-        public void finish(ConnectionEnd why) {
+        public void finish(CloseReason why) {
             connection.finish(why);
         }
 
         @Override
-        public void abort(ConnectionEnd why) {
+        public void abort(CloseReason why) {
             connection.abort(why);
         }
 
         @Override
-        public List<byte[]> unsent() {
-            return connection.unsent();
+        public List<byte[]> unsentMessages() {
+            return connection.unsentMessages();
         }
 
         @Override
--- a/lab/src/main/java/pathlane/lab/scale/FleetChanges.java
+++ b/lab/src/main/java/pathlane/lab/scale/FleetChanges.java
@@ -13,8 +13,8 @@
 import java.util.function.IntConsumer;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.net.EventLoop;
 
 /** Makes changes at the source: evenly spaced ones, a zone's loss and return, a rolling release. On the source's loop. */
@@ -77,16 +77,16 @@
             String service = layout.serviceName(random.nextInt(layout.services()));
             commit(service, List.of(), List.of(), Optional.of(source.configuration(made + 1)));
         } else {
-            upsert(random.nextInt(fleet.controllers()), Mode.RUNNING);
+            upsert(random.nextInt(fleet.controllers()), ServerStatus.RUNNING);
         }
     }
 
-    private void commit(String service, List<ServerLine> upserted, List<Long> removed, Optional<String> configuration) {
+    private void commit(String service, List<ServerEndpoint> upserted, List<Long> removed, Optional<String> configuration) {
         made++;
         source.commit(service, upserted, removed, configuration);
     }
 
-    private void upsert(int server, Mode mode) {
+    private void upsert(int server, ServerStatus mode) {
         commit(layout.serviceName(layout.serviceOf(server)), List.of(layout.line(server, mode, startTime())), List.of(),
                 Optional.empty());
     }
@@ -115,7 +115,7 @@
     void returnZone(int zone) {
         Instant startedAt = startTime();
         zoneServers(zone).forEach((service, numbers) -> commit(layout.serviceName(service),
-                numbers.stream().map(server -> layout.line(server, Mode.RUNNING, startedAt)).toList(), List.of(),
+                numbers.stream().map(server -> layout.line(server, ServerStatus.RUNNING, startedAt)).toList(), List.of(),
                 Optional.empty()));
     }
 
@@ -131,12 +131,12 @@
     }
 
     private void releaseOne(int server, CompletableFuture<Void> back) {
-        upsert(server, Mode.DRAINING);
+        upsert(server, ServerStatus.DRAINING);
         loop.after(RELEASE_STEP, () -> {
             commit(layout.serviceName(layout.serviceOf(server)), List.of(), List.of(FleetLayout.serverId(server)),
                     Optional.empty());
             loop.after(RELEASE_STEP, () -> {
-                upsert(server, Mode.RUNNING);
+                upsert(server, ServerStatus.RUNNING);
                 back.complete(null);
             });
         });
--- a/lab/src/main/java/pathlane/lab/scale/FleetLayout.java
+++ b/lab/src/main/java/pathlane/lab/scale/FleetLayout.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 /**
  * Who is where: services with their session servers, and controllers with the services that they watch. Follows from the
@@ -128,11 +128,12 @@
     }
 
     /** A session server as the catalogue lists it. */
-    ServerLine line(int server, Mode mode, Instant startedAt) {
+    ServerEndpoint line(int server, ServerStatus mode, Instant startedAt) {
         byte[] address = {LOOPBACK, (byte) (FIRST_BLOCK + (server >> 2 * BYTE_BITS)), (byte) (server >> BYTE_BITS),
                 (byte) server};
         try {
-            return new ServerLine(serverId(server), new InetSocketAddress(InetAddress.getByAddress(address), SERVER_PORT),
+            return new ServerEndpoint(serverId(server),
+                    new InetSocketAddress(InetAddress.getByAddress(address), SERVER_PORT),
                     mode,
                     zoneOf(server), 1, startedAt);
         } catch (UnknownHostException e) {
@@ -141,8 +142,8 @@
     }
 
     /** All servers of a service, running since long ago. */
-    List<ServerLine> lines(int service) {
-        return serversOf(service).mapToObj(server -> line(server, Mode.RUNNING, Instant.EPOCH)).toList();
+    List<ServerEndpoint> lines(int service) {
+        return serversOf(service).mapToObj(server -> line(server, ServerStatus.RUNNING, Instant.EPOCH)).toList();
     }
 
     /** The services that a controller calls, and so watches. */
--- a/lab/src/main/java/pathlane/lab/scale/HollowController.java
+++ b/lab/src/main/java/pathlane/lab/scale/HollowController.java
@@ -10,9 +10,10 @@
 import pathlane.config.Millis;
 import pathlane.config.Settings;
 import pathlane.core.Scheduler;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway;
-import pathlane.decision.Logic;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.AdaptiveRoutingPolicy;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceChange;
@@ -23,8 +24,8 @@
 import pathlane.discovery.WatchListener;
 import pathlane.discovery.WatchTerms;
 import pathlane.group.Keys;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
+import pathlane.transport.Connector;
+import pathlane.transport.RateLimitedLog;
 
 /**
  * A call controller without callers and without connections to session servers: the real watch client over a connection of
@@ -37,14 +38,15 @@
      *
      * @param dialer opens the connections; each controller counts its own
      */
-    record Environment(Dialer dialer, Scheduler scheduler, Keys keys, LimitedLog log, Settings settings,
+    record Environment(Connector dialer, Scheduler scheduler, Keys keys, RateLimitedLog log, Settings settings,
             InForceRecorder recorder) {}
 
     /** One service's decision module, and the revision that it was told. */
     private final class ListedService {
 
-        private final Logic logic = new Logic(environment.settings(), seed, new IdleActions(environment.scheduler(),
-                () -> woken(this)));
+        private final AdaptiveRoutingPolicy logic =
+                new AdaptiveRoutingPolicy(environment.settings(), seed, new IdleActions(environment.scheduler(),
+                        () -> woken(this)));
         private long revision;
     }
 
@@ -147,7 +149,7 @@
     }
 
     private void woken(ListedService service) {
-        service.logic.woken(nowMillis());
+        service.logic.timerFired(nowMillis());
     }
 
     private double nowMillis() {
@@ -155,13 +157,13 @@
     }
 
     /** A line of the list as the decision module is told of it. */
-    static Gateway.Listed listed(ServerLine line) {
-        return new Gateway.Listed(line.id(), line.cell(), line.mode(),
+    static RoutingPolicy.ListedServer listed(ServerEndpoint line) {
+        return new RoutingPolicy.ListedServer(line.id(), line.pool(), line.status(),
                 line.startedAt().equals(Instant.EPOCH) ? 0 : Millis.of(line.startedAt()), line.weight());
     }
 
-    private static Gateway.Listed gone(long id) {
-        return new Gateway.Listed(id, 0, Gateway.Mode.GONE, 0, 1);
+    private static RoutingPolicy.ListedServer gone(long id) {
+        return new RoutingPolicy.ListedServer(id, 0, ServerStatus.GONE, 0, 1);
     }
 
     /** Tells each service's decision module of what has changed, as the program does. */
@@ -169,7 +171,7 @@
 
         @Override
         public void changed(ServiceState state, ServiceChange change) {
-            List<Gateway.Listed> lines = new ArrayList<>();
+            List<RoutingPolicy.ListedServer> lines = new ArrayList<>();
             if (change instanceof ServiceChange.Delta delta) {
                 delta.removed().forEach(id -> lines.add(gone(id)));
                 delta.upserted().forEach(line -> lines.add(listed(line)));
@@ -185,9 +187,9 @@
             inForce(service, true, List.of(), revision);
         }
 
-        private void inForce(String name, boolean whole, List<Gateway.Listed> lines, Revision revision) {
+        private void inForce(String name, boolean whole, List<RoutingPolicy.ListedServer> lines, Revision revision) {
             ListedService service = listed.computeIfAbsent(name, any -> new ListedService());
-            service.logic.listed(nowMillis(), whole, lines);
+            service.logic.serversListed(nowMillis(), whole, lines);
             if (service.revision > 0) {
                 environment.recorder().inForce(region, service.revision, revision.number(), environment.scheduler().now());
             }
--- a/lab/src/main/java/pathlane/lab/scale/HollowProcess.java
+++ b/lab/src/main/java/pathlane/lab/scale/HollowProcess.java
@@ -20,9 +20,9 @@
 import pathlane.config.SettingsReader;
 import pathlane.discovery.WatchTerms;
 import pathlane.lab.scale.ControlMessage.WatchFigures;
-import pathlane.link.LimitedLog;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
+import pathlane.transport.RateLimitedLog;
 
 /**
  * A process that holds some controllers of the fleet, with numbers that follow each other. Commands come on its standard
@@ -65,7 +65,7 @@
         Topology topology = Topology.read(folder.topologyFile());
         List<WatchTerms.PublisherAddress> relays = topology.zoneRelays().stream().map(Topology.Publisher::address).toList();
         HollowController.Environment environment = new HollowController.Environment(network.dialer(MOST_UNWRITTEN), loop,
-                folder.readKeys(), new LimitedLog("scale", loop), settings, recorder);
+                folder.readKeys(), new RateLimitedLog("scale", loop), settings, recorder);
         for (int number : numbers) {
             int zone = layout.zoneOf(number);
             int region = layout.regionOfZone(zone);
--- a/lab/src/main/java/pathlane/lab/scale/IdleActions.java
+++ b/lab/src/main/java/pathlane/lab/scale/IdleActions.java
@@ -2,10 +2,10 @@
 
 import pathlane.config.Millis;
 import pathlane.core.Scheduler;
-import pathlane.decision.Gateway;
+import pathlane.decision.RoutingPolicy;
 
 /** What a decision module asks for where there are no calls: timers alone. */
-final class IdleActions implements Gateway.Actions {
+final class IdleActions implements RoutingPolicy.Actions {
 
     private final Scheduler scheduler;
     private final Runnable woken;
@@ -17,15 +17,15 @@
     }
 
     @Override
-    public void wakeAfter(double delayMs) {
-        scheduler.after(Millis.span(delayMs), woken);
+    public void scheduleTimer(double delayMs) {
+        scheduler.after(Millis.toDuration(delayMs), woken);
     }
 
     @Override
     public void send(String call, long server, double giveUpAfterMs) {}
 
     @Override
-    public void refuse(String call, double adviseMs) {}
+    public void reject(String call, double adviseMs) {}
 
     @Override
     public void fail(String call) {}
@@ -34,5 +34,5 @@
     public void cancel(String call, int attempt) {}
 
     @Override
-    public void askForList() {}
+    public void requestServerList() {}
 }
--- a/lab/src/main/java/pathlane/lab/scale/RealController.java
+++ b/lab/src/main/java/pathlane/lab/scale/RealController.java
@@ -77,7 +77,7 @@
         process.start();
         try (RigLoop loop = new RigLoop()) {
             ScriptedCaller caller = loop.call(() -> new ScriptedCaller("caller", 1,
-                    (controller, protocol) -> loop.dial(new InetSocketAddress(HOST, port), DIAL_TIMEOUT, protocol),
+                    (controller, protocol) -> loop.connect(new InetSocketAddress(HOST, port), DIAL_TIMEOUT, protocol),
                     new History(System::nanoTime)));
             while (!loop.call(() -> caller.isConnected(name))) {
                 deadline.check(() -> name + " does not serve");
--- a/lab/src/main/java/pathlane/lab/scale/RegionGate.java
+++ b/lab/src/main/java/pathlane/lab/scale/RegionGate.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /** The way from one region to the source: while it is cut, connections break, new ones as soon as they are up. */
 final class RegionGate {
@@ -24,7 +24,7 @@
     void cut() {
         isCut = true;
         List<Connection> broken = new ArrayList<>(open);
-        broken.forEach(connection -> connection.abort(ConnectionEnd.RESET));
+        broken.forEach(connection -> connection.abort(CloseReason.RESET));
     }
 
     void restore() {
@@ -43,7 +43,7 @@
         @Override
         public void opened(Connection up) {
             if (isCut) {
-                up.abort(ConnectionEnd.RESET);
+                up.abort(CloseReason.RESET);
                 return;
             }
             connection = up;
@@ -57,7 +57,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             if (connection != null) {
                 open.remove(connection);
                 protocol.closed(end);
--- a/lab/src/main/java/pathlane/lab/scale/RunFolder.java
+++ b/lab/src/main/java/pathlane/lab/scale/RunFolder.java
@@ -11,7 +11,7 @@
 import pathlane.core.Scheduler;
 import pathlane.group.Keys;
 import pathlane.group.SealedLink;
-import pathlane.link.LimitedLog;
+import pathlane.transport.RateLimitedLog;
 
 /** The files that the processes of one run share. */
 record RunFolder(Path folder) {
@@ -60,7 +60,7 @@
     }
 
     /** What the links of one party share. */
-    static SealedLink.Common linkCommon(String name, Keys keys, Scheduler scheduler, LimitedLog log) {
+    static SealedLink.Common linkCommon(String name, Keys keys, Scheduler scheduler, RateLimitedLog log) {
         SecureRandom random = new SecureRandom();
         Supplier<byte[]> nonces = () -> {
             byte[] nonce = new byte[NONCE_BYTES];
--- a/lab/src/main/java/pathlane/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleRun.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 
 /** One run: starts the source and all processes, plays the days, and ends everything. */
 final class ScaleRun {
@@ -69,7 +69,7 @@
             List<DayResult> days = player.play();
             Optional<BaselineResult> baseline = Optional.empty();
             if (plan.days().baseline().isPresent()) {
-                List<ServerLine> list = OnLoop.call(source.loop(), () -> source.catalogue().services().stream()
+                List<ServerEndpoint> list = OnLoop.call(source.loop(), () -> source.catalogue().services().stream()
                         .flatMap(service -> source.catalogue().state(service).orElseThrow().endpoints().stream()).toList());
                 baseline = Optional.of(new BaselineRun(plan.days().baseline().get(), list, layout, source, fleet, deadline)
                         .play());
--- a/lab/src/main/java/pathlane/lab/scale/SourceHost.java
+++ b/lab/src/main/java/pathlane/lab/scale/SourceHost.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import pathlane.core.ServerLine;
+import pathlane.core.ServerEndpoint;
 import pathlane.discovery.Catalogue;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceState;
 import pathlane.discovery.Source;
-import pathlane.link.LimitedLog;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
+import pathlane.transport.RateLimitedLog;
 
 /** The real source in the run's own process, over real sockets: its changes are made here. */
 final class SourceHost implements AutoCloseable {
@@ -43,7 +43,7 @@
         this.topology = topology;
         this.commits = CommitLog.create(folder.commitLogFile());
         this.source = OnLoop.call(loop, () -> new Source(EPOCH, ScaleTerms.publisher(plan.relays()),
-                RunFolder.linkCommon("source", folder.readKeys(), loop, new LimitedLog("source", loop)), loop,
+                RunFolder.linkCommon("source", folder.readKeys(), loop, new RateLimitedLog("source", loop)), loop,
                 new SplittableRandom(plan.fleet().seed())));
         this.rootView = new RootView(() -> source.publisher().progress(), loop);
     }
@@ -73,7 +73,7 @@
     }
 
     /** Changes a service; something must differ. On the loop. */
-    Revision commit(String service, List<ServerLine> upserted, List<Long> removed, Optional<String> configuration) {
+    Revision commit(String service, List<ServerEndpoint> upserted, List<Long> removed, Optional<String> configuration) {
         Instant now = loop.now();
         Revision expected = source.catalogue().revision().next();
         commits.record(expected.number(), lastRevisions.getOrDefault(service, 0L), now);
--- a/lab/src/main/java/pathlane/lab/scale/WholeListBus.java
+++ b/lab/src/main/java/pathlane/lab/scale/WholeListBus.java
@@ -6,11 +6,11 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.core.ServerLine;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.core.ServerEndpoint;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 
 /**
  * Today's way: the event bus tells each controller the whole list, and each change of any server. A list that is longer than
@@ -35,7 +35,7 @@
     private final List<byte[]> events = new ArrayList<>();
     private final Set<Subscriber> subscribers = new LinkedHashSet<>();
 
-    WholeListBus(Scheduler scheduler, List<ServerLine> list) {
+    WholeListBus(Scheduler scheduler, List<ServerEndpoint> list) {
         for (int from = 0; from < list.size(); from += MOST_RECORDS) {
             add(from == 0 ? WHOLE : CHANGES, list.subList(from, Math.min(list.size(), from + MOST_RECORDS)));
         }
@@ -58,17 +58,17 @@
     }
 
     /** Tells everybody of a change. */
-    void change(ServerLine line) {
+    void change(ServerEndpoint line) {
         add(CHANGES, List.of(line));
     }
 
-    private void add(byte kind, List<ServerLine> lines) {
+    private void add(byte kind, List<ServerEndpoint> lines) {
         int size = HEAD + RECORD * lines.size();
         ByteBuffer event = ByteBuffer.allocate(LENGTH + size).putInt(size).putLong(events.size() + 1L).put(kind);
-        for (ServerLine line : lines) {
+        for (ServerEndpoint line : lines) {
             event.putInt((int) line.id()).put(line.address().getAddress().getAddress())
-                    .putShort((short) line.address().getPort()).put((byte) line.mode().ordinal()).putShort((short) 0)
-                    .putShort((short) line.cell()).putInt((int) (line.weight() * WEIGHT_UNIT))
+                    .putShort((short) line.address().getPort()).put((byte) line.status().ordinal()).putShort((short) 0)
+                    .putShort((short) line.pool()).putInt((int) (line.weight() * WEIGHT_UNIT))
                     .putLong(line.startedAt().toEpochMilli());
         }
         events.add(event.array());
@@ -108,7 +108,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             subscribers.remove(this);
         }
     }
--- a/lab/src/test/java/pathlane/lab/Schedule.java
+++ b/lab/src/test/java/pathlane/lab/Schedule.java
@@ -77,7 +77,7 @@
                 continue;
             }
             for (String call : known) {
-                if (one.front.controller().stands(call) && one.handover.mayAct(call)) {
+                if (one.front.controller().isEstablished(call) && one.handover.mayAct(call)) {
                     String other = acting.put(call, one.name);
                     if (other != null) {
                         broken = "call " + call + " may be acted on by " + other + " and " + one.name;
--- a/lab/src/test/java/pathlane/lab/TakeoverTest.java
+++ b/lab/src/test/java/pathlane/lab/TakeoverTest.java
@@ -74,7 +74,7 @@
         assertTrue(
                 fleet.until(Duration.ofSeconds(5), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated())));
         long theirs =
-                fleet.controllers().subList(0, 7).stream().mapToLong(one -> one.front.controller().standingCalls()).sum();
+                fleet.controllers().subList(0, 7).stream().mapToLong(one -> one.front.controller().establishedCalls()).sum();
         fleet.controllers().subList(0, 7).forEach(VirtualFleet.Controller::kill);
         long before = 0;
         for (int millis = 0; millis < 20_000; millis += 100) {
--- a/lab/src/test/java/pathlane/lab/capacity/measure/ListCostTest.java
+++ b/lab/src/test/java/pathlane/lab/capacity/measure/ListCostTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.lab.capacity.Limits;
 
 class ListCostTest {
@@ -30,6 +30,6 @@
     @Test
     void theLongestWholeListIsAppliedAndOneServerMoreIsRefused() {
         assertEquals(Optional.empty(), ListCost.refusal(Limits.LONGEST_LIST));
-        assertEquals(Optional.of(ConnectionEnd.BAD_INPUT), ListCost.refusal(Limits.LONGEST_LIST + 1));
+        assertEquals(Optional.of(CloseReason.PROTOCOL_ERROR), ListCost.refusal(Limits.LONGEST_LIST + 1));
     }
 }
--- a/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
+++ b/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import pathlane.core.ConnectionEnd;
-import pathlane.core.ServerLine;
+import pathlane.core.CloseReason;
+import pathlane.core.ServerEndpoint;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceChange;
@@ -22,8 +22,8 @@
 import pathlane.group.SealedLink;
 import pathlane.lab.Faults;
 import pathlane.lab.Path;
-import pathlane.link.LimitedLog;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.RateLimitedLog;
 
 /** A publisher that sends what a test tells it to, right or wrong, and the watch client that is connected to it. */
 final class ScriptedPublisher {
@@ -61,7 +61,7 @@
             byte[] bytes = new byte[16];
             random.nextBytes(bytes);
             return bytes;
-        }, world, new LimitedLog("discovery", world));
+        }, world, new RateLimitedLog("discovery", world));
     }
 
     private SealedLink accept(PublisherStatus status) {
@@ -80,7 +80,7 @@
             }
 
             @Override
-            public void down(ConnectionEnd end) {}
+            public void down(CloseReason end) {}
         });
         return link;
     }
@@ -105,13 +105,13 @@
                 .flatMap(one -> ((WatchMessage.Subscribe) one).interests().stream()).toList();
     }
 
-    static ServiceChange.Snapshot snapshot(Revision revision, List<ServerLine> endpoints) {
+    static ServiceChange.Snapshot snapshot(Revision revision, List<ServerEndpoint> endpoints) {
         return new ServiceChange.Snapshot(new ServiceState(SERVICE, revision, ServiceDigest.of(endpoints, ""), endpoints,
                 ""));
     }
 
     /** A removal whose digest is the right one for what is left. */
-    static ServiceChange.Delta removal(Revision from, Revision revision, long server, List<ServerLine> left) {
+    static ServiceChange.Delta removal(Revision from, Revision revision, long server, List<ServerEndpoint> left) {
         return new ServiceChange.Delta(SERVICE, from, revision, ServiceDigest.of(left, ""), List.of(), List.of(server),
                 Optional.empty());
     }
--- a/lab/src/test/java/pathlane/lab/discovery/WrongPublisherTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/WrongPublisherTest.java
@@ -16,8 +16,8 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceChange;
@@ -35,11 +35,11 @@
     private static final Revision FIRST = new Revision(2, 10);
     private static final Revision SECOND = new Revision(2, 11);
     private static final Revision THIRD = new Revision(2, 12);
-    private static final List<ServerLine> FOUR = servers(4);
+    private static final List<ServerEndpoint> FOUR = servers(4);
 
-    private static List<ServerLine> servers(int number) {
-        return LongStream.rangeClosed(1, number).mapToObj(id -> new ServerLine(id, new InetSocketAddress("127.0.0.1",
-                (int) (20_000 + id)), Mode.RUNNING, (int) id, 1, Instant.EPOCH)).toList();
+    private static List<ServerEndpoint> servers(int number) {
+        return LongStream.rangeClosed(1, number).mapToObj(id -> new ServerEndpoint(id, new InetSocketAddress("127.0.0.1",
+                (int) (20_000 + id)), ServerStatus.RUNNING, (int) id, 1, Instant.EPOCH)).toList();
     }
 
     private static PublisherStatus status(boolean complete) {
--- a/net/src/main/java/pathlane/net/Driver.java
+++ b/net/src/main/java/pathlane/net/Driver.java
@@ -17,10 +17,10 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Connection;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 
 /**
  * Reads and writes for one connection's state machine; knows no protocol. What is written waits here until the end of the
@@ -37,7 +37,7 @@
     private record Handed(byte[] message, ChannelFuture left) {}
 
     private final Protocol protocol;
-    private final LimitedLog log;
+    private final RateLimitedLog log;
     /** More than this waiting to be written means that the other side has stopped reading. */
     private final long mostUnwritten;
     private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
@@ -45,14 +45,14 @@
     /** Filled only while the other side does not read, in the order in which they leave. */
     private final List<Handed> handed = new ArrayList<>();
     private SocketChannel channel;
-    private ConnectionEnd end;
+    private CloseReason end;
     /** Whether what comes is still handed on though the connection has been ended here. */
     private boolean hears = true;
     private boolean flushDue;
     /** Whether something was left to be written by the last flush. */
     private boolean stuck;
 
-    Driver(Protocol protocol, long mostUnwritten, LimitedLog log) {
+    Driver(Protocol protocol, long mostUnwritten, RateLimitedLog log) {
         this.mostUnwritten = mostUnwritten;
         this.protocol = protocol;
         this.log = log;
@@ -85,7 +85,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        protocol.closed(end == null ? ConnectionEnd.CLOSED_BY_PEER : end);
+        protocol.closed(end == null ? CloseReason.CLOSED_BY_PEER : end);
     }
 
     @Override
@@ -96,7 +96,7 @@
             cause.printStackTrace(new PrintWriter(trace));
             log.warn("fault while serving {0}: {1}", remote(), trace);
         }
-        end = end == null ? ConnectionEnd.RESET : end;
+        end = end == null ? CloseReason.RESET : end;
         hears = false;
         context.close();
     }
@@ -122,7 +122,7 @@
             }));
         }
         if (unwritten() > mostUnwritten) {
-            abort(ConnectionEnd.OVERFLOW);
+            abort(CloseReason.OVERFLOW);
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public Withdrawal withdraw(byte[] bytes) {
+    public Withdrawal cancelWrite(byte[] bytes) {
         for (Iterator<byte[]> one = waiting.iterator(); one.hasNext();) {
             if (one.next() == bytes) {
                 one.remove();
@@ -187,7 +187,7 @@
     }
 
     @Override
-    public boolean isStuck() {
+    public boolean isBlocked() {
         stuck = stuck && inChannel() > 0;
         return stuck;
     }
@@ -195,7 +195,7 @@
     // ---- closing
 
     @Override
-    public void close(ConnectionEnd why) {
+    public void close(CloseReason why) {
         if (end == null) {
             end = why;
             hears = false;
@@ -206,7 +206,7 @@
     }
 
     @Override
-    public void finish(ConnectionEnd why) {
+    public void finish(CloseReason why) {
         if (end == null) {
             end = why;
             endThisSide();
@@ -217,7 +217,7 @@
      * The same, but what still comes is dropped. Guards the last answers of a program that ends: what is closed over
      * unread input is reset, and the other side may lose what it has not read yet.
      */
-    void part(ConnectionEnd why) {
+    void part(CloseReason why) {
         if (end == null) {
             end = why;
             hears = false;
@@ -243,14 +243,14 @@
     }
 
     @Override
-    public void abort(ConnectionEnd why) {
+    public void abort(CloseReason why) {
         end = end == null ? why : end;
         hears = false;
         channel.close();
     }
 
     @Override
-    public List<byte[]> unsent() {
+    public List<byte[]> unsentMessages() {
         List<byte[]> unsent = new ArrayList<>();
         handed.stream().filter(one -> !one.left().isSuccess()).forEach(one -> unsent.add(one.message()));
         unsent.addAll(waiting);
--- a/net/src/main/java/pathlane/net/Network.java
+++ b/net/src/main/java/pathlane/net/Network.java
@@ -26,15 +26,15 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import pathlane.core.ConnectionEnd;
-import pathlane.link.Admission;
-import pathlane.link.Datagrams;
-import pathlane.link.Dialer;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
+import pathlane.core.CloseReason;
+import pathlane.transport.ConnectionLimiter;
+import pathlane.transport.Connector;
+import pathlane.transport.Datagrams;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 
 /** Listens and dials for both fronts, on one event loop. */
-public final class Network implements Dialer, Datagrams {
+public final class Network implements Connector, Datagrams {
 
     private static final int BACKLOG = 512;
     /** Connections accepted at once, each with a descriptor before it is known whether there is room for it. */
@@ -47,7 +47,7 @@
     /** What may wait to be written to a server or a bus: four of the longest messages, at hundreds of servers at once. */
     private static final long MOST_UNWRITTEN = 64 * 1024;
     private final EventLoop loop;
-    private final LimitedLog limitedLog;
+    private final RateLimitedLog limitedLog;
     /** Connections that are up or dialled, those that were accepted among them. On the loop's thread. */
     private final Set<Driver> drivers = new HashSet<>();
     private final Set<Driver> accepted = new HashSet<>();
@@ -59,7 +59,7 @@
 
     public Network(EventLoop loop) {
         this.loop = loop;
-        this.limitedLog = new LimitedLog("net", loop);
+        this.limitedLog = new RateLimitedLog("net", loop);
     }
 
     /**
@@ -73,7 +73,7 @@
      */
     public InetSocketAddress listen(InetSocketAddress address, Supplier<Protocol> protocols, int most,
             long mostUnwritten) {
-        Admission admission = new Admission(most);
+        ConnectionLimiter admission = new ConnectionLimiter(most);
         ServerBootstrap server = new ServerBootstrap().group(loop.netty()).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
@@ -113,20 +113,20 @@
         return (InetSocketAddress) bound.channel().localAddress();
     }
 
-    private void admit(Admission admission, Protocol protocol, Driver driver, SocketChannel channel) {
+    private void admit(ConnectionLimiter admission, Protocol protocol, Driver driver, SocketChannel channel) {
         if (!channel.isActive()) {
             return;   // it has gone again, unheard
         }
-        if (!admission.admit(protocol, driver::close)) {
+        if (!admission.tryAdmit(protocol, driver::close)) {
             limitedLog.warn("connection from {0} turned away: {1} are open, all with calls",
                     channel.remoteAddress(), Integer.toString(admission.size()));
             channel.close();
-            protocol.closed(ConnectionEnd.TURNED_AWAY);
+            protocol.closed(CloseReason.LIMIT_REACHED);
             return;
         }
         accepted.add(driver);
         channel.closeFuture().addListener(closed -> {
-            admission.ended(protocol);
+            admission.closed(protocol);
             accepted.remove(driver);
         });
         track(driver, channel);
@@ -153,7 +153,7 @@
     /** Takes nothing more from those who dialled here, and ends their connections in order. On the loop's thread. */
     public void partFromCallers() {
         listening.forEach(Channel::close);
-        List.copyOf(accepted).forEach(driver -> driver.part(ConnectionEnd.ENDED));
+        List.copyOf(accepted).forEach(driver -> driver.part(CloseReason.SHUTDOWN));
     }
 
     /** Whether nobody who dialled here is connected any more. On the loop's thread. */
@@ -162,16 +162,16 @@
     }
 
     @Override
-    public void dial(InetSocketAddress address, Duration timeout, Protocol protocol) {
-        dial(address, timeout, protocol, MOST_UNWRITTEN);
+    public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
+        connect(address, timeout, protocol, MOST_UNWRITTEN);
     }
 
     /** A dialer whose connections may have so many bytes waiting to be written. */
-    public Dialer dialer(long mostUnwritten) {
-        return (address, timeout, protocol) -> dial(address, timeout, protocol, mostUnwritten);
+    public Connector dialer(long mostUnwritten) {
+        return (address, timeout, protocol) -> connect(address, timeout, protocol, mostUnwritten);
     }
 
-    private void dial(InetSocketAddress address, Duration timeout, Protocol protocol, long mostUnwritten) {
+    private void connect(InetSocketAddress address, Duration timeout, Protocol protocol, long mostUnwritten) {
         Driver driver = new Driver(protocol, mostUnwritten, limitedLog);
         Bootstrap client = new Bootstrap().group(loop.netty()).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -203,10 +203,10 @@
                 .writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to)));
     }
 
-    private static ConnectionEnd end(Throwable cause) {
+    private static CloseReason end(Throwable cause) {
         if (cause instanceof ConnectTimeoutException) {
-            return ConnectionEnd.DIAL_TIMED_OUT;
+            return CloseReason.CONNECT_TIMED_OUT;
         }
-        return cause instanceof ConnectException ? ConnectionEnd.REFUSED : ConnectionEnd.NOT_DIALLED;
+        return cause instanceof ConnectException ? CloseReason.REFUSED : CloseReason.NOT_ATTEMPTED;
     }
 }
--- a/relay/src/main/java/pathlane/relay/BusSource.java
+++ b/relay/src/main/java/pathlane/relay/BusSource.java
@@ -12,9 +12,9 @@
 import pathlane.bus.ServerList;
 import pathlane.core.Scheduler;
 import pathlane.discovery.Source;
-import pathlane.link.Dialer;
 import pathlane.relay.ProgramFile.BusOrigin;
 import pathlane.relay.ProgramFile.ConfigurationText;
+import pathlane.transport.Connector;
 
 /**
  * Fills a source from the platform's event bus. Nothing is published before the bus has told its whole list: a source that
@@ -38,7 +38,7 @@
     private boolean hasList;
     private Instant startedAt = Instant.MIN;
 
-    BusSource(BusOrigin origin, Source source, Dialer dialer, Scheduler scheduler, long seed) {
+    BusSource(BusOrigin origin, Source source, Connector dialer, Scheduler scheduler, long seed) {
         this.origin = origin;
         this.source = source;
         this.scheduler = scheduler;
--- a/relay/src/main/java/pathlane/relay/CatalogueFile.java
+++ b/relay/src/main/java/pathlane/relay/CatalogueFile.java
@@ -15,10 +15,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.discovery.CatalogueLimits;
-import pathlane.link.Addresses;
+import pathlane.transport.Addresses;
 
 /**
  * A whole catalogue as a JSON file, for a source without an event bus:
@@ -32,7 +32,7 @@
     private static final int MOST_CELL = 0xffff;
 
     /** What the file says of one service. */
-    record Content(List<ServerLine> endpoints, String configuration) {}
+    record Content(List<ServerEndpoint> endpoints, String configuration) {}
 
     private final Path file;
     private final JsonReader json;
@@ -95,7 +95,7 @@
                     + " bytes");
         }
         String configuration = "";
-        List<ServerLine> endpoints = new ArrayList<>();
+        List<ServerEndpoint> endpoints = new ArrayList<>();
         json.beginObject();
         while (json.hasNext()) {
             String key = json.nextName();
@@ -116,7 +116,7 @@
             throw error("service '" + name + "' has " + endpoints.size() + " endpoints; right would be "
                     + CatalogueLimits.MOST_ENDPOINTS + " at the most");
         }
-        endpoints.sort(Comparator.comparingLong(ServerLine::id));
+        endpoints.sort(Comparator.comparingLong(ServerEndpoint::id));
         if (services.put(name, new Content(List.copyOf(endpoints), configuration)) != null) {
             throw error("service '" + name + "' is there twice");
         }
@@ -131,10 +131,10 @@
         return text;
     }
 
-    private ServerLine endpoint() throws IOException {
+    private ServerEndpoint endpoint() throws IOException {
         long id = -1;
         InetSocketAddress address = null;
-        Mode mode = Mode.RUNNING;
+        ServerStatus mode = ServerStatus.RUNNING;
         int cell = 0;
         double weight = 1;
         Instant started = Instant.EPOCH;
@@ -144,7 +144,7 @@
             switch (key) {
                 case "id" -> id = whole(key, MOST_ID);
                 case "address" -> address = address(json.nextString());
-                case "draining" -> mode = json.nextBoolean() ? Mode.DRAINING : Mode.RUNNING;
+                case "draining" -> mode = json.nextBoolean() ? ServerStatus.DRAINING : ServerStatus.RUNNING;
                 case "cell" -> cell = (int) whole(key, MOST_CELL);
                 case "weight" -> weight = weight();
                 case "started-ms" -> started = Instant.ofEpochMilli(whole(key, Long.MAX_VALUE));
@@ -159,7 +159,7 @@
         if (!ids.add(id)) {
             throw error("endpoint " + id + " is there twice");
         }
-        return new ServerLine(id, address, mode, cell, weight, started);
+        return new ServerEndpoint(id, address, mode, cell, weight, started);
     }
 
     private long whole(String key, long most) throws IOException {
--- a/relay/src/main/java/pathlane/relay/PublisherProgram.java
+++ b/relay/src/main/java/pathlane/relay/PublisherProgram.java
@@ -8,11 +8,11 @@
 import java.time.Instant;
 import pathlane.group.Keys;
 import pathlane.group.SealedLink;
-import pathlane.link.LimitedLog;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
 import pathlane.relay.ProgramFile.RelayFile;
 import pathlane.relay.ProgramFile.SourceFile;
+import pathlane.transport.RateLimitedLog;
 
 /** A running source or relay: its event loop, its sockets, its keys, its log, and an orderly end. */
 final class PublisherProgram {
@@ -45,7 +45,7 @@
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
-        }, loop, new LimitedLog("discovery", loop));
+        }, loop, new RateLimitedLog("discovery", loop));
         this.role = file instanceof SourceFile source ? new SourceRole(source, common, network, loop, random)
                 : new RelayRole((RelayFile) file, common, network.dialer(mostUnwritten()), loop, random);
         this.statusLog = new StatusLog(role, loop);
--- a/relay/src/main/java/pathlane/relay/RelayRole.java
+++ b/relay/src/main/java/pathlane/relay/RelayRole.java
@@ -7,16 +7,16 @@
 import pathlane.discovery.Relay;
 import pathlane.discovery.WatchCounters;
 import pathlane.group.SealedLink;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
 import pathlane.relay.ProgramFile.RelayFile;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /** A relay: watches everything at one of its publishers, and publishes it. */
 final class RelayRole implements Role {
 
     private final Relay relay;
 
-    RelayRole(RelayFile file, SealedLink.Common common, Dialer dialer, Scheduler scheduler, RandomGenerator random) {
+    RelayRole(RelayFile file, SealedLink.Common common, Connector dialer, Scheduler scheduler, RandomGenerator random) {
         relay = new Relay(file.upstream(), file.common().terms(), common, dialer, scheduler, random);
     }
 
--- a/relay/src/main/java/pathlane/relay/Role.java
+++ b/relay/src/main/java/pathlane/relay/Role.java
@@ -2,7 +2,7 @@
 
 import pathlane.discovery.Catalogue;
 import pathlane.discovery.Publisher;
-import pathlane.link.Protocol;
+import pathlane.transport.Protocol;
 
 /** What a program does behind its listening port: a source or a relay. On the loop's thread. */
 interface Role {
--- a/relay/src/main/java/pathlane/relay/ServerDirectory.java
+++ b/relay/src/main/java/pathlane/relay/ServerDirectory.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import pathlane.bus.ServerList;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 /**
  * The event bus's list of servers, by service. A server belongs to the service that has its cell; one whose cell has no
@@ -20,14 +20,14 @@
 final class ServerDirectory {
 
     /** What an event changes in one service. */
-    record EndpointChange(List<ServerLine> upserted, List<Long> removed) {
+    record EndpointChange(List<ServerEndpoint> upserted, List<Long> removed) {
         private EndpointChange() {
             this(new ArrayList<>(), new ArrayList<>());
         }
     }
 
     private final Map<Integer, String> serviceByCell = new HashMap<>();
-    private final Map<String, Map<Long, ServerLine>> endpoints = new TreeMap<>();
+    private final Map<String, Map<Long, ServerEndpoint>> endpoints = new TreeMap<>();
     private final Map<Long, String> serviceById = new HashMap<>();
     private final Set<Long> unassigned = new HashSet<>();
 
@@ -44,7 +44,7 @@
     }
 
     /** The servers of a service in ascending order of their ids. */
-    List<ServerLine> endpoints(String service) {
+    List<ServerEndpoint> endpoints(String service) {
         return List.copyOf(endpoints.get(service).values());
     }
 
@@ -67,14 +67,14 @@
         return changes;
     }
 
-    private void apply(ServerLine line, Map<String, EndpointChange> changes) {
-        Optional<String> service = line.mode() == Mode.GONE ? Optional.empty()
-                : Optional.ofNullable(serviceByCell.get(line.cell()));
+    private void apply(ServerEndpoint line, Map<String, EndpointChange> changes) {
+        Optional<String> service = line.status() == ServerStatus.GONE ? Optional.empty()
+                : Optional.ofNullable(serviceByCell.get(line.pool()));
         String before = serviceById.get(line.id());
         if (before != null && !service.equals(Optional.of(before))) {
             remove(line.id(), changes);
         }
-        if (line.mode() != Mode.GONE && service.isEmpty()) {
+        if (line.status() != ServerStatus.GONE && service.isEmpty()) {
             unassigned.add(line.id());
         } else {
             unassigned.remove(line.id());
@@ -82,7 +82,7 @@
         service.ifPresent(name -> upsert(name, line, changes));
     }
 
-    private void upsert(String service, ServerLine line, Map<String, EndpointChange> changes) {
+    private void upsert(String service, ServerEndpoint line, Map<String, EndpointChange> changes) {
         serviceById.put(line.id(), service);
         if (line.equals(endpoints.get(service).put(line.id(), line))) {
             return;
--- a/relay/src/main/java/pathlane/relay/SourceRole.java
+++ b/relay/src/main/java/pathlane/relay/SourceRole.java
@@ -9,11 +9,11 @@
 import pathlane.discovery.Publisher;
 import pathlane.discovery.Source;
 import pathlane.group.SealedLink;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
 import pathlane.relay.ProgramFile.BusOrigin;
 import pathlane.relay.ProgramFile.CatalogueOrigin;
 import pathlane.relay.ProgramFile.SourceFile;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 
 /** The source: fills the catalogue from the event bus or from a file, under an epoch of its own. */
 final class SourceRole implements Role {
@@ -22,7 +22,7 @@
     private final ContentFeed feed;
 
     /** Takes the next epoch, which is on the disk once this returns. */
-    SourceRole(SourceFile file, SealedLink.Common common, Dialer dialer, Scheduler scheduler, RandomGenerator random) {
+    SourceRole(SourceFile file, SealedLink.Common common, Connector dialer, Scheduler scheduler, RandomGenerator random) {
         // Before the epoch: a start that fails for its content takes none.
         ContentFeed.Factory factory = factory(file.origin(), dialer, scheduler, random);
         long epoch = new EpochFile(file.epochFile()).next();
@@ -30,7 +30,7 @@
         feed = factory.into(source);
     }
 
-    private static ContentFeed.Factory factory(ProgramFile.Origin origin, Dialer dialer, Scheduler scheduler,
+    private static ContentFeed.Factory factory(ProgramFile.Origin origin, Connector dialer, Scheduler scheduler,
             RandomGenerator random) {
         if (origin instanceof CatalogueOrigin file) {
             CatalogueFile.read(file.catalogue());
--- a/relay/src/test/java/pathlane/relay/BusSourceTest.java
+++ b/relay/src/test/java/pathlane/relay/BusSourceTest.java
@@ -14,17 +14,17 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import pathlane.core.ConnectionEnd;
-import pathlane.core.ServerLine;
+import pathlane.core.CloseReason;
+import pathlane.core.ServerEndpoint;
 import pathlane.discovery.PublisherTerms;
 import pathlane.discovery.Source;
 import pathlane.group.SealedLink;
-import pathlane.link.Connection;
-import pathlane.link.LimitedLog;
-import pathlane.link.Protocol;
 import pathlane.relay.ProgramFile.BusOrigin;
 import pathlane.relay.ProgramFile.ConfigurationText;
 import pathlane.standin.VirtualTime;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
+import pathlane.transport.RateLimitedLog;
 
 class BusSourceTest {
 
@@ -38,7 +38,7 @@
 
     private final VirtualTime time = new VirtualTime();
     private final Source source = new Source(1, PublisherTerms.USUAL, new SealedLink.Common("s", () -> null,
-            () -> new byte[16], time, new LimitedLog("test", time)), time, new SplittableRandom(1));
+            () -> new byte[16], time, new RateLimitedLog("test", time)), time, new SplittableRandom(1));
     private final List<Long> asked = new ArrayList<>();
     private Protocol bus;
 
@@ -54,7 +54,7 @@
                 }
 
                 @Override
-                public void close(ConnectionEnd why) {
+                public void close(CloseReason why) {
                     time.after(Duration.ZERO, () -> protocol.closed(why));
                 }
 
@@ -79,7 +79,7 @@
     }
 
     private List<Long> ids(String service) {
-        return source.catalogue().state(service).orElseThrow().endpoints().stream().map(ServerLine::id).toList();
+        return source.catalogue().state(service).orElseThrow().endpoints().stream().map(ServerEndpoint::id).toList();
     }
 
     @Test
--- a/relay/src/test/java/pathlane/relay/CatalogueFileTest.java
+++ b/relay/src/test/java/pathlane/relay/CatalogueFileTest.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 
 class CatalogueFileTest {
 
@@ -32,8 +32,8 @@
                   {"id": 9, "address": "127.0.0.1:9", "draining": true, "cell": 2, "weight": 0.5, "started-ms": 3},
                   {"id": 7, "address": "127.0.0.1:7"}]}, "b": {}}}""");
         assertEquals(List.of("a", "b"), List.copyOf(services.keySet()));
-        assertEquals(List.of(7L, 9L), services.get("a").endpoints().stream().map(ServerLine::id).toList());
-        assertEquals(Mode.DRAINING, services.get("a").endpoints().get(1).mode());
+        assertEquals(List.of(7L, 9L), services.get("a").endpoints().stream().map(ServerEndpoint::id).toList());
+        assertEquals(ServerStatus.DRAINING, services.get("a").endpoints().get(1).status());
         assertEquals("c", services.get("a").configuration());
     }
 
--- a/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
+++ b/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
@@ -10,54 +10,56 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import pathlane.bus.ServerList;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.relay.ServerDirectory.EndpointChange;
 
 class ServerDirectoryTest {
 
     private final ServerDirectory directory = new ServerDirectory(Map.of("a", Set.of(1, 2), "b", Set.of(3)));
 
-    private static ServerLine line(long id, int cell, Mode mode) {
-        return new ServerLine(id, new InetSocketAddress("127.0.0.1", 7000), mode, cell, 1, Instant.EPOCH);
+    private static ServerEndpoint line(long id, int cell, ServerStatus mode) {
+        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", 7000), mode, cell, 1, Instant.EPOCH);
     }
 
-    private Map<String, EndpointChange> apply(boolean whole, ServerLine... lines) {
+    private Map<String, EndpointChange> apply(boolean whole, ServerEndpoint... lines) {
         return directory.apply(new ServerList(whole, List.of(lines)));
     }
 
     @Test
     void aServerBelongsToTheServiceOfItsCell() {
-        apply(true, line(5, 2, Mode.RUNNING), line(4, 1, Mode.RUNNING), line(6, 3, Mode.DRAINING), line(7, 9, Mode.RUNNING));
-        assertEquals(List.of(4L, 5L), directory.endpoints("a").stream().map(ServerLine::id).toList());
-        assertEquals(List.of(6L), directory.endpoints("b").stream().map(ServerLine::id).toList());
+        apply(true, line(5, 2, ServerStatus.RUNNING), line(4, 1, ServerStatus.RUNNING), line(6, 3, ServerStatus.DRAINING),
+                line(7, 9, ServerStatus.RUNNING));
+        assertEquals(List.of(4L, 5L), directory.endpoints("a").stream().map(ServerEndpoint::id).toList());
+        assertEquals(List.of(6L), directory.endpoints("b").stream().map(ServerEndpoint::id).toList());
         assertEquals(1, directory.unassigned());
     }
 
     @Test
     void anEventTellsWhatItChangedAndNothingElse() {
-        apply(true, line(4, 1, Mode.RUNNING), line(6, 3, Mode.RUNNING));
-        assertTrue(apply(false, line(4, 1, Mode.RUNNING)).isEmpty());
-        assertEquals(Map.of("a", new EndpointChange(List.of(line(4, 1, Mode.DRAINING)), List.of())),
-                apply(false, line(4, 1, Mode.DRAINING)));
-        assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L))), apply(false, line(4, 1, Mode.GONE)));
-        assertTrue(apply(false, line(4, 1, Mode.GONE)).isEmpty());
+        apply(true, line(4, 1, ServerStatus.RUNNING), line(6, 3, ServerStatus.RUNNING));
+        assertTrue(apply(false, line(4, 1, ServerStatus.RUNNING)).isEmpty());
+        assertEquals(Map.of("a", new EndpointChange(List.of(line(4, 1, ServerStatus.DRAINING)), List.of())),
+                apply(false, line(4, 1, ServerStatus.DRAINING)));
+        assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L))), apply(false, line(4, 1, ServerStatus.GONE)));
+        assertTrue(apply(false, line(4, 1, ServerStatus.GONE)).isEmpty());
     }
 
     @Test
     void aWholeListTakesAwayWhatItLacks() {
-        apply(true, line(4, 1, Mode.RUNNING), line(6, 3, Mode.RUNNING), line(7, 9, Mode.RUNNING));
-        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(6L))), apply(true, line(4, 1, Mode.RUNNING)));
+        apply(true, line(4, 1, ServerStatus.RUNNING), line(6, 3, ServerStatus.RUNNING), line(7, 9, ServerStatus.RUNNING));
+        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(6L))), apply(true, line(4, 1, ServerStatus.RUNNING)));
         assertEquals(0, directory.unassigned());
     }
 
     @Test
     void aServerThatMovesToAnotherCellLeavesItsFormerService() {
-        apply(true, line(4, 1, Mode.RUNNING));
+        apply(true, line(4, 1, ServerStatus.RUNNING));
         assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L)),
-                "b", new EndpointChange(List.of(line(4, 3, Mode.RUNNING)), List.of())),
-                apply(false, line(4, 3, Mode.RUNNING)));
-        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(4L))), apply(false, line(4, 9, Mode.RUNNING)));
+                "b", new EndpointChange(List.of(line(4, 3, ServerStatus.RUNNING)), List.of())),
+                apply(false, line(4, 3, ServerStatus.RUNNING)));
+        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(4L))),
+                apply(false, line(4, 9, ServerStatus.RUNNING)));
         assertEquals(1, directory.unassigned());
     }
 }
--- a/standin/src/main/java/pathlane/standin/PlatformServer.java
+++ b/standin/src/main/java/pathlane/standin/PlatformServer.java
@@ -4,10 +4,10 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Protocol;
 import pathlane.wire.BadInput;
 import pathlane.wire.Cause;
 import pathlane.wire.FrameAssembler;
@@ -49,7 +49,7 @@
         try {
             assembler.feed(bytes, frame -> message(Message.read(frame)));
         } catch (BadInput e) {
-            connection.close(ConnectionEnd.BAD_INPUT);
+            connection.close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void closed(ConnectionEnd end) {
+    public void closed(CloseReason end) {
         connection = null;
         open.forEach((id, session) -> {
             if (!session.stands) {
--- a/standin/src/main/java/pathlane/standin/Processor.java
+++ b/standin/src/main/java/pathlane/standin/Processor.java
@@ -168,7 +168,7 @@
         Call call = new Call(caller);
         if (state == State.DRAINING || waitMs() > Millis.of(model.longestWait())) {
             rejects++;
-            Duration wait = Millis.span(waitMs());
+            Duration wait = Millis.toDuration(waitMs());
             enter(model.reject(), () -> caller.turnedAway(wait));
             return;
         }
@@ -240,7 +240,7 @@
         }
         working = true;
         Job job = line.peek();
-        time.after(Millis.span(job.work * slow / warmth()), () -> {
+        time.after(Millis.toDuration(job.work * slow / warmth()), () -> {
             working = false;
             if (line.peek() == job) {
                 if (state == State.SILENT) {
@@ -263,21 +263,22 @@
     private double warmth() {
         Rules rules = model.rules();
         double since = now() - coldSince;
-        return since >= rules.coldMs() ? 1 : rules.coldFrom() + (1 - rules.coldFrom()) * since / rules.coldMs();
+        return since >= rules.slowStartMs() ? 1
+                : rules.slowStartFraction() + (1 - rules.slowStartFraction()) * since / rules.slowStartMs();
     }
 
     /** Rule four, as the bench words it: what came within any window, against what it could do at that moment. */
     private boolean tooMuchWhileCold() {
         Rules rules = model.rules();
         double now = now();
-        if (now - coldSince >= rules.coldMs()) {
+        if (now - coldSince >= rules.slowStartMs()) {
             return false;
         }
         arrivedCold.add(now);
-        while (now - arrivedCold.peek() >= rules.fallMs()) {
+        while (now - arrivedCold.peek() >= rules.overloadWindowMs()) {
             arrivedCold.poll();
         }
-        double most = rules.fallMultiple() * warmth() * model.callsPerSecond() / 1000 * rules.fallMs();
+        double most = rules.overloadFactor() * warmth() * model.callsPerSecond() / 1000 * rules.overloadWindowMs();
         mostOfBudget = Math.max(mostOfBudget, arrivedCold.size() / most);
         return arrivedCold.size() > most;
     }
--- a/voter/src/main/java/pathlane/voter/VoterFile.java
+++ b/voter/src/main/java/pathlane/voter/VoterFile.java
@@ -13,7 +13,7 @@
 import org.tomlj.TomlParseResult;
 import pathlane.group.Keys;
 import pathlane.group.LeaseTerms;
-import pathlane.link.Addresses;
+import pathlane.transport.Addresses;
 
 /**
  * The file of a voter, in TOML.
--- a/voter/src/main/java/pathlane/voter/VoterMain.java
+++ b/voter/src/main/java/pathlane/voter/VoterMain.java
@@ -14,13 +14,13 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Map;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.group.Keys;
 import pathlane.group.SealedLink;
 import pathlane.group.Voter;
-import pathlane.link.LimitedLog;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
+import pathlane.transport.RateLimitedLog;
 import sun.misc.Signal;
 
 /** Starts a voter: {@code java -jar pathlane-voter.jar FILE}. It ends at SIGTERM, and reads its keys again at SIGHUP. */
@@ -51,7 +51,7 @@
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
-        }, loop, new LimitedLog("register", loop));
+        }, loop, new RateLimitedLog("register", loop));
     }
 
     /** Runs until the process is asked to end; a file that can't be used ends it with one sentence. */
@@ -132,7 +132,7 @@
 
         void dial() {
             link = new SealedLink(common, true, this);
-            network.dial(address, DIAL_TIMEOUT, link);
+            network.connect(address, DIAL_TIMEOUT, link);
         }
 
         void send(RaftMessage message) {
@@ -152,7 +152,7 @@
         }
 
         @Override
-        public void down(ConnectionEnd end) {
+        public void down(CloseReason end) {
             loop.after(REDIAL, this::dial);
         }
     }
@@ -170,7 +170,7 @@
         }
 
         @Override
-        public void down(ConnectionEnd end) {
+        public void down(CloseReason end) {
             // It is dialled again from the other side.
         }
     }
--- a/wire/src/main/java/pathlane/bus/BusFeed.java
+++ b/wire/src/main/java/pathlane/bus/BusFeed.java
@@ -10,11 +10,11 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import pathlane.core.ConnectionEnd;
+import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.link.Connection;
-import pathlane.link.Dialer;
-import pathlane.link.Protocol;
+import pathlane.transport.Connection;
+import pathlane.transport.Connector;
+import pathlane.transport.Protocol;
 import pathlane.wire.BadInput;
 import pathlane.wire.FrameAssembler;
 
@@ -48,7 +48,7 @@
      */
     private static final Duration CATCH_UP = Duration.ofMillis(200);
 
-    private final Dialer dialer;
+    private final Connector dialer;
     private final Scheduler scheduler;
     private final SplittableRandom random;
     private final Consumer<ServerList> events;
@@ -74,7 +74,7 @@
      * @param unreachable run on the loop, once a second at the most, while the bus is dialled in vain; it may call
      *                    {@link #follow}
      */
-    public BusFeed(long last, Dialer dialer, Scheduler scheduler, SplittableRandom random,
+    public BusFeed(long last, Connector dialer, Scheduler scheduler, SplittableRandom random,
             Consumer<ServerList> events, Runnable unreachable) {
         this.unreachable = unreachable;
         this.last = last;
@@ -94,7 +94,7 @@
         Session before = session;
         dial();
         if (before != null && before.connection != null) {
-            before.connection.close(ConnectionEnd.REPLACED);
+            before.connection.close(CloseReason.REPLACED);
         }
     }
 
@@ -126,7 +126,7 @@
 
     private void dial() {
         session = new Session();
-        dialer.dial(bus, DIAL_TIMEOUT, session);
+        dialer.connect(bus, DIAL_TIMEOUT, session);
     }
 
     private void lookElsewhere() {
@@ -147,7 +147,7 @@
         @Override
         public void opened(Connection up) {
             if (session != this) {
-                up.close(ConnectionEnd.REPLACED);
+                up.close(CloseReason.REPLACED);
                 return;
             }
             connection = up;
@@ -166,7 +166,7 @@
 
         /** Guards against a bus that went without a word: nothing would ever tell. */
         private void await() {
-            silence = scheduler.after(MOST_SILENCE, () -> connection.close(ConnectionEnd.SILENT));
+            silence = scheduler.after(MOST_SILENCE, () -> connection.close(CloseReason.SILENT));
         }
 
         @Override
@@ -185,7 +185,7 @@
             } catch (BadInput e) {
                 LOG.log(Level.WARNING, "event bus closed for bad input: {0}", e.getMessage());
                 bytes.position(bytes.limit());
-                connection.close(ConnectionEnd.BAD_INPUT);
+                connection.close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
@@ -210,7 +210,7 @@
             ServerList list = read(number, kind, frame);
             last = number;
             list.lines().forEach(line -> LOG.log(Level.INFO, "event {0}: server {1} at {2} is {3}",
-                    Long.toString(number), ServerList.serverName(line.id()), line.address(), line.mode()));
+                    Long.toString(number), ServerList.serverName(line.id()), line.address(), line.status()));
             events.accept(list);
         }
 
@@ -233,7 +233,7 @@
         }
 
         @Override
-        public void closed(ConnectionEnd end) {
+        public void closed(CloseReason end) {
             ended = true;
             if (silence != null) {
                 silence.cancel();
--- a/wire/src/main/java/pathlane/bus/ServerList.java
+++ b/wire/src/main/java/pathlane/bus/ServerList.java
@@ -7,8 +7,8 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import pathlane.core.ServerLine;
-import pathlane.decision.Gateway.Mode;
+import pathlane.core.ServerEndpoint;
+import pathlane.decision.ServerStatus;
 import pathlane.wire.BadInput;
 
 /**
@@ -16,7 +16,7 @@
  *
  * @param whole whether the lines are the whole list, or what has changed
  */
-public record ServerList(boolean whole, List<ServerLine> lines) {
+public record ServerList(boolean whole, List<ServerEndpoint> lines) {
 
     private static final int RECORD = 27;
     private static final int ADDRESS = 4;
@@ -27,21 +27,21 @@
         if (records.remaining() % RECORD != 0) {
             throw new BadInput("records of " + records.remaining() + " bytes together");
         }
-        List<ServerLine> lines = new ArrayList<>();
+        List<ServerEndpoint> lines = new ArrayList<>();
         while (records.hasRemaining()) {
             long id = records.getInt() & 0xffffffffL;
             byte[] address = new byte[ADDRESS];
             records.get(address);
             int port = records.getShort() & 0xffff;
             int state = records.get() & 0xff;
-            if (state >= Mode.values().length) {
+            if (state >= ServerStatus.values().length) {
                 throw new BadInput("a server in state " + state);
             }
             records.getShort();   // zone and kind: nothing here depends on them
             int cell = records.getShort() & 0xffff;
             double weight = (records.getInt() & 0xffffffffL) / THOUSAND;
             long started = records.getLong();
-            lines.add(new ServerLine(id, socket(address, port), Mode.values()[state], cell, weight,
+            lines.add(new ServerEndpoint(id, socket(address, port), ServerStatus.values()[state], cell, weight,
                     Instant.ofEpochMilli(started)));
         }
         return new ServerList(whole, lines);
--- a/wire/src/main/java/pathlane/wire/Cause.java
+++ b/wire/src/main/java/pathlane/wire/Cause.java
@@ -1,6 +1,6 @@
 package pathlane.wire;
 
-import pathlane.decision.Gateway.Ending;
+import pathlane.decision.Outcome;
 
 /** The causes of releases and what they mean to the module, both ways. */
 public final class Cause {
@@ -18,14 +18,14 @@
     private Cause() {}
 
     /** How an attempt or a standing call ended, from a session server's release. */
-    public static Ending ending(int cause, String note) {
+    public static Outcome ending(int cause, String note) {
         return switch (cause) {
-            case FULL -> note.equals("no_path") ? Ending.NO_FREE_LINE : Ending.REJECTED;
-            case BUSY, OUT_OF_ORDER -> note.equals("line_taken") ? Ending.ENGAGED : Ending.ERROR;
-            case NOT_SENT -> Ending.NOT_SENT;
-            case CUT -> Ending.RESET;
-            case OVER -> Ending.COMPLETED;
-            default -> Ending.ERROR;
+            case FULL -> note.equals("no_path") ? Outcome.NO_CAPACITY : Outcome.REJECTED;
+            case BUSY, OUT_OF_ORDER -> note.equals("line_taken") ? Outcome.BUSY : Outcome.ERROR;
+            case NOT_SENT -> Outcome.NOT_SENT;
+            case CUT -> Outcome.RESET;
+            case OVER -> Outcome.COMPLETED;
+            default -> Outcome.ERROR;
         };
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** The cause of a release of a call that stood. */
-    public static int ofRelease(Ending how) {
-        return how == Ending.RESET ? CUT : OVER;
+    public static int ofRelease(Outcome how) {
+        return how == Outcome.RESET ? CUT : OVER;
     }
 }
