--- a/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
+++ b/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
@@ -16,6 +16,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import pathlane.config.SettingsReader;
+import pathlane.decision.policy.AdaptiveRoutingPolicy;
 
 /**
  * What a call, a told state and an event of the list cost the module with many session servers, as the daemon runs it:
--- a/core/src/main/java/pathlane/core/CallController.java
+++ b/core/src/main/java/pathlane/core/CallController.java
@@ -16,10 +16,10 @@
 import pathlane.config.Millis;
 import pathlane.config.Settings;
 import pathlane.core.Counters.Name;
-import pathlane.decision.AdaptiveRoutingPolicy;
 import pathlane.decision.Outcome;
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
+import pathlane.decision.policy.AdaptiveRoutingPolicy;
 
 /**
  * The life of every call, on one thread and without a wire: it owns the table of calls, the attempts and
--- a/core/src/test/java/pathlane/BoundariesTest.java
+++ b/core/src/test/java/pathlane/BoundariesTest.java
@@ -39,9 +39,9 @@
 
     @Test
     void theDecisionsKnowNothingButTheSettingsAndSlowStart() {
-        noClasses().that().resideInAPackage("pathlane.decision").should().dependOnClassesThat(
+        noClasses().that().resideInAPackage("pathlane.decision..").should().dependOnClassesThat(
                 resideInAnyPackage("pathlane..").and(DescribedPredicate.not(
-                        resideInAnyPackage("pathlane.decision", "pathlane.config", "pathlane.slowstart"))))
+                        resideInAnyPackage("pathlane.decision..", "pathlane.config", "pathlane.slowstart"))))
                 .check(CORE);
     }
 
--- a/core/src/test/java/pathlane/decision/EmbeddingTest.java
+++ b/core/src/test/java/pathlane/decision/policy/EmbeddingTest.java
@@ -1,4 +1,4 @@
-package pathlane.decision;
+package pathlane.decision.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,6 +11,8 @@
 import org.junit.jupiter.api.Test;
 import pathlane.config.Settings;
 import pathlane.config.SettingsReader;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 
 /** The README's example, run as it stands there. */
 class EmbeddingTest {
@@ -52,7 +54,7 @@
 
     @Test
     void theReadmeShowsTheSameExample() throws Exception {
-        String here = Files.readString(Path.of("src/test/java/pathlane/decision/EmbeddingTest.java"));
+        String here = Files.readString(Path.of("src/test/java/pathlane/decision/policy/EmbeddingTest.java"));
         String example = here.substring(here.indexOf("// example\n") + 11, here.indexOf("        // end of example"));
         assertTrue(Files.readString(Path.of("../README.md")).contains(example.replaceAll("(?m)^ {8}", "")));
     }
--- a/core/src/test/java/pathlane/decision/MechanismTest.java
+++ b/core/src/test/java/pathlane/decision/policy/MechanismTest.java
@@ -1,4 +1,4 @@
-package pathlane.decision;
+package pathlane.decision.policy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,6 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import pathlane.config.Settings;
+import pathlane.decision.policy.OverloadDetector.Level;
 
 /** The ordinary path: the paper's conditions against hand-worked numbers, levels, gate, floors and choice. */
 class MechanismTest {
@@ -21,10 +22,10 @@
     void conditionFourWithOneLimit() {
         // N = 9, x = 100: 900 < 1000 holds, 900 < 900 does not; N = 10: 1000 < 1000 does not.
         double[] none = {0};
-        assertTrue(AdaptiveRoutingPolicy.feasible(ONE, none, t -> 9, 100, 1));
-        assertFalse(AdaptiveRoutingPolicy.feasible(ONE, none, t -> 9, 100, 0.9));
-        assertFalse(AdaptiveRoutingPolicy.feasible(ONE, none, t -> 10, 100, 1));
-        assertTrue(AdaptiveRoutingPolicy.feasible(ONE, none, t -> 1000, 0, 1), "x starts at nought: sending is open");
+        assertTrue(OverloadDetector.isFeasible(ONE, none, t -> 9, 100, 1));
+        assertFalse(OverloadDetector.isFeasible(ONE, none, t -> 9, 100, 0.9));
+        assertFalse(OverloadDetector.isFeasible(ONE, none, t -> 10, 100, 1));
+        assertTrue(OverloadDetector.isFeasible(ONE, none, t -> 1000, 0, 1), "x starts at nought: sending is open");
     }
 
     @Test
@@ -32,14 +33,14 @@
         // k = 2: N(3000) = 20 and 0.005 a ms over 3000 - 1000 ms make 30; 30 x 100 = 3000 is not under 3000.
         // Condition (6) stays small: N(3000) - N(2000) = 0, 0.0049 x (1000 + 0) for j = 1.
         double[] floors = {0.005, 0};
-        assertFalse(AdaptiveRoutingPolicy.feasible(TWO, floors, t -> t < 3000 ? 20 / 20.0 : 20, 100, 1));
+        assertFalse(OverloadDetector.isFeasible(TWO, floors, t -> t < 3000 ? 20 / 20.0 : 20, 100, 1));
         // With 19 it is 29 x 100 = 2900 < 3000, but (6): N(3000) - N(2000) = 18, plus 0.005 x min(1000,
         // 2000) = 5: 23 x 100 = 2300 is not under 1000.
-        assertFalse(AdaptiveRoutingPolicy.feasible(TWO, floors, t -> t < 3000 ? 1 : 19, 100, 1));
+        assertFalse(OverloadDetector.isFeasible(TWO, floors, t -> t < 3000 ? 1 : 19, 100, 1));
         // Near deadlines spread so that (6) sees 19 - 15 = 4, plus 5: 9 x 100 = 900 < 1000; N(1000) = 9
         // holds too.
-        assertTrue(AdaptiveRoutingPolicy.feasible(TWO, floors, t -> t <= 1000 ? 9 : t <= 2000 ? 15 : 19, 100, 1));
-        assertFalse(AdaptiveRoutingPolicy.feasible(TWO, floors, t -> t <= 1000 ? 9 : t <= 2000 ? 15 : 19, 100, 0.9));
+        assertTrue(OverloadDetector.isFeasible(TWO, floors, t -> t <= 1000 ? 9 : t <= 2000 ? 15 : 19, 100, 1));
+        assertFalse(OverloadDetector.isFeasible(TWO, floors, t -> t <= 1000 ? 9 : t <= 2000 ? 15 : 19, 100, 0.9));
     }
 
     @Test
@@ -47,69 +48,69 @@
         // (4): N(1000) = 2, N(3000) = 14: 200 < 1000 and 1400 < 3000. (6): 14 - 3 = 11, 11 x 100 = 1100 >=
         // 1000.
         double[] none = {0, 0};
-        assertFalse(AdaptiveRoutingPolicy.feasible(TWO, none, t -> t <= 1000 ? 2 : t <= 2000 ? 3 : 14, 100, 1));
-        assertTrue(AdaptiveRoutingPolicy.feasible(TWO, none, t -> t <= 1000 ? 2 : t <= 2000 ? 8 : 14, 100, 1));
+        assertFalse(OverloadDetector.isFeasible(TWO, none, t -> t <= 1000 ? 2 : t <= 2000 ? 3 : 14, 100, 1));
+        assertTrue(OverloadDetector.isFeasible(TWO, none, t -> t <= 1000 ? 2 : t <= 2000 ? 8 : 14, 100, 1));
     }
 
     @Test
     void fiveDetectionsInARowChangeTheLevel() {
-        AdaptiveRoutingPolicy.Server server = server(new PolicyHarness(PolicyHarness.settings(0)));
+        ServerState server = server(new PolicyHarness(PolicyHarness.settings(0)));
         for (int i = 0; i < 4; i++) {
-            server.see(0, 2);
+            server.overload.record(Level.SEVERE);
         }
-        assertEquals(0, server.level);
-        server.see(0, 0);
+        assertEquals(Level.NONE, server.overload.value());
+        server.overload.record(Level.NONE);
         for (int i = 0; i < 4; i++) {
-            server.see(0, 2);
+            server.overload.record(Level.SEVERE);
         }
-        assertEquals(0, server.level, "the one at level 0 broke the row");
-        server.see(0, 2);
-        assertEquals(2, server.level);
+        assertEquals(Level.NONE, server.overload.value(), "the one at level 0 broke the row");
+        server.overload.record(Level.SEVERE);
+        assertEquals(Level.SEVERE, server.overload.value());
     }
 
     @Test
     void levelOneGapsTheLowestRankedFirstAndOneMoreEachStep() {
         PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
-        AdaptiveRoutingPolicy.Server server = server(harness);
-        server.level = 1;
+        ServerState server = server(harness);
+        server.overload.set(Level.MARGINAL);
         server.advance(1000);
-        assertArrayEquals(new boolean[] {true, false}, server.gapped);
+        assertArrayEquals(new boolean[] {true, false}, server.gate.isShed);
         server.advance(1050);
-        assertArrayEquals(new boolean[] {true, false}, server.gapped, "a step is a tenth of the shortest limit");
+        assertArrayEquals(new boolean[] {true, false}, server.gate.isShed, "a step is a tenth of the shortest limit");
         server.advance(1100);
-        assertArrayEquals(new boolean[] {true, true}, server.gapped);
+        assertArrayEquals(new boolean[] {true, true}, server.gate.isShed);
     }
 
     @Test
     void levelTwoGapsAllAndLevelZeroLiftsTheDearestFirst() {
         PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
-        AdaptiveRoutingPolicy.Server server = server(harness);
-        server.level = 2;
+        ServerState server = server(harness);
+        server.overload.set(Level.SEVERE);
         server.advance(1000);
-        assertArrayEquals(new boolean[] {true, true}, server.gapped);
-        server.level = 0;
+        assertArrayEquals(new boolean[] {true, true}, server.gate.isShed);
+        server.overload.set(Level.NONE);
         server.advance(1100);
-        assertArrayEquals(new boolean[] {true, false}, server.gapped);
+        assertArrayEquals(new boolean[] {true, false}, server.gate.isShed);
         server.advance(1200);
-        assertArrayEquals(new boolean[] {false, false}, server.gapped);
+        assertArrayEquals(new boolean[] {false, false}, server.gate.isShed);
     }
 
     @Test
     void floorsKeepTenToFive() {
-        AdaptiveRoutingPolicy.Server server = server(new PolicyHarness(PolicyHarness.settings(0)));
-        server.rate = steady(0.03, 0);
+        ServerState server = server(new PolicyHarness(PolicyHarness.settings(0)));
+        answersSteadily(server, 0.03, 0);
         // Half of 0.03 a ms, shared 10 : 5 for the dearer (class 1) and the cheaper.
-        assertEquals(0.010, server.floor(1), 1e-9);
-        assertEquals(0.005, server.floor(0), 1e-9);
+        assertEquals(0.010, server.gate.guaranteedRate(1), 1e-9);
+        assertEquals(0.005, server.gate.guaranteedRate(0), 1e-9);
     }
 
     @Test
     void aGapPassesTheFirstCallOnly() {
         PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
-        AdaptiveRoutingPolicy.Server server = server(harness);
+        ServerState server = server(harness);
         harness.now = 1000;
-        server.level = 2;
-        server.rate = steady(0.03, 1000);
+        server.overload.set(Level.SEVERE);
+        answersSteadily(server, 0.03, 1000);
         server.advance(1000);
         harness.call("a", 0, 1);
         harness.call("b", 0, 1);
@@ -121,17 +122,17 @@
     @Test
     void arrivalsThatCouldNotBeAdmittedRaiseTheLevel() {
         PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
-        AdaptiveRoutingPolicy.Server server = server(harness);
+        ServerState server = server(harness);
         harness.call("slow", 0, 1);
         harness.until(950);
         harness.answer(harness.last());
         for (int i = 0; i < 4; i++) {
             harness.call("c" + i, 0, 1);
         }
-        assertEquals(0, server.level, "four detections");
+        assertEquals(Level.NONE, server.overload.value(), "four detections");
         harness.call("c4", 0, 1);
-        assertEquals(1, server.level, "1 x 950 is under 1000 but not under 900");
-        assertTrue(server.gapped[0] && !server.gapped[1], "the lowest-ranked class first");
+        assertEquals(Level.MARGINAL, server.overload.value(), "1 x 950 is under 1000 but not under 900");
+        assertTrue(server.gate.isShed[0] && !server.gate.isShed[1], "the lowest-ranked class first");
     }
 
     @Test
@@ -178,15 +179,15 @@
         return assertThrows(IllegalArgumentException.class, settings).getMessage();
     }
 
-    /** A rate that stands at this value at this time. */
-    private static DecayingRate steady(double value, double now) {
-        DecayingRate rate = new DecayingRate(1 / value);
-        rate.count(now);
-        return rate;
+    /** Has the server answer at this rate, in requests a millisecond, at this time: each counts 1 / 4000 ms. */
+    private static void answersSteadily(ServerState server, double rate, double now) {
+        for (int i = 0; i < rate * 4000; i++) {
+            server.answerRate.count(now);
+        }
     }
 
-    private static AdaptiveRoutingPolicy.Server server(PolicyHarness harness) {
+    private static ServerState server(PolicyHarness harness) {
         harness.list(PolicyHarness.running(1));
-        return harness.logic.servers.get(1L);
+        return harness.server(1);
     }
 }
--- a/core/src/test/java/pathlane/decision/PolicyHarness.java
+++ b/core/src/test/java/pathlane/decision/policy/PolicyHarness.java
@@ -1,4 +1,4 @@
-package pathlane.decision;
+package pathlane.decision.policy;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -6,6 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import pathlane.config.Settings;
+import pathlane.decision.Outcome;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 
 /** A hand-driven gateway for the tests: the clock moves when the test says so, and every action is kept. */
 final class PolicyHarness implements RoutingPolicy.Actions {
@@ -23,14 +26,14 @@
     final Map<String, Integer> attempts = new LinkedHashMap<>();
     int asked;
     double now;
-    final AdaptiveRoutingPolicy logic;
+    final AdaptiveRoutingPolicy policy;
 
     PolicyHarness(Settings settings) {
         this(settings, 7);
     }
 
     PolicyHarness(Settings settings, long seed) {
-        logic = new AdaptiveRoutingPolicy(settings, seed, this);
+        policy = new AdaptiveRoutingPolicy(settings, seed, this);
     }
 
     static Settings.CallClass cls(long aim, double worth) {
@@ -59,12 +62,17 @@
         return new RoutingPolicy.ListedServer(server, (int) server, ServerStatus.RUNNING, 0, 1);
     }
 
+    /** What the policy knows of a listed server. */
+    ServerState server(long id) {
+        return policy.cluster.servers.get(id);
+    }
+
     void list(RoutingPolicy.ListedServer... lines) {
-        logic.serversListed(now, true, List.of(lines));
+        policy.serversListed(now, true, List.of(lines));
     }
 
     void change(RoutingPolicy.ListedServer... lines) {
-        logic.serversListed(now, false, List.of(lines));
+        policy.serversListed(now, false, List.of(lines));
     }
 
     void call(String id, int callClass, int first) {
@@ -72,11 +80,11 @@
     }
 
     void call(String id, int callClass, int first, double grace) {
-        logic.requestArrived(now, new RoutingPolicy.Request(id, callClass, "n" + id, grace, first, false));
+        policy.requestArrived(now, new RoutingPolicy.Request(id, callClass, "n" + id, grace, first, false));
     }
 
     void answer(Sent s) {
-        logic.callEstablished(now, s.call, s.attempt, s.server, now - s.at);
+        policy.callEstablished(now, s.call, s.attempt, s.server, now - s.at);
     }
 
     void end(Sent s, Outcome how) {
@@ -84,7 +92,7 @@
     }
 
     void end(Sent s, Outcome how, double statedWait) {
-        logic.attemptEnded(now, new RoutingPolicy.AttemptResult(s.call, s.attempt, s.server, how, how == Outcome.COMPLETED,
+        policy.attemptEnded(now, new RoutingPolicy.AttemptResult(s.call, s.attempt, s.server, how, how == Outcome.COMPLETED,
                 now - s.at, statedWait, null));
     }
 
@@ -97,7 +105,7 @@
             }
             timers.remove(next);
             now = Math.max(now, next);
-            logic.timerFired(now);
+            policy.timerFired(now);
         }
         now = time;
     }
@@ -108,7 +116,7 @@
         int due = (int) timers.stream().filter(b -> b <= time).count();
         timers.removeIf(b -> b <= time);
         for (int i = 0; i < due; i++) {
-            logic.timerFired(now);
+            policy.timerFired(now);
         }
     }
 
--- a/core/src/test/java/pathlane/decision/RoutingFaultsTest.java
+++ b/core/src/test/java/pathlane/decision/policy/RoutingFaultsTest.java
@@ -1,10 +1,14 @@
-package pathlane.decision;
+package pathlane.decision.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import pathlane.decision.policy.OverloadDetector.Level;
+import pathlane.decision.Outcome;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 
 /** One test for each failure found, and for odd but legal events. */
 class RoutingFaultsTest {
@@ -38,7 +42,7 @@
         harness.call("a", 0, 1);
         harness.stallUntil(harness.now + 2000);
         harness.answer(harness.last());
-        assertEquals(0, harness.logic.servers.get(1L).level);
+        assertEquals(Level.NONE, harness.server(1).overload.value());
         harness.call("b", 0, 1);
         assertEquals("b", harness.last().call());
     }
@@ -50,17 +54,17 @@
             harness.change(PolicyHarness.running(id + 1), new RoutingPolicy.ListedServer(id, id, ServerStatus.GONE, 0, 1));
             harness.until(id * 1000);
         }
-        assertTrue(harness.logic.servers.size() <= 13, "one a second, remembered for the 10 s of a cold start");
-        assertTrue(harness.logic.servers.containsKey(201L));
+        assertTrue(harness.policy.cluster.servers.size() <= 13, "one a second, remembered for the 10 s of a cold start");
+        assertTrue(harness.policy.cluster.servers.containsKey(201L));
     }
 
     @Test
     void leaversAreCalledOffAndNotCounted() {
         harness.list(PolicyHarness.running(1));
         harness.call("a", 0, 1);
-        harness.logic.clientLeft(harness.now, "a");
+        harness.policy.clientLeft(harness.now, "a");
         assertEquals(List.of("a"), harness.cancelled);
-        assertTrue(harness.logic.servers.get(1L).unanswered.isEmpty());
+        assertTrue(harness.server(1).unanswered.isEmpty());
         harness.end(harness.last(), Outcome.CANCELLED);
         harness.until(5000);
         assertEquals(List.of(), harness.finals);
@@ -71,13 +75,13 @@
     void anIdleServerLeavesItsLevelInFiveSteps() {
         harness.list(PolicyHarness.running(1));
         warm(1);
-        AdaptiveRoutingPolicy.Server server = harness.logic.servers.get(1L);
-        server.level = 2;
+        ServerState server = harness.server(1);
+        server.overload.set(Level.SEVERE);
         server.advance(harness.now);
         for (int i = 0; i < 10; i++) {
             server.advance(harness.now + i * 50);
         }
-        assertEquals(0, server.level);
+        assertEquals(Level.NONE, server.overload.value());
     }
 
     /** Before, a stale x over the limit barred every send to a server that had long been idle. */
@@ -145,8 +149,8 @@
         harness.call("a", 0, 1);
         harness.end(harness.last(), Outcome.NO_CAPACITY);
         assertEquals(2, harness.last().server());
-        assertEquals(0, harness.logic.servers.get(1L).failures);
-        harness.logic.loadReported(harness.now, 1,
+        assertEquals(0, harness.server(1).backoff.failures());
+        harness.policy.loadReported(harness.now, 1,
                 new RoutingPolicy.LoadReport(40, 100, Double.NaN, Double.NaN, Double.NaN, Double.NaN));
         harness.call("b", 0, 1);
         assertEquals(1, harness.last().server());
@@ -163,7 +167,7 @@
         harness.answer(harness.last());
         harness.end(harness.last(), Outcome.RESET);
         harness.until(harness.now + 1000);
-        assertTrue(!harness.logic.servers.get(1L).cold(harness.now));
+        assertTrue(!harness.server(1).slowStart.isActive(harness.now));
         harness.call("b", 0, 1);
         assertEquals("b", harness.last().call());
     }
@@ -175,7 +179,7 @@
         for (int i = 0; i < 100; i++) {
             harness.until(i * 50.0);
             int before = harness.sent.size();
-            harness.logic.requestArrived(harness.now, new RoutingPolicy.Request("c" + i, 0, "hot", 3000, 1, false));
+            harness.policy.requestArrived(harness.now, new RoutingPolicy.Request("c" + i, 0, "hot", 3000, 1, false));
             if (harness.sent.size() > before) {
                 harness.end(harness.last(), Outcome.BUSY);
             }
@@ -189,11 +193,11 @@
     /** Before, callers who dialled again after their aim took the place of fresh ones. */
     @Test
     void freshCallsGoBeforeThoseDialledAgainTooLate() {
-        harness.logic.requestArrived(0, new RoutingPolicy.Request("first", 0, "again", 3000, 1, false));
+        harness.policy.requestArrived(0, new RoutingPolicy.Request("first", 0, "again", 3000, 1, false));
         harness.until(1000);
         assertEquals(1, harness.finals.size(), "no server known: refused");
         harness.until(1500);
-        harness.logic.requestArrived(harness.now, new RoutingPolicy.Request("second", 0, "again", 3000, 1, false));
+        harness.policy.requestArrived(harness.now, new RoutingPolicy.Request("second", 0, "again", 3000, 1, false));
         harness.until(1510);
         harness.call("fresh", 0, 1);
         harness.list(PolicyHarness.running(1));
@@ -247,7 +251,7 @@
 
     @Test
     void oddButLegalEventsDoNoHarm() {
-        harness.logic.timerFired(0);
+        harness.policy.timerFired(0);
         harness.call("a", 0, 1);
         harness.call("a", 0, 1);
         harness.call("unknown class", 7, 1);
@@ -256,11 +260,11 @@
         harness.end(harness.last(), Outcome.NOT_SENT);
         harness.end(harness.last(), Outcome.COMPLETED);
         harness.end(harness.last(), Outcome.COMPLETED);
-        harness.logic.clientLeft(harness.now, "a");
-        harness.logic.clientLeft(harness.now, "never seen");
-        harness.logic.callEstablished(harness.now, "never seen", 0, 1, 5);
-        harness.logic.loadReported(harness.now, 99, new RoutingPolicy.LoadReport(1, 1, 1, 1, 1, 1));
-        harness.logic.serverListFailed(harness.now);
+        harness.policy.clientLeft(harness.now, "a");
+        harness.policy.clientLeft(harness.now, "never seen");
+        harness.policy.callEstablished(harness.now, "never seen", 0, 1, 5);
+        harness.policy.loadReported(harness.now, 99, new RoutingPolicy.LoadReport(1, 1, 1, 1, 1, 1));
+        harness.policy.serverListFailed(harness.now);
         harness.until(1e7);
         harness.call("after a leap", 0, 1);
         harness.until(1e7);
--- a/core/src/test/java/pathlane/decision/RulesTest.java
+++ b/core/src/test/java/pathlane/decision/policy/RulesTest.java
@@ -1,4 +1,4 @@
-package pathlane.decision;
+package pathlane.decision.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,6 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import pathlane.config.Settings;
+import pathlane.decision.Outcome;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 
 /** The five rules as properties over seeded streams of calls, outcomes, drains and restarts. */
 class RulesTest {
--- a/core/src/test/java/pathlane/decision/SizeTest.java
+++ b/core/src/test/java/pathlane/decision/policy/SizeTest.java
@@ -1,4 +1,4 @@
-package pathlane.decision;
+package pathlane.decision.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,6 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import pathlane.config.Settings;
+import pathlane.decision.Outcome;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 
 /** One test for each failure found where hundreds of gateways share few servers, and each sees little. */
 class SizeTest {
@@ -57,7 +60,7 @@
         for (PolicyHarness.Sent s : List.copyOf(harness.sent)) {
             harness.answer(s);
         }
-        assertEquals(0, harness.logic.servers.get(1L).pace);
+        assertEquals(0, harness.server(1).pacer.interval);
     }
 
     /** Before, the overflow of large servers was drawn evenly and jammed the small ones. */
@@ -67,8 +70,8 @@
         for (int seed = 0; seed < 200; seed++) {
             PolicyHarness one = new PolicyHarness(PolicyHarness.settings(0), seed);
             one.list(PolicyHarness.running(1), PolicyHarness.running(2));
-            one.logic.loadReported(0, 1, lines(100, 100));
-            one.logic.loadReported(0, 2, lines(900, 900));
+            one.policy.loadReported(0, 1, lines(100, 100));
+            one.policy.loadReported(0, 2, lines(900, 900));
             one.call("a", 0, 3);
             large += one.last().server() == 2 ? 1 : 0;
         }
@@ -79,11 +82,11 @@
     @Test
     void toldLinesStayInForceUntilToldAgain() {
         harness.list(PolicyHarness.running(1));
-        harness.logic.loadReported(0, 1, lines(0, 500));
+        harness.policy.loadReported(0, 1, lines(0, 500));
         harness.until(2000);
         harness.call("a", 0, 1);
         assertTrue(harness.sent.isEmpty(), "no line is free");
-        harness.logic.loadReported(harness.now, 1, lines(400, 500));
+        harness.policy.loadReported(harness.now, 1, lines(400, 500));
         assertEquals("a", harness.last().call());
     }
 
@@ -94,7 +97,7 @@
         for (int g = 0; g < MANY; g++) {
             PolicyHarness one = new PolicyHarness(many(), g);
             one.list(PolicyHarness.running(1));
-            one.logic.loadReported(0, 1, lines(25, 500));
+            one.policy.loadReported(0, 1, lines(25, 500));
             one.call("a", 0, 9);
             one.call("b", 0, 9);
             sent += one.sent.size();
@@ -109,9 +112,9 @@
         harness.call("a", 0, 1);
         harness.until(30);
         harness.answer(harness.last());
-        assertFalse(harness.logic.servers.get(1L).cold(harness.now));
+        assertFalse(harness.server(1).slowStart.isActive(harness.now));
         harness.end(harness.last(), Outcome.RESET);
-        assertTrue(harness.logic.servers.get(1L).cold(harness.now));
+        assertTrue(harness.server(1).slowStart.isActive(harness.now));
     }
 
     /** Before, each answer lost on the way barred its server until the caller had gone. */
@@ -120,7 +123,7 @@
         harness.list(PolicyHarness.running(1));
         harness.call("lost", 0, 1);
         harness.until(100);
-        harness.logic.clientLeft(harness.now, "lost");
+        harness.policy.clientLeft(harness.now, "lost");
         harness.end(harness.sent.get(0), Outcome.CANCELLED);
         harness.call("b", 0, 1);
         harness.until(130);
--- a/core/src/test/java/pathlane/decision/SlowStartFleetTest.java
+++ b/core/src/test/java/pathlane/decision/policy/SlowStartFleetTest.java
@@ -1,4 +1,4 @@
-package pathlane.decision;
+package pathlane.decision.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,6 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import pathlane.config.Settings;
+import pathlane.decision.Outcome;
+import pathlane.decision.RoutingPolicy;
+import pathlane.decision.ServerStatus;
 
 /**
  * Rule four for a fleet of thirty, in virtual time: they hear of the cold server up to 2 s late, one has five times the
--- /dev/null
+++ b/core/src/test/java/pathlane/decision/support/BackoffTest.java
@@ -0,0 +1,96 @@
+package pathlane.decision.support;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Pauses, intervals and changes of mind: what they take into account, and what they pass over. */
+class BackoffTest {
+
+    @Test
+    void thePauseDoublesWithEachFailureInARowUpToTheLimit() {
+        ExponentialBackoff backoff = new ExponentialBackoff(100, 2);
+        double now = 0;
+        for (double pause : new double[] {100, 200, 400, 400}) {
+            now += 1000;
+            assertTrue(backoff.recordFailure(now, now - 1, 0));
+            assertEquals(now + pause, backoff.pausedUntil());
+        }
+    }
+
+    @Test
+    void whatBeganBeforeTheLastFailureIsNoFurtherOne() {
+        ExponentialBackoff backoff = new ExponentialBackoff(100, 4);
+        backoff.recordFailure(1000, 900, 0);
+        assertFalse(backoff.recordFailure(1010, 950, 0));
+        assertEquals(1, backoff.failures());
+    }
+
+    @Test
+    void aStatedWaitIsKeptWhereItIsTheLonger() {
+        ExponentialBackoff backoff = new ExponentialBackoff(100, 4);
+        backoff.recordFailure(1000, 900, 5000);
+        assertEquals(6000, backoff.pausedUntil());
+    }
+
+    @Test
+    void aLateFailureOfWhatBeganBeforeASuccessAddsNoPauseOfItsOwn() {
+        ExponentialBackoff backoff = new ExponentialBackoff(100, 4);
+        backoff.recordFailure(1000, 900, 0);
+        backoff.recordSuccess();
+        backoff.recordFailure(1050, 950, 0);
+        assertEquals(1100, backoff.pausedUntil());
+        backoff.reset();
+        assertEquals(Double.NEGATIVE_INFINITY, backoff.pausedUntil());
+    }
+
+    @Test
+    void aValueChangesOnceEnoughDetectionsInARowSayTheSame() {
+        ConsecutiveDetections<String> detections = new ConsecutiveDetections<>(3, "off");
+        assertFalse(detections.record("on"));
+        assertFalse(detections.record("on"));
+        assertFalse(detections.record("off"));
+        assertFalse(detections.record("on"));
+        assertFalse(detections.record("on"));
+        assertTrue(detections.record("on"));
+        assertEquals("on", detections.value());
+        assertFalse(detections.record("on"), "no change");
+    }
+
+    @Test
+    void aBusyDestinationIsSpacedAtTwiceTheIntervalEachTimeWithinBounds() {
+        DestinationRecord destination = new DestinationRecord();
+        assertTrue(destination.busy(0, 0, 100, 300));
+        assertEquals(100, destination.pass(0));
+        assertFalse(destination.busy(10, -1, 100, 300), "sent before it was last seen busy");
+        assertTrue(destination.busy(100, 100, 100, 300));
+        assertEquals(300, destination.pass(100));
+        assertTrue(destination.busy(300, 300, 100, 300));
+        assertEquals(600, destination.pass(300));
+    }
+
+    @Test
+    void aDestinationExpiresOnceNoClientWaitsAndItsIntervalIsOver() {
+        DestinationRecord destination = new DestinationRecord();
+        destination.failed(0);
+        destination.busy(0, 0, 100, 300);
+        destination.pass(900);
+        assertFalse(destination.isExpired(500, 1000), "a client may still wait");
+        assertFalse(destination.isExpired(1050, 1000), "the interval runs");
+        assertTrue(destination.isExpired(1101, 1000));
+    }
+
+    @Test
+    void aTimerIsAskedForOnlyWhereNoneIsDueAsEarly() {
+        RequestedTimer timer = new RequestedTimer();
+        assertTrue(timer.request(100));
+        assertFalse(timer.request(150));
+        assertTrue(timer.request(50));
+        assertEquals(0, timer.fire(49));
+        assertEquals(10, timer.fire(60));
+        assertEquals(0, timer.fire(70), "none is due");
+        assertTrue(timer.request(150));
+    }
+}
--- a/daemon/src/main/java/pathlane/sim/Wire.java
+++ b/daemon/src/main/java/pathlane/sim/Wire.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import pathlane.config.SettingsReader;
-import pathlane.decision.AdaptiveRoutingPolicy;
 import pathlane.decision.Outcome;
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
+import pathlane.decision.policy.AdaptiveRoutingPolicy;
 
 /** Reads the wire line by line, hands events to the instance they name, and writes the replies. */
 public final class Wire {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/DecisionCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/DecisionCost.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import pathlane.config.Settings;
 import pathlane.config.SettingsReader;
-import pathlane.decision.AdaptiveRoutingPolicy;
 import pathlane.decision.Outcome;
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
+import pathlane.decision.policy.AdaptiveRoutingPolicy;
 
 /**
  * What the decision module alone costs by the number of servers in its list: the decision of a call, a server's capacity
--- a/lab/src/main/java/pathlane/lab/scale/BaselineControllers.java
+++ b/lab/src/main/java/pathlane/lab/scale/BaselineControllers.java
@@ -11,8 +11,8 @@
 import pathlane.config.Millis;
 import pathlane.config.Settings;
 import pathlane.core.ServerEndpoint;
-import pathlane.decision.AdaptiveRoutingPolicy;
 import pathlane.decision.RoutingPolicy;
+import pathlane.decision.policy.AdaptiveRoutingPolicy;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
 
