--- a/core/src/main/java/pathlane/core/ClientConnections.java
+++ b/core/src/main/java/pathlane/core/ClientConnections.java
@@ -6,111 +6,122 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import pathlane.decision.Outcome;
 
-/** The connections of callers, what each has in calls, and the way back for what ends. On the loop's thread. */
+/** The connections of clients, how many calls each has, and the way back for calls that end. On the loop's thread. */
 final class ClientConnections {
 
-    /** What is over is remembered for so long: what a server or caller still says of it concerns nobody. */
-    private static final Duration OVER_MEMORY = Duration.ofSeconds(60);
-
-    /** The most that is remembered of calls that are over, and of releases that found no caller. */
+    /** A call that has ended is remembered for so long: what a server or client still says of it concerns nobody. */
+    private static final Duration ENDED_MEMORY = Duration.ofSeconds(60);
+    /** The most that is remembered of calls that have ended, and of releases that found no client. */
     private static final int MOST_REMEMBERED = 10_000;
 
-    /** What a caller's connection has in calls. */
-    static final class Held {
+    /** How many calls a client's connection has. */
+    static final class Usage {
         int open;
-        int standing;
-        /** Whether a call of its ever stood. */
-        boolean served;
+        int established;
+        /** Whether a call of its was ever established. */
+        boolean hasServed;
     }
 
-    /** A release that found no connection to its caller. */
-    private record Unrelayed(ClientPort own, Outcome how, Instant at) {}
+    /** A release that found no connection to its client. */
+    private record PendingRelease(ClientPort client, Outcome outcome, Instant since) {}
 
     private final Scheduler scheduler;
-    private final Map<ClientPort, Held> connections = new LinkedHashMap<>();
-    private final Map<String, Unrelayed> unrelayed = new LinkedHashMap<>();
-    private final Map<String, Instant> over = new LinkedHashMap<>();
+    private final Map<ClientPort, Usage> connections = new LinkedHashMap<>();
+    private final Map<String, PendingRelease> pendingReleases = new LinkedHashMap<>();
+    private final Map<String, Instant> ended = new LinkedHashMap<>();
 
     ClientConnections(Scheduler scheduler) {
         this.scheduler = scheduler;
     }
 
-    /** A caller can be reached; what found none to go to goes there, and {@code told} hears of each. */
-    void opened(ClientPort caller, Consumer<String> notified) {
-        connections.put(caller, new Held());
-        unrelayed.entrySet().removeIf(waiting -> {
-            boolean reached = caller.isSameClient(waiting.getValue().own());
-            if (reached) {
-                caller.release(waiting.getKey(), waiting.getValue().how());
-                notified.accept(waiting.getKey());
+    /** A client can be reached; releases that wait for it leave, and {@code onDelivered} is told the call of each. */
+    void connected(ClientPort client, Consumer<String> onDelivered) {
+        connections.put(client, new Usage());
+        pendingReleases.entrySet().removeIf(pending -> {
+            PendingRelease release = pending.getValue();
+            boolean isReached = client.isSameClient(release.client());
+            if (isReached) {
+                client.release(pending.getKey(), release.outcome());
+                onDelivered.accept(pending.getKey());
             }
-            return reached;
+            return isReached;
         });
     }
 
     /** A connection has ended; returns what it had. */
-    Held closed(ClientPort caller) {
-        Held held = connections.remove(caller);
-        return held == null ? new Held() : held;
+    Usage disconnected(ClientPort client) {
+        return Optional.ofNullable(connections.remove(client)).orElseGet(Usage::new);
     }
 
     /** What a connection has; one that has ended, or never was, counts for nothing. */
-    Held held(ClientPort caller) {
-        Held held = connections.get(caller);
-        return held == null ? new Held() : held;
+    Usage usage(ClientPort client) {
+        Usage usage = connections.get(client);
+        return usage == null ? new Usage() : usage;
     }
 
     /**
-     * Releases towards the call's own connection, else the latest on which calls stood, else any, else the next. False:
-     * it waits for the next.
+     * Tells a client of a call's end on the call's own connection, else on the client's latest one on which calls were
+     * established, else on any of its connections.
+     *
+     * @return false where there is none: the release waits for the next one
      */
-    boolean relay(ClientPort own, String id, Outcome how) {
-        ClientPort way = connections.containsKey(own) ? own : null;
-        if (way == null) {
-            List<ClientPort> reaching = connections.keySet().stream().filter(caller -> caller.isSameClient(own)).toList();
-            // Guards releases against connections that were opened and never used: nobody may be listening there.
-            way = reaching.stream().filter(caller -> held(caller).served).reduce((a, b) -> b)
-                    .or(() -> reaching.stream().reduce((a, b) -> b)).orElse(null);
-        }
-        if (way != null) {
-            way.release(id, how);
+    boolean notifyRelease(ClientPort client, String callId, Outcome outcome) {
+        Optional<ClientPort> way = wayTo(client);
+        if (way.isPresent()) {
+            way.get().release(callId, outcome);
             return true;
         }
         Instant now = scheduler.now();
-        unrelayed.put(id, new Unrelayed(own, how, now));
-        forget(unrelayed.values().iterator(), waiting -> waiting.at().plus(OVER_MEMORY).isBefore(now), unrelayed.size());
+        pendingReleases.put(callId, new PendingRelease(client, outcome, now));
+        dropOld(pendingReleases.values().iterator(), release -> isOld(release.since(), now), pendingReleases.size());
         return false;
     }
 
-    /** What was owed for a call is owed by another controller now. */
-    void forget(String id) {
-        unrelayed.remove(id);
+    private Optional<ClientPort> wayTo(ClientPort client) {
+        if (connections.containsKey(client)) {
+            return Optional.of(client);
+        }
+        List<ClientPort> candidates = connections.keySet().stream().filter(other -> other.isSameClient(client)).toList();
+        // Nobody may be listening on a connection that was opened and never used.
+        return candidates.stream().filter(other -> usage(other).hasServed).reduce((first, second) -> second)
+                .or(() -> candidates.stream().reduce((first, second) -> second));
     }
 
-    /** A call is over; it is remembered for a while. */
-    void over(String id) {
+    /** Another controller tells the client of this call's end. */
+    void dropPendingRelease(String callId) {
+        pendingReleases.remove(callId);
+    }
+
+    /** A call has ended; it is remembered for a while. */
+    void callEnded(String callId) {
         Instant now = scheduler.now();
-        over.put(id, now);
-        forget(over.values().iterator(), at -> at.plus(OVER_MEMORY).isBefore(now), over.size());
+        ended.put(callId, now);
+        dropOld(ended.values().iterator(), at -> isOld(at, now), ended.size());
+    }
+
+    /** Whether a call has lately ended. */
+    boolean isEnded(String callId) {
+        return ended.containsKey(callId);
     }
 
-    boolean isOver(String id) {
-        return over.containsKey(id);
+    private static boolean isOld(Instant since, Instant now) {
+        return since.plus(ENDED_MEMORY).isBefore(now);
     }
 
-    /** Guards memory against days of any length and callers of any number: the oldest go first. */
-    private static <T> void forget(Iterator<T> oldestFirst, Predicate<T> stale, int size) {
-        for (int left = size; left > 0 && (stale.test(oldestFirst.next()) || left > MOST_REMEMBERED); left--) {
+    /** The oldest go first, so that memory does not grow with the length of the day or the number of clients. */
+    private static <T> void dropOld(Iterator<T> oldestFirst, Predicate<T> isOld, int size) {
+        for (int left = size; left > 0 && (isOld.test(oldestFirst.next()) || left > MOST_REMEMBERED); left--) {
             oldestFirst.remove();
         }
     }
 
-    /** How much is kept, of whatever kind. */
-    int kept() {
-        return connections.size() + unrelayed.size() + over.size();
+    /** How many entries are kept, of whatever kind. */
+    int retainedEntries() {
+        return connections.size() + pendingReleases.size() + ended.size();
     }
 }
--- a/core/src/main/java/pathlane/core/PolicyEventQueue.java
+++ b/core/src/main/java/pathlane/core/PolicyEventQueue.java
@@ -6,91 +6,91 @@
 import java.util.function.DoubleConsumer;
 import pathlane.config.Millis;
 
-/** Hands the module its events one after the other, never within one another. On the loop's thread. */
+/** Hands the policies their events one after the other, never within one another. On the loop's thread. */
 final class PolicyEventQueue {
 
-    /** From so long an own stall on, what the bus has told meanwhile is read before anything is decided. */
-    private static final Duration STALLED = Duration.ofMillis(50);
+    /** After a stall of this process of so long, what the event bus has told meanwhile is read before anything is decided. */
+    private static final Duration STALL = Duration.ofMillis(50);
     /** Decisions in a row, before the connections are looked at again. */
-    private static final Duration MOST_AT_ONCE = Duration.ofMillis(50);
+    private static final Duration LONGEST_TURN = Duration.ofMillis(50);
 
     private final Scheduler scheduler;
-    private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
-    private boolean inModule;
-    /** What waits for the module has its turn once the connections have been looked at. */
-    private boolean putOff;
-    /** The time of the module's last event: a timer may fire a grain before its time, and counts as on time. */
-    private double moduleTime;
+    private final ArrayDeque<Runnable> events = new ArrayDeque<>();
+    private boolean isHandling;
+    /** Whether the queue waits until the connections have been looked at. */
+    private boolean isPostponed;
+    /** The time of the last event: a timer may fire a little before its time, and counts as on time. */
+    private double lastEventMs;
 
     PolicyEventQueue(Scheduler scheduler) {
         this.scheduler = scheduler;
     }
 
-    /** Hands the module an event; what its actions bring about is handed over after it, never within. */
-    void tell(DoubleConsumer event) {
-        deferred.add(() -> event.accept(time()));
-        handOver();
+    /** Hands an event over, with its time; what its actions bring about is handed over after it, never within. */
+    void post(DoubleConsumer event) {
+        events.add(() -> event.accept(nowMs()));
+        handle();
     }
 
-    /** The same, ahead of what was put off: that is decided by what this says. */
-    void tellFirst(DoubleConsumer event) {
-        deferred.addFirst(() -> event.accept(time()));
-        handOver();
+    /** The same, ahead of what is postponed: that is decided by what this says. */
+    void postFirst(DoubleConsumer event) {
+        events.addFirst(() -> event.accept(nowMs()));
+        handle();
     }
 
-    /** Fires the module's timer after this delay. */
-    void wake(double delayMs, DoubleConsumer bell) {
-        // Guards against a timer that is early by the clock's grain: the module would take it for another timer,
-        // and wait for one that never comes.
-        double due = moduleTime + delayMs;
-        scheduler.after(Millis.toDuration(delayMs), () -> tell(at -> {
-            moduleTime = Math.max(at, due);
-            bell.accept(moduleTime);
+    /** Hands a timer's event over after a delay. */
+    void schedule(double delayMs, DoubleConsumer timerFired) {
+        // A timer may be early by the clock's resolution: the policy would take it for another timer, and wait for one that
+        // never comes.
+        double dueMs = lastEventMs + delayMs;
+        scheduler.after(Millis.toDuration(delayMs), () -> post(at -> {
+            lastEventMs = Math.max(at, dueMs);
+            timerFired.accept(lastEventMs);
         }));
     }
 
-    private double time() {
-        moduleTime = Math.max(moduleTime, Millis.of(scheduler.now()));
-        return moduleTime;
+    private double nowMs() {
+        lastEventMs = Math.max(lastEventMs, Millis.of(scheduler.now()));
+        return lastEventMs;
     }
 
     /**
-     * Guards rule three after an own stall: the callers' set-ups and the news of the bus have waited side by side, and
-     * a set-up that is decided first goes where the news forbids it. So nothing is decided before the loop has read
-     * all that waited.
+     * Handles the events, unless this process has just stalled. Clients' requests and changes of the list have then waited
+     * side by side, and a request that is decided first could go where the list forbids it (rule three): nothing is decided
+     * before the loop has read all that waited.
      */
-    private void handOver() {
-        if (inModule || putOff) {
+    private void handle() {
+        if (isHandling || isPostponed) {
             return;
         }
-        if (scheduler.lag().compareTo(STALLED) > 0) {
-            putOff();
+        if (scheduler.lag().compareTo(STALL) > 0) {
+            postpone();
         } else {
-            decide();
+            handleAll();
         }
     }
 
-    private void putOff() {
-        putOff = true;
+    private void postpone() {
+        isPostponed = true;
         scheduler.after(Duration.ZERO, () -> {
-            putOff = false;
-            decide();
+            isPostponed = false;
+            handleAll();
         });
     }
 
-    private void decide() {
-        Instant until = scheduler.now().plus(MOST_AT_ONCE);
-        inModule = true;
+    private void handleAll() {
+        Instant until = scheduler.now().plus(LONGEST_TURN);
+        isHandling = true;
         try {
-            for (Runnable next = deferred.poll(); next != null; next = deferred.poll()) {
+            for (Runnable next = events.poll(); next != null; next = events.poll()) {
                 next.run();
-                if (!deferred.isEmpty() && scheduler.now().isAfter(until)) {
-                    putOff();
+                if (!events.isEmpty() && scheduler.now().isAfter(until)) {
+                    postpone();
                     return;
                 }
             }
         } finally {
-            inModule = false;
+            isHandling = false;
         }
     }
 }
--- a/core/src/main/java/pathlane/core/Service.java
+++ b/core/src/main/java/pathlane/core/Service.java
@@ -2,16 +2,36 @@
 
 import pathlane.decision.RoutingPolicy;
 
-/** Calls and servers that belong together, with a decision module of their own. On the loop's thread. */
+/** Calls and servers that belong together, with a routing policy of their own. On the loop's thread. */
 final class Service {
 
-    final String name;
-    final RoutingPolicy module;
-    /** Calls of it, open or standing. */
-    int calls;
+    private final String name;
+    private final RoutingPolicy policy;
+    private int calls;
 
-    Service(String name, RoutingPolicy module) {
+    Service(String name, RoutingPolicy policy) {
         this.name = name;
-        this.module = module;
+        this.policy = policy;
+    }
+
+    String name() {
+        return name;
+    }
+
+    RoutingPolicy policy() {
+        return policy;
+    }
+
+    /** Whether calls of it are open or established. */
+    boolean hasCalls() {
+        return calls > 0;
+    }
+
+    void callAdded() {
+        calls++;
+    }
+
+    void callRemoved() {
+        calls--;
     }
 }
--- a/core/src/main/java/pathlane/transport/ConnectionLimiter.java
+++ b/core/src/main/java/pathlane/transport/ConnectionLimiter.java
@@ -1,64 +1,68 @@
 package pathlane.transport;
 
 import java.time.Instant;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import pathlane.core.CloseReason;
 
 /**
- * The connections of one kind, callers' or those to session servers, up to a most: the descriptors are shared out, and
- * neither kind can take the other's. When there are no more, the connection that has been idle the longest gives way
- * to the new one.
+ * The connections of one kind, clients' or those to session servers, up to a limit: the descriptors are shared out, and
+ * neither kind can take the other's. Beyond the limit, the connection that has been idle the longest is evicted for the new
+ * one. On the loop's thread.
  */
 public final class ConnectionLimiter {
 
     private final int most;
-    private final Map<Protocol, Consumer<CloseReason>> held = new LinkedHashMap<>();
+    private final Map<Protocol, Consumer<CloseReason>> open = new LinkedHashMap<>();
 
+    /** A limiter without connections, that admits so many. */
     public ConnectionLimiter(int most) {
         this.most = most;
     }
 
     /**
-     * Whether one more connection may come up; nobody gives way whose calls are open.
+     * Whether one more connection may come up; none is evicted whose calls are open.
      *
-     * @param close closes this one, should it have to give way
+     * @param close closes this one, should it have to be evicted
      */
     public boolean tryAdmit(Protocol protocol, Consumer<CloseReason> close) {
         if (isFull()) {
-            Protocol idlest = null;
-            for (Protocol one : held.keySet()) {
-                Instant since = one.idleSince();
-                if (since != null && (idlest == null || since.isBefore(idlest.idleSince()))) {
-                    idlest = one;
-                }
-            }
-            if (idlest == null) {
+            Optional<Protocol> idlest = idlest();
+            if (idlest.isEmpty()) {
                 return false;
             }
-            held.remove(idlest).accept(CloseReason.EVICTED);
+            open.remove(idlest.get()).accept(CloseReason.EVICTED);
         }
-        held.put(protocol, close);
+        open.put(protocol, close);
         return true;
     }
 
-    /** Whether the next connection needs one that gives way. */
+    private Optional<Protocol> idlest() {
+        record Idle(Protocol protocol, Instant since) {}
+        return open.keySet().stream().flatMap(one -> one.idleSince().map(since -> new Idle(one, since)).stream())
+                .min(Comparator.comparing(Idle::since)).map(Idle::protocol);
+    }
+
+    /** Whether the next connection needs one that is evicted. */
     public boolean isFull() {
-        return held.size() >= most;
+        return open.size() >= most;
     }
 
     /** A connection has ended. */
     public void closed(Protocol protocol) {
-        held.remove(protocol);
+        open.remove(protocol);
     }
 
-    /** Whether less than one of so many parts is held. */
-    public boolean isBelowShare(int part) {
-        return held.size() < most / part;
+    /** Whether less than one of so many parts of the limit is in use. */
+    public boolean isBelowShare(int parts) {
+        return open.size() < most / parts;
     }
 
+    /** How many connections are open. */
     public int size() {
-        return held.size();
+        return open.size();
     }
 }
--- a/core/src/test/java/pathlane/decision/policy/RoutingFaultsTest.java
+++ b/core/src/test/java/pathlane/decision/policy/RoutingFaultsTest.java
@@ -5,10 +5,10 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pathlane.decision.policy.OverloadDetector.Level;
 import pathlane.decision.Outcome;
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
+import pathlane.decision.policy.OverloadDetector.Level;
 
 /** One test for each failure found, and for odd but legal events. */
 class RoutingFaultsTest {
--- a/daemon/src/main/java/pathlane/diameter/PeerSession.java
+++ b/daemon/src/main/java/pathlane/diameter/PeerSession.java
@@ -1,12 +1,13 @@
 package pathlane.diameter;
 
-import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
+import java.lang.System.Logger;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import pathlane.config.file.CallerLimits;
 import pathlane.core.CloseReason;
@@ -109,8 +110,8 @@
 
     /** A peer that has exchanged its capabilities keeps its connection: its watchdogs tell whether it is there. */
     @Override
-    public Instant idleSince() {
-        return state == State.OPEN ? null : createdAt;
+    public Optional<Instant> idleSince() {
+        return state == State.OPEN ? Optional.empty() : Optional.of(createdAt);
     }
 
     @Override
--- a/daemon/src/main/java/pathlane/platform/CallerSession.java
+++ b/daemon/src/main/java/pathlane/platform/CallerSession.java
@@ -3,6 +3,7 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.time.Instant;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import pathlane.config.file.CallerLimits;
 import pathlane.core.CallController;
@@ -87,9 +88,11 @@
 
     /** A connection whose calls stand gives way last: their ends are told there. */
     @Override
-    public Instant idleSince() {
-        return controller.openCallsOn(this) > 0 ? null
-                : controller.establishedCallsOn(this) > 0 ? used.plus(GIVES_WAY_LAST) : used;
+    public Optional<Instant> idleSince() {
+        if (controller.openCallsOn(this) > 0) {
+            return Optional.empty();
+        }
+        return Optional.of(controller.establishedCallsOn(this) > 0 ? used.plus(GIVES_WAY_LAST) : used);
     }
 
     @Override
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -1,13 +1,14 @@
 package pathlane.platform;
 
-import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
+import java.lang.System.Logger;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import pathlane.config.file.ServerLimits;
 import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
@@ -115,11 +116,11 @@
 
     /** One with nothing out on it may give way to a connection to another server; one with calls last. */
     @Override
-    public Instant idleSince() {
+    public Optional<Instant> idleSince() {
         if (!isUp() || isBusy()) {
-            return null;
+            return Optional.empty();
         }
-        return link.hasStandingCalls() ? lastUsed.plus(GIVES_WAY_LAST) : lastUsed;
+        return Optional.of(link.hasStandingCalls() ? lastUsed.plus(GIVES_WAY_LAST) : lastUsed);
     }
 
     @Override
