--- a/core/src/main/java/pathlane/core/CallController.java
+++ b/core/src/main/java/pathlane/core/CallController.java
@@ -1,17 +1,10 @@
 package pathlane.core;
 
 import java.time.Duration;
-import java.time.Instant;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.function.Consumer;
 import java.util.function.Function;
 import pathlane.config.Settings;
 import pathlane.core.Counters.Name;
--- a/core/src/main/java/pathlane/core/PolicyEventQueue.java
+++ b/core/src/main/java/pathlane/core/PolicyEventQueue.java
@@ -9,7 +9,7 @@
 /** Hands the policies their events one after the other, never within one another. On the loop's thread. */
 final class PolicyEventQueue {
 
-    /** After a stall of this process of so long, what the event bus has told meanwhile is read before anything is decided. */
+    /** After a stall of this process of so long, what the event bus has told is read before anything is decided. */
     private static final Duration STALL = Duration.ofMillis(50);
     /** Decisions in a row, before the connections are looked at again. */
     private static final Duration LONGEST_TURN = Duration.ofMillis(50);
--- a/core/src/main/java/pathlane/core/Scheduler.java
+++ b/core/src/main/java/pathlane/core/Scheduler.java
@@ -8,6 +8,7 @@
 
     /** A timer that can be taken back. */
     interface Timer {
+        /** It does not run any more; nothing happens where it has. */
         void cancel();
     }
 
--- a/core/src/main/java/pathlane/decision/policy/AdaptiveRoutingPolicy.java
+++ b/core/src/main/java/pathlane/decision/policy/AdaptiveRoutingPolicy.java
@@ -104,7 +104,7 @@
         int kind = request.callClass();
         return destinations.firstArrival(now, request.destination(), settings.classes().get(kind).deadlineMs())
                 .orElseGet(() -> {
-                    // What a stall of this process held up came meanwhile: the time left, against other requests', tells when.
+                    // What a stall of this process held up came meanwhile: the time left, against others', tells when.
                     usualRemaining[kind] = cluster.isStallEnd(now) ? usualRemaining[kind] : request.remainingMs();
                     return now - Math.max(0, usualRemaining[kind] - request.remainingMs());
                 });
--- a/core/src/main/java/pathlane/decision/policy/DestinationBackoff.java
+++ b/core/src/main/java/pathlane/decision/policy/DestinationBackoff.java
@@ -6,8 +6,8 @@
 import pathlane.decision.support.DestinationRecord;
 
 /**
- * Recognises retries, and backs off from busy destinations: those are busy at whichever server, so their requests are spaced,
- * at twice the interval each time the destination is busy again, until a call is established.
+ * Recognises retries, and backs off from busy destinations: those are busy at any server, so their requests are spaced, at
+ * twice the interval each time the destination is busy again, until a call is established.
  */
 final class DestinationBackoff {
 
--- a/core/src/main/java/pathlane/decision/support/OutstandingRequests.java
+++ b/core/src/main/java/pathlane/decision/support/OutstandingRequests.java
@@ -35,7 +35,7 @@
         return calls.isEmpty();
     }
 
-    /** The calls, in the order in which their requests were sent; nothing is added or removed while they are gone through. */
+    /** The calls, in the order in which their requests were sent; nothing is added or removed in a loop over them. */
     public Iterable<C> calls() {
         return calls.values();
     }
--- a/core/src/main/java/pathlane/retry/RetryTracker.java
+++ b/core/src/main/java/pathlane/retry/RetryTracker.java
@@ -4,12 +4,12 @@
 import pathlane.decision.Outcome;
 
 /**
- * Recognises clients' retries, counts them under their first call, and keeps the delay after a lost attempt across calls: the
- * policy keeps it within one call, and an application that calls again makes another.
+ * Recognises clients' retries, counts them under their first call, and keeps the delay after a lost attempt across calls:
+ * the policy keeps it within one call, and an application that calls again makes another.
  *
  * <p>A call is known by a 64-bit key: of the mark that a client gives all its retries, or, where it gives none, of what the
- * request says. Two clients that ask the same thing have the same key without a mark; the second one then counts as the first
- * one's retry for as long as that one's failure is remembered.
+ * request says. Two clients that ask the same thing have the same key without a mark; the second one then counts as the
+ * first one's retry for as long as that one's failure is remembered.
  *
  * <p>All times are milliseconds on one clock that does not run back. One thread at a time; the counts alone may be read from
  * any thread.
--- a/core/src/main/java/pathlane/slowstart/SlowStartShare.java
+++ b/core/src/main/java/pathlane/slowstart/SlowStartShare.java
@@ -10,8 +10,9 @@
  * stated. Senders do not talk to each other; each knows how many they are and its own index.
  *
  * <p>The senders' common budget at time t after the start is B(t), the integral of
- * {@code USED * overloadFactor * warmth(t) * rate}. Request j of the common budget becomes available at B = j + 1 and belongs
- * to sender j modulo the count; it expires once the budget has grown by a further {@code KEPT} share of a window. In any
+ * {@code USED * overloadFactor * warmth(t) * rate}. Request j of the common budget becomes available at B = j + 1 and
+ * belongs to sender j modulo the count; it expires once the budget has grown by a further {@code KEPT} share of a
+ * window. In any
  * overload window what all send is then what becomes available in it and what was available and had not expired at its
  * beginning: at most {@code (USED + KEPT) * overloadFactor * capacity * window}, and {@code USED + KEPT} is under one,
  * whatever the senders' loads are and however they change. Warmth grows, so a window's mean capacity is at least the
--- a/core/src/test/java/pathlane/BoundariesTest.java
+++ b/core/src/test/java/pathlane/BoundariesTest.java
@@ -45,6 +45,28 @@
                 .check(CORE);
     }
 
+    @Test
+    void theGeneralStructuresDoNotKnowThePolicy() {
+        knowsOnly("pathlane.decision.support", "pathlane.decision", "pathlane.decision.support");
+    }
+
+    @Test
+    void slowStartAndRetriesKnowNoCallAndNoConnection() {
+        knowsOnly("pathlane.slowstart", "pathlane.slowstart", "pathlane.config");
+        knowsOnly("pathlane.retry", "pathlane.retry", "pathlane.decision");
+    }
+
+    @Test
+    void theCallControllerKnowsNoConnection() {
+        noClasses().that().resideInAPackage("pathlane.core").should()
+                .dependOnClassesThat(resideInAnyPackage("pathlane.transport", "pathlane.retry")).check(CORE);
+    }
+
+    private static void knowsOnly(String from, String... known) {
+        noClasses().that().resideInAPackage(from).should().dependOnClassesThat(
+                resideInAnyPackage("pathlane..").and(DescribedPredicate.not(resideInAnyPackage(known)))).check(CORE);
+    }
+
     @Test
     void theSettingsKnowNoOtherPartOfTheProgram() {
         noClasses().that().resideInAPackage("pathlane.config").should().dependOnClassesThat(
--- a/daemon/src/main/java/pathlane/diameter/PeerSession.java
+++ b/daemon/src/main/java/pathlane/diameter/PeerSession.java
@@ -1,7 +1,7 @@
 package pathlane.diameter;
 
-import java.lang.System.Logger.Level;
 import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.time.Instant;
--- a/daemon/src/main/java/pathlane/directory/DirectoryNode.java
+++ b/daemon/src/main/java/pathlane/directory/DirectoryNode.java
@@ -12,8 +12,8 @@
 import pathlane.discovery.OnDemandWatches;
 import pathlane.discovery.PublisherStatus;
 import pathlane.discovery.WatchClient;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.platform.ServerDiscovery;
 import pathlane.transport.Connector;
 import pathlane.transport.RateLimitedLog;
@@ -29,7 +29,7 @@
     private final Scheduler scheduler;
     private final SecureRandom random = new SecureRandom();
     private final OnDemandWatches watches;
-    private Keys keys;
+    private KeyRing keys;
     private CallController controller;
     private ServerListFeed feed;
     private WatchClient client;
@@ -51,8 +51,9 @@
     public void start(CallController started) {
         controller = started;
         feed = new ServerListFeed(controller, watches);
-        SealedLink.Common common = new SealedLink.Common(file.watch().name(), () -> keys, this::nonce, scheduler,
-                new RateLimitedLog("discovery", scheduler));
+        AuthenticatedLink.Context common =
+                new AuthenticatedLink.Context(file.watch().name(), () -> keys, this::nonce, scheduler,
+                        new RateLimitedLog("discovery", scheduler));
         client = new WatchClient(file.watch(), dialer, common, scheduler, random, feed);
         client.start();
     }
--- a/daemon/src/main/java/pathlane/directory/DiscoveryFile.java
+++ b/daemon/src/main/java/pathlane/directory/DiscoveryFile.java
@@ -9,7 +9,7 @@
 import pathlane.discovery.WatchTerms;
 import pathlane.files.TomlFile;
 import pathlane.files.WatchTables;
-import pathlane.group.Keys;
+import pathlane.group.KeyRing;
 
 /**
  * The operator's file by which a controller hears of its calls' services from relays, in TOML.
@@ -64,7 +64,7 @@
     }
 
     /** Reads the keys that the file names. */
-    public Keys readKeys() {
+    public KeyRing readKeys() {
         return WatchTables.keys(keys);
     }
 }
--- a/daemon/src/main/java/pathlane/takeover/GroupFile.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupFile.java
@@ -16,7 +16,7 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
-import pathlane.group.Keys;
+import pathlane.group.KeyRing;
 import pathlane.group.LeaseTerms;
 import pathlane.transport.Addresses;
 
@@ -67,9 +67,9 @@
     }
 
     /** Reads the keys that the file names. */
-    public Keys readKeys() {
+    public KeyRing readKeys() {
         try {
-            return Keys.read(Files.readString(keys));
+            return KeyRing.read(Files.readString(keys));
         } catch (IOException e) {
             throw new IllegalArgumentException("the keys' file " + keys + " can't be read", e);
         } catch (IllegalArgumentException e) {
@@ -120,7 +120,7 @@
                 throw wrong("lease.drift", String.valueOf(drift), "a number from 0 to 0.2");
             }
             try {
-                return new LeaseTerms(length, drift == null ? LeaseTerms.USUAL.drift() : ((Number) drift).doubleValue(),
+                return new LeaseTerms(length, drift == null ? LeaseTerms.DEFAULT.drift() : ((Number) drift).doubleValue(),
                         lag);
             } catch (IllegalArgumentException e) {
                 throw new IllegalArgumentException(file + ", part lease: " + e.getMessage(), e);
--- a/daemon/src/main/java/pathlane/takeover/GroupNode.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupNode.java
@@ -11,10 +11,10 @@
 import pathlane.core.CallController;
 import pathlane.core.CallReplication;
 import pathlane.core.Scheduler;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.handover.Handover;
-import pathlane.handover.Terms;
+import pathlane.handover.HandoverSettings;
 import pathlane.net.Network;
 import pathlane.transport.RateLimitedLog;
 
@@ -33,7 +33,7 @@
     private final Network network;
     private final Scheduler scheduler;
     private final Handover handover;
-    private Keys keys;
+    private KeyRing keys;
     private String lastLogged = "";
 
     /**
@@ -48,7 +48,7 @@
         this.keys = file.readKeys();
         String name = file.name().isEmpty() ? ownName : file.name();
         SecureRandom random = new SecureRandom();
-        SealedLink.Common common = new SealedLink.Common(name, () -> keys, () -> {
+        AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
@@ -61,8 +61,10 @@
             }
             waiting.add(settings.indexOfClass(one));
         }
-        handover = new Handover(new Terms(name, file.address(), file.copies(), file.lease(), file.window(), waiting,
-                file.waitMost(), file.pace(), file.orphans(), settings.rules().retryDelay()), random.nextLong(),
+        handover = new Handover(
+                new HandoverSettings(name, file.address(), file.copies(), file.lease(), file.window(), waiting,
+                        file.waitMost(), file.pace(), file.orphans(), settings.rules().retryDelay()),
+                random.nextLong(),
                 file.voters(), network.dialer(MOST_UNWRITTEN), common, System::nanoTime);
     }
 
@@ -89,7 +91,7 @@
 
     /** Says how things stand, whenever that has changed. */
     private void say() {
-        String line = handover.line();
+        String line = handover.summary();
         if (!line.equals(lastLogged)) {
             lastLogged = line;
             LOG.log(Level.INFO, "stands at: {0}", line);
--- a/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
@@ -22,8 +22,8 @@
 import pathlane.discovery.PublisherTerms;
 import pathlane.discovery.Revision;
 import pathlane.discovery.Source;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
 import pathlane.transport.RateLimitedLog;
@@ -42,8 +42,8 @@
     Path folder;
 
     private final EventLoop loop = new EventLoop();
-    private final Source source = onLoop(() -> new Source(1, PublisherTerms.USUAL, new SealedLink.Common("source",
-            () -> Keys.read(KEYS), () -> new byte[16], loop, new RateLimitedLog("source", loop)), loop,
+    private final Source source = onLoop(() -> new Source(1, PublisherTerms.USUAL, new AuthenticatedLink.Context("source",
+            () -> KeyRing.read(KEYS), () -> new byte[16], loop, new RateLimitedLog("source", loop)), loop,
             new SplittableRandom(1)));
 
     private <T> T onLoop(Supplier<T> task) {
--- a/discovery/src/main/java/pathlane/discovery/PublisherLink.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherLink.java
@@ -1,7 +1,7 @@
 package pathlane.discovery;
 
 import pathlane.core.CloseReason;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Protocol;
 
 /**
@@ -9,7 +9,7 @@
  * must let wait as many bytes to be written as {@link PublisherTerms#unacknowledgedBytes}, or the largest service if that is
  * more.
  */
-public final class PublisherLink implements SealedLink.Upper {
+public final class PublisherLink implements AuthenticatedLink.Listener {
 
     private final Publisher publisher;
     private Publisher.Session session;
@@ -19,41 +19,41 @@
     }
 
     /** The state machine of a connection that was accepted, for the driver that feeds it. */
-    public static Protocol accept(Publisher publisher, SealedLink.Common common) {
-        return new SealedLink(common, false, new PublisherLink(publisher));
+    public static Protocol accept(Publisher publisher, AuthenticatedLink.Context common) {
+        return new AuthenticatedLink(common, false, new PublisherLink(publisher));
     }
 
     @Override
-    public void up(SealedLink link, String name) {
+    public void authenticated(AuthenticatedLink link, String name) {
         session = publisher.open(new LinkPort(link, name));
     }
 
     @Override
-    public void message(byte[] payload) {
+    public void received(byte[] payload) {
         session.received(payload);
     }
 
     @Override
-    public void down(CloseReason end) {
+    public void closed(CloseReason end) {
         if (session != null) {
             session.closed();
         }
     }
 
-    private record LinkPort(SealedLink link, String name) implements SubscriberPort {
+    private record LinkPort(AuthenticatedLink link, String name) implements SubscriberPort {
         @Override
         public void send(byte[] message) {
-            link.write(message);
+            link.send(message);
         }
 
         @Override
         public boolean isStuck() {
-            return link.isStuck();
+            return link.isBlocked();
         }
 
         @Override
         public void close(CloseReason why) {
-            link.end(why);
+            link.close(why);
         }
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/Relay.java
+++ b/discovery/src/main/java/pathlane/discovery/Relay.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGenerator;
 import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
 
@@ -20,7 +20,7 @@
     /** Two words on how old the content is that differ by no more mean the same moment. */
     private static final Duration SAME_MOMENT = Duration.ofSeconds(2);
 
-    private final SealedLink.Common common;
+    private final AuthenticatedLink.Context common;
     private final Scheduler scheduler;
     private final Catalogue catalogue;
     private final Publisher publisher;
@@ -29,7 +29,8 @@
     private Optional<Scheduler.Timer> nextReport = Optional.empty();
 
     /** Dials nothing yet. */
-    public Relay(WatchTerms upstream, PublisherTerms terms, SealedLink.Common common, Connector dialer, Scheduler scheduler,
+    public Relay(WatchTerms upstream, PublisherTerms terms, AuthenticatedLink.Context common, Connector dialer,
+            Scheduler scheduler,
             RandomGenerator random) {
         this.common = common;
         this.scheduler = scheduler;
--- a/discovery/src/main/java/pathlane/discovery/Source.java
+++ b/discovery/src/main/java/pathlane/discovery/Source.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 import pathlane.core.Scheduler;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Protocol;
 
 /**
@@ -17,13 +17,14 @@
 
     private final Catalogue catalogue;
     private final Publisher publisher;
-    private final SealedLink.Common common;
+    private final AuthenticatedLink.Context common;
     private final Scheduler scheduler;
     private final InForceTracker inForce = new InForceTracker();
     private boolean isTracking;
 
     /** {@code epoch} must be greater than that of every earlier start of a source of this catalogue. */
-    public Source(long epoch, PublisherTerms terms, SealedLink.Common common, Scheduler scheduler, RandomGenerator random) {
+    public Source(long epoch, PublisherTerms terms, AuthenticatedLink.Context common, Scheduler scheduler,
+            RandomGenerator random) {
         this.common = common;
         this.scheduler = scheduler;
         this.catalogue = new Catalogue(terms.historyChanges());
--- a/discovery/src/main/java/pathlane/discovery/WatchClient.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchClient.java
@@ -10,7 +10,7 @@
 import pathlane.core.Scheduler;
 import pathlane.discovery.WatchMessage.Interest;
 import pathlane.discovery.WatchTerms.PublisherAddress;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Connector;
 import pathlane.wire.BadInput;
 
@@ -31,7 +31,7 @@
 
     private final WatchTerms terms;
     private final Connector dialer;
-    private final SealedLink.Common common;
+    private final AuthenticatedLink.Context common;
     private final Scheduler scheduler;
     private final WatchListener listener;
     private final PublisherSelector selector;
@@ -51,7 +51,7 @@
     private Optional<ProgressReport> sentReport = Optional.empty();
 
     /** Dials nothing yet. */
-    public WatchClient(WatchTerms terms, Connector dialer, SealedLink.Common common, Scheduler scheduler,
+    public WatchClient(WatchTerms terms, Connector dialer, AuthenticatedLink.Context common, Scheduler scheduler,
             RandomGenerator random, WatchListener listener) {
         this.terms = terms;
         this.dialer = dialer;
--- a/discovery/src/main/java/pathlane/discovery/WatchSession.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchSession.java
@@ -7,11 +7,11 @@
 import pathlane.discovery.WatchMessage.Request;
 import pathlane.discovery.WatchMessage.Response;
 import pathlane.discovery.WatchTerms.PublisherAddress;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.wire.BadInput;
 
 /** One connection of a watch client to a publisher, from the dial to its end. */
-final class WatchSession implements SealedLink.Upper {
+final class WatchSession implements AuthenticatedLink.Listener {
 
     /** What the client is told of its connections. */
     interface Owner {
@@ -32,33 +32,33 @@
     private final Duration silentAfter;
     private final WatchCounters.Tally tally;
     private final Owner owner;
-    private final SealedLink link;
+    private final AuthenticatedLink link;
     private Instant lastReceived;
     private Scheduler.Timer silence;
     private boolean accepted;
     private boolean refused;
     private boolean ended;
 
-    WatchSession(PublisherAddress publisher, SealedLink.Common common, Scheduler scheduler, Duration silentAfter,
+    WatchSession(PublisherAddress publisher, AuthenticatedLink.Context common, Scheduler scheduler, Duration silentAfter,
             WatchCounters.Tally tally, Owner owner) {
         this.publisher = publisher;
         this.scheduler = scheduler;
         this.silentAfter = silentAfter;
         this.tally = tally;
         this.owner = owner;
-        this.link = new SealedLink(common, true, this);
+        this.link = new AuthenticatedLink(common, true, this);
     }
 
     PublisherAddress publisher() {
         return publisher;
     }
 
-    SealedLink link() {
+    AuthenticatedLink link() {
         return link;
     }
 
     boolean isUp() {
-        return link.isUp();
+        return link.isAuthenticated();
     }
 
     boolean isAccepted() {
@@ -79,17 +79,17 @@
     }
 
     void send(Request request) {
-        link.write(WatchCodec.bytes(request));
+        link.send(WatchCodec.bytes(request));
     }
 
     /** Ends it; the owner hears of it within this call, however long the connection takes to close. */
     void end(CloseReason why) {
-        link.end(why);
-        down(why);
+        link.close(why);
+        closed(why);
     }
 
     @Override
-    public void up(SealedLink up, String name) {
+    public void authenticated(AuthenticatedLink up, String name) {
         lastReceived = scheduler.now();
         silence = scheduler.after(silentAfter, this::checkSilence);
         owner.connected(this);
@@ -107,7 +107,7 @@
     }
 
     @Override
-    public void message(byte[] payload) {
+    public void received(byte[] payload) {
         lastReceived = scheduler.now();
         tally.messagesReceived++;
         tally.bytesReceived += payload.length;
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public void down(CloseReason end) {
+    public void closed(CloseReason end) {
         if (ended) {
             return;
         }
--- a/discovery/src/test/java/pathlane/discovery/PublisherLinkTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherLinkTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import pathlane.core.CloseReason;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 
 /** A source behind signed frames, and the frames of a subscriber. */
 class PublisherLinkTest {
@@ -23,22 +23,23 @@
             new Random(1));
     private final List<WatchMessage> received = new ArrayList<>();
     private CloseReason end;
-    private final SealedLink client = new SealedLink(network.common("c1"), true, new SealedLink.Upper() {
-        @Override
-        public void up(SealedLink link, String name) {
-            link.write(WatchCodec.bytes(new WatchMessage.Subscribe(true, true, List.of(), List.of())));
-        }
+    private final AuthenticatedLink client =
+            new AuthenticatedLink(network.common("c1"), true, new AuthenticatedLink.Listener() {
+                @Override
+                public void authenticated(AuthenticatedLink link, String name) {
+                    link.send(WatchCodec.bytes(new WatchMessage.Subscribe(true, true, List.of(), List.of())));
+                }
 
-        @Override
-        public void message(byte[] payload) {
-            received.add(WatchCodec.message(payload));
-        }
+                @Override
+                public void received(byte[] payload) {
+                    received.add(WatchCodec.message(payload));
+                }
 
-        @Override
-        public void down(CloseReason why) {
-            end = why;
-        }
-    });
+                @Override
+                public void closed(CloseReason why) {
+                    end = why;
+                }
+            });
 
     private void connect() {
         network.listen(ADDRESS, source::accept);
@@ -62,7 +63,7 @@
     void whatIsNoMessageOfTheWatchEndsTheConnectionAndItsSession() {
         connect();
         assertEquals(1, source.publisher().counters().subscribers());
-        client.write(new byte[] {99});
+        client.send(new byte[] {99});
         network.pass(Duration.ofMillis(100));
         assertEquals(CloseReason.CLOSED_BY_PEER, end);
         assertEquals(0, source.publisher().counters().subscribers());
--- a/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
+++ b/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
@@ -7,18 +7,18 @@
 import pathlane.core.CloseReason;
 import pathlane.discovery.WatchMessage.Acknowledge;
 import pathlane.discovery.WatchMessage.Subscribe;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Protocol;
 
 /** A publisher that says what a test has it say, and keeps what it heard. */
-final class ScriptedPublisher implements SealedLink.Upper {
+final class ScriptedPublisher implements AuthenticatedLink.Listener {
 
     final List<Subscribe> subscribed = new ArrayList<>();
     final List<Acknowledge> acknowledged = new ArrayList<>();
     final InetSocketAddress address;
     private final VirtualNetwork network;
     private final String name;
-    private SealedLink link;
+    private AuthenticatedLink link;
     private int open;
     private boolean isWelcomed;
     /** What it answers to the first message of each connection; null for nothing. */
@@ -32,7 +32,7 @@
     }
 
     private Protocol accept() {
-        SealedLink accepted = new SealedLink(network.common(name), false, this);
+        AuthenticatedLink accepted = new AuthenticatedLink(network.common(name), false, this);
         link = accepted;
         open++;
         isWelcomed = false;
@@ -48,7 +48,7 @@
     }
 
     void send(WatchMessage message) {
-        link.write(WatchCodec.bytes(message));
+        link.send(WatchCodec.bytes(message));
         network.pass(Duration.ofMillis(5));
     }
 
@@ -65,7 +65,7 @@
     void dies() {
         network.stopListening(address);
         if (link != null) {
-            link.end(CloseReason.SHUTDOWN);
+            link.close(CloseReason.SHUTDOWN);
         }
     }
 
@@ -74,16 +74,16 @@
     }
 
     @Override
-    public void up(SealedLink up, String subscriber) {}
+    public void authenticated(AuthenticatedLink up, String subscriber) {}
 
     @Override
-    public void message(byte[] payload) {
+    public void received(byte[] payload) {
         WatchMessage message = WatchCodec.message(payload);
         if (message instanceof Subscribe subscribe) {
             subscribed.add(subscribe);
             if (welcome != null && !isWelcomed) {
                 isWelcomed = true;
-                link.write(WatchCodec.bytes(welcome));
+                link.send(WatchCodec.bytes(welcome));
             }
         } else if (message instanceof Acknowledge acknowledge) {
             acknowledged.add(acknowledge);
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void down(CloseReason end) {
+    public void closed(CloseReason end) {
         open--;
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
+++ b/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 import pathlane.core.CloseReason;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.standin.VirtualTime;
 import pathlane.transport.Connection;
 import pathlane.transport.Connector;
@@ -21,14 +21,14 @@
 final class VirtualNetwork implements Connector {
 
     private static final Duration LATENCY = Duration.ofMillis(1);
-    private static final Keys KEYS = Keys.read("test 000102030405060708090a0b0c0d0e0f");
+    private static final KeyRing KEYS = KeyRing.read("test 000102030405060708090a0b0c0d0e0f");
 
     final VirtualTime time = new VirtualTime();
     private final Map<InetSocketAddress, Supplier<Protocol>> listeners = new HashMap<>();
     private final AtomicLong nonces = new AtomicLong();
 
-    SealedLink.Common common(String name) {
-        return new SealedLink.Common(name, () -> KEYS,
+    AuthenticatedLink.Context common(String name) {
+        return new AuthenticatedLink.Context(name, () -> KEYS,
                 () -> ByteBuffer.allocate(16).putLong(nonces.incrementAndGet()).array(), time,
                 new RateLimitedLog("test", time));
     }
--- a/files/src/main/java/pathlane/files/WatchTables.java
+++ b/files/src/main/java/pathlane/files/WatchTables.java
@@ -14,7 +14,7 @@
 import pathlane.discovery.PublisherTerms;
 import pathlane.discovery.WatchTerms;
 import pathlane.discovery.WatchTerms.PublisherAddress;
-import pathlane.group.Keys;
+import pathlane.group.KeyRing;
 
 /** What the files of several programs say of discovery: the services' cells, and how publishers are watched. */
 public final class WatchTables {
@@ -103,9 +103,9 @@
      *
      * @throws IllegalArgumentException with a sentence that names the file, never a key
      */
-    public static Keys keys(Path file) {
+    public static KeyRing keys(Path file) {
         try {
-            return Keys.read(Files.readString(file));
+            return KeyRing.read(Files.readString(file));
         } catch (IOException e) {
             throw new IllegalArgumentException("the keys' file " + file + " can't be read", e);
         } catch (IllegalArgumentException e) {
--- a/group/src/main/java/pathlane/group/SealedLink.java
+++ b/group/src/main/java/pathlane/group/AuthenticatedLink.java
@@ -25,28 +25,28 @@
  * <p>A frame is length:4 payload mac:16, big-endian. Each side begins with an open frame of "PLG1", the name of its key,
  * its own name and 16 random bytes, and then signs an empty one; what comes before that has been checked reaches nobody.
  */
-public final class SealedLink implements Protocol {
+public final class AuthenticatedLink implements Protocol {
 
     private static final byte[] MAGIC = {'P', 'L', 'G', '1'};
     private static final int LENGTH_BYTES = 4;
     private static final int MAC_BYTES = 16;
     private static final int NONCE_BYTES = 16;
-    /** Records of a slot with tens of thousands of calls. */
+    /** Records of a shard with tens of thousands of calls. */
     private static final int LONGEST = 4 << 20;
     private static final int LONGEST_OPENING = 512;
     private static final String ALGORITHM = "HmacSHA256";
     private static final Duration OPENING = Duration.ofSeconds(2);
 
     /** What the frames are for. */
-    public interface Upper {
+    public interface Listener {
         /** The other side has shown that it has a key; it says that its name is this. */
-        void up(SealedLink link, String name);
+        void authenticated(AuthenticatedLink link, String name);
 
         /** @throws BadInput where it can't be used; the connection then ends */
-        void message(byte[] payload);
+        void received(byte[] payload);
 
         /** It has ended, or never came up; called once, and last. */
-        void down(CloseReason end);
+        void closed(CloseReason end);
     }
 
     /**
@@ -55,12 +55,12 @@
      * @param keys asked for at each opening, so that a reload holds for the next one
      * @param random fills 16 bytes that are never the same again
      */
-    public record Common(String name, Supplier<Keys> keys, Supplier<byte[]> random, Scheduler scheduler,
+    public record Context(String name, Supplier<KeyRing> keys, Supplier<byte[]> random, Scheduler scheduler,
             RateLimitedLog log) {}
 
-    private final Common common;
+    private final AuthenticatedLink.Context common;
     private final boolean dialled;
-    private final Upper upper;
+    private final AuthenticatedLink.Listener upper;
     private final FrameAssembler assembler = new FrameAssembler(LENGTH_BYTES, 0, LONGEST);
     private Connection connection;
     private Scheduler.Timer opening;
@@ -75,7 +75,7 @@
     private boolean ended;
 
     /** {@code dialled} tells the two sides apart: what one signed is never taken for the other's. */
-    public SealedLink(Common common, boolean dialled, Upper upper) {
+    public AuthenticatedLink(AuthenticatedLink.Context common, boolean dialled, AuthenticatedLink.Listener upper) {
         this.common = common;
         this.dialled = dialled;
         this.upper = upper;
@@ -84,7 +84,7 @@
     @Override
     public void opened(Connection up) {
         connection = up;
-        Keys.Key key = common.keys().get().first();
+        KeyRing.Key key = common.keys().get().signingKey();
         byte[] keyName = key.name().getBytes(StandardCharsets.UTF_8);
         byte[] name = common.name().getBytes(StandardCharsets.UTF_8);
         ownOpening = ByteBuffer.allocate(MAGIC.length + 1 + keyName.length + 1 + name.length + NONCE_BYTES).put(MAGIC)
@@ -93,7 +93,7 @@
         signs = mac(key.secret());
         connection.write(ByteBuffer.allocate(LENGTH_BYTES + ownOpening.length).putInt(ownOpening.length).put(ownOpening)
                 .array());
-        opening = common.scheduler().after(OPENING, () -> end(CloseReason.UNFINISHED));
+        opening = common.scheduler().after(OPENING, () -> close(CloseReason.UNFINISHED));
     }
 
     private static Mac mac(byte[] secret) {
@@ -113,7 +113,7 @@
         } catch (BadInput e) {
             common.log().warn("{0} closed: {1}", otherName == null ? connection.remote() : otherName, e.getMessage());
             bytes.position(bytes.limit());
-            end(CloseReason.PROTOCOL_ERROR);
+            close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -138,9 +138,9 @@
         if (!proven) {
             proven = true;
             opening.cancel();
-            upper.up(this, otherName);
+            upper.authenticated(this, otherName);
         } else {
-            upper.message(Arrays.copyOf(bytes, size));
+            upper.received(Arrays.copyOf(bytes, size));
         }
     }
 
@@ -159,13 +159,13 @@
         if (read.remaining() != NONCE_BYTES) {
             throw new BadInput("an opening that is cut short");
         }
-        byte[] secret = common.keys().get().named(key);
+        byte[] secret = common.keys().get().find(key);
         if (secret == null) {
             throw new BadInput("a key '" + key + "' that is not in the file");
         }
         otherOpening = bytes;
         checks = mac(secret);
-        write(new byte[0]);   // shows that the key is there
+        send(new byte[0]);   // shows that the key is there
     }
 
     private static String text(ByteBuffer from) {
@@ -188,12 +188,12 @@
     }
 
     /** Whether the other side has shown who it is. */
-    public boolean isUp() {
+    public boolean isAuthenticated() {
         return proven && !ended;
     }
 
     /** Signs and sends. */
-    public void write(byte[] payload) {
+    public void send(byte[] payload) {
         if (ended) {
             return;
         }
@@ -203,12 +203,12 @@
     }
 
     /** Whether the other side has stopped reading. */
-    public boolean isStuck() {
+    public boolean isBlocked() {
         return connection != null && connection.isBlocked();
     }
 
-    /** Closes it; {@link Upper#down} follows. */
-    public void end(CloseReason why) {
+    /** Closes it; {@link AuthenticatedLink.Listener#closed} follows. */
+    public void close(CloseReason why) {
         ended = true;
         if (opening != null) {
             opening.cancel();
@@ -224,6 +224,6 @@
         if (opening != null) {
             opening.cancel();
         }
-        upper.down(end);
+        upper.closed(end);
     }
 }
--- a/group/src/main/java/pathlane/group/Command.java
+++ b/group/src/main/java/pathlane/group/Command.java
@@ -3,23 +3,22 @@
 import java.util.List;
 
 /**
- * What the register is asked to do. Each may be applied twice with the effect of once, so that one whose answer got lost
- * is asked again.
+ * What the registry is asked to do. Each may be applied twice with the effect of once, so that one whose reply got lost is
+ * submitted again.
  */
 public sealed interface Command {
 
     /**
      * A call controller asks for a lease.
      *
-     * @param last the token that this process held before, or 0 after its start
-     * @param copies how many members are to keep a record; the same in the whole group
-     * @param emptied whether all keepers of the last lease's records have said that they dropped them
+     * @param previousToken the token that this process held before, or 0 after its start
+     * @param replicaCount how many members are to hold a replica of a record; the same in the whole group
+     * @param areReplicasDropped whether all replica holders of the last lease's records have said that they dropped them
      */
-    record Join(String name, long incarnation, String address, long last, int copies, boolean emptied)
-            implements
-                Command {}
+    record Join(String name, long incarnation, String address, long previousToken, int replicaCount,
+            boolean areReplicasDropped) implements Command {}
 
-    /** Leases go on: tokens, and how often each has been renewed. Gathered by the leader over a short span. */
+    /** Leases go on. Gathered by the leader over a short span. */
     record Renew(List<Renewal> renewals) implements Command {}
 
     /** One lease goes on; the number grows with each renewal. */
@@ -34,17 +33,17 @@
     /** All of a member's records are where this view places them. */
     record Replicated(long token, long view) implements Command {}
 
-    /** A member wants to act for one that has gone, in these slots. */
-    record Claim(long claimer, long estate, List<Integer> slots) implements Command {}
+    /** A member wants to own shards of one that has gone; {@code orphan} is that one's token. */
+    record Claim(long claimer, long orphan, List<Integer> shards) implements Command {}
 
     /**
-     * The process whose lease that was has a new one, and takes back what nobody has claimed: nobody can from then on.
+     * The process whose lease ended has a new one, and takes back what nobody has claimed: nobody can from then on.
      *
      * @param token its new lease
      * @param former the one that has ended
      */
-    record Reclaim(long token, long former, List<Integer> slots) implements Command {}
+    record Reclaim(long token, long former, List<Integer> shards) implements Command {}
 
-    /** What was claimed stands in the claimer's own records now: the former owner's can be dropped. */
-    record Settle(long claimer, long estate, List<Integer> slots) implements Command {}
+    /** Claimed shards' calls are in the claimer's own records now: the former owner's can be dropped. */
+    record Complete(long claimer, long orphan, List<Integer> shards) implements Command {}
 }
--- a/group/src/main/java/pathlane/group/AgreedLog.java
+++ b/group/src/main/java/pathlane/group/CommandLog.java
@@ -4,14 +4,14 @@
 import java.util.function.Consumer;
 
 /** A log on which the voters agree; what is in it is applied in one order at each of them. On the loop's thread. */
-public interface AgreedLog {
+public interface CommandLog {
 
     /** Whether this voter leads, as far as it knows. */
-    boolean leads();
+    boolean isLeader();
 
     /**
      * Adds a command. What the register said to it is told once, after it was applied here; empty where that is not
      * known, since leadership changed or no majority was reached.
      */
-    void add(Command command, Consumer<Optional<Reply>> applied);
+    void append(Command command, Consumer<Optional<Reply>> applied);
 }
--- a/group/src/main/java/pathlane/group/Keys.java
+++ b/group/src/main/java/pathlane/group/KeyRing.java
@@ -12,7 +12,7 @@
  * The first signs; all are accepted. To rotate: add the new one as second everywhere, then put it first everywhere, then
  * take the old one out, with a reload after each.
  */
-public record Keys(List<Key> keys) {
+public record KeyRing(List<Key> keys) {
 
     private static final int LEAST_BYTES = 16;
 
@@ -24,7 +24,7 @@
      *
      * @throws IllegalArgumentException with a sentence that names the line, never the key
      */
-    public static Keys read(String text) {
+    public static KeyRing read(String text) {
         List<Key> keys = new ArrayList<>();
         Set<String> names = new HashSet<>();
         int number = 0;
@@ -46,7 +46,7 @@
         if (keys.isEmpty()) {
             throw new IllegalArgumentException("the keys' file holds none");
         }
-        return new Keys(List.copyOf(keys));
+        return new KeyRing(List.copyOf(keys));
     }
 
     private static byte[] secret(String hex, int number) {
@@ -64,12 +64,12 @@
     }
 
     /** The one that signs. */
-    Key first() {
+    Key signingKey() {
         return keys.get(0);
     }
 
     /** The secret of a name, or null. */
-    byte[] named(String name) {
+    byte[] find(String name) {
         return keys.stream().filter(key -> key.name().equals(name)).map(Key::secret).findFirst().orElse(null);
     }
 }
--- a/group/src/main/java/pathlane/group/ExpiryWatch.java
+++ b/group/src/main/java/pathlane/group/LeaseExpiryTracker.java
@@ -11,26 +11,27 @@
  * never from when the renewal was sent, and a voter that has just read the register from elsewhere counts from then.
  * What it proposes is void if a renewal gets in between: the register compares the number.
  */
-public final class ExpiryWatch {
+public final class LeaseExpiryTracker {
 
     private record Seen(long renewals, long atNanos) {}
 
     private final LeaseTerms terms;
     private final Map<Long, Seen> seen = new HashMap<>();
 
-    public ExpiryWatch(LeaseTerms terms) {
+    /** Has seen no lease yet. */
+    public LeaseExpiryTracker(LeaseTerms terms) {
         this.terms = terms;
     }
 
     /** Looks at the register, after each command or each so often; returns what is to be proposed. */
-    public List<Command.Expire> look(Register register, long nowNanos) {
+    public List<Command.Expire> dueLeases(LeaseRegistry register, long nowNanos) {
         List<Command.Expire> due = new ArrayList<>();
         for (Member member : register.members()) {
             long renewals = register.renewals(member.token());
             Seen before = seen.get(member.token());
             if (before == null || before.renewals != renewals) {
                 seen.put(member.token(), new Seen(renewals, nowNanos));
-            } else if (nowNanos - before.atNanos > terms.endedAfter().toNanos()) {
+            } else if (nowNanos - before.atNanos > terms.expireAfter().toNanos()) {
                 due.add(new Command.Expire(member.token(), renewals));
             }
         }
@@ -43,7 +44,7 @@
     }
 
     /** What this voter knows of times is worth nothing: it did not follow the register for a while. */
-    public void forget() {
+    public void reset() {
         seen.clear();
     }
 }
--- a/group/src/main/java/pathlane/group/LeaseHolder.java
+++ b/group/src/main/java/pathlane/group/LeaseHolder.java
@@ -42,7 +42,7 @@
     private final String address;
     private final int copies;
     private final LeaseTerms terms;
-    private final Registrar registrar;
+    private final RegistryAccess registry;
     private final Scheduler scheduler;
     private final LongSupplier nanos;
     private final Listener listener;
@@ -64,14 +64,14 @@
      *
      * @param nanos the monotonic clock
      */
-    public LeaseHolder(String name, long incarnation, String address, int copies, LeaseTerms terms, Registrar registrar,
+    public LeaseHolder(String name, long incarnation, String address, int copies, LeaseTerms terms, RegistryAccess registry,
             Scheduler scheduler, LongSupplier nanos, Listener listener) {
         this.name = name;
         this.incarnation = incarnation;
         this.address = address;
         this.copies = copies;
         this.terms = terms;
-        this.registrar = registrar;
+        this.registry = registry;
         this.scheduler = scheduler;
         this.nanos = nanos;
         this.listener = listener;
@@ -98,7 +98,7 @@
     }
 
     /** All that kept records for this member have said that they dropped them: nobody can act for it any more. */
-    public void emptied() {
+    public void replicasDropped() {
         emptied = true;
     }
 
@@ -115,7 +115,7 @@
     }
 
     private void askToLeave() {
-        registrar.ask(new Command.Leave(token), answered -> {
+        registry.submit(new Command.Leave(token), answered -> {
             if (answered.isEmpty()) {
                 scheduler.after(ASK_AGAIN, this::askToLeave);
             }
@@ -134,11 +134,11 @@
         long sentAt = nanos.getAsLong();
         if (token == 0) {
             boolean saysEmptied = emptied;
-            registrar.ask(new Command.Join(name, incarnation, address, last, copies, saysEmptied),
+            registry.submit(new Command.Join(name, incarnation, address, last, copies, saysEmptied),
                     answered -> joined(answered, sentAt));
         } else {
             long asked = token;
-            registrar.ask(new Command.Renew(List.of(new Command.Renewal(asked, ++renewals))),
+            registry.submit(new Command.Renew(List.of(new Command.Renewal(asked, ++renewals))),
                     answered -> renewed(asked, answered, sentAt));
         }
     }
@@ -162,7 +162,7 @@
             LOG.log(Level.INFO, "lease {0} granted to {1}", Long.toString(token), name);
             listener.granted(token);
             watchLapse();
-            next(terms.renewEvery());
+            next(terms.renewInterval());
         } else if (answered.isPresent() && answered.get() instanceof Reply.Refused refused) {
             LOG.log(Level.WARNING, "no lease for {0}: {1}", name, refused.why());
             next(REFUSED_AGAIN);
@@ -185,18 +185,18 @@
             if (lapsed && isValid()) {
                 lapsed = false;
                 emptied = false;   // records are sent again from now on
-                LOG.log(Level.INFO, "lease {0} is sure again", Long.toString(token));
+                LOG.log(Level.INFO, "lease {0} is valid again", Long.toString(token));
                 listener.validAgain();
             }
             watchLapse();
-            next(terms.renewEvery().minusNanos(Math.min(terms.renewEvery().toNanos(), nanos.getAsLong() - sentAt)));
+            next(terms.renewInterval().minusNanos(Math.min(terms.renewInterval().toNanos(), nanos.getAsLong() - sentAt)));
         } else {
             next(ASK_AGAIN);
         }
     }
 
     /** The register was seen to have ended the lease. */
-    public void seenEnded(long ended) {
+    public void observedEnd(long ended) {
         if (ended == token && token != 0 && !leaving) {
             lose();
             if (!asking) {
--- /dev/null
+++ b/group/src/main/java/pathlane/group/LeaseRegistry.java
@@ -0,0 +1,389 @@
+package pathlane.group;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import pathlane.group.Command.Claim;
+import pathlane.group.Command.Complete;
+import pathlane.group.Command.Expire;
+import pathlane.group.Command.Join;
+import pathlane.group.Command.Leave;
+import pathlane.group.Command.Reclaim;
+import pathlane.group.Command.Renew;
+import pathlane.group.Command.Renewal;
+import pathlane.group.Command.Replicated;
+
+/**
+ * The group's registry of leases: who holds one, whose shards are orphaned, and who has claimed which. Deterministic and
+ * without a clock: the same commands in the same order give the same state at every voter, and at every member that follows
+ * them. Not thread-safe.
+ *
+ * <p>Invariants, which the tests check after each command: a token is granted once and tokens only grow; an orphaned shard
+ * has at most one owner with a live lease; its owner is one of the replica holders that the former owner's last replicated
+ * view names.
+ */
+public final class LeaseRegistry {
+
+    /** A live lease. */
+    static final class Lease {
+        final Member member;
+        long renewals;
+        /** The view by which all its records are placed; 0 while none are. */
+        long replicatedView;
+
+        Lease(Member member) {
+            this.member = member;
+        }
+    }
+
+    private final UnclaimableShards unclaimable = new UnclaimableShards();
+    private final SortedMap<Long, Lease> leases = new TreeMap<>();
+    private final SortedMap<Long, OrphanedShards> orphans = new TreeMap<>();
+    /** The members of the present view, and of each one that still places records. */
+    private final SortedMap<Long, List<Member>> views = new TreeMap<>();
+    private long lastToken;
+    private long view;
+    private int replicaCount;
+
+    /** An empty registry. */
+    public LeaseRegistry() {
+        views.put(view, List.of());
+    }
+
+    // ---- its state
+
+    /** The number of the present view; it grows whenever a lease begins or ends. */
+    public long view() {
+        return view;
+    }
+
+    /** The members of the present view, by token. */
+    public List<Member> members() {
+        return views.get(view);
+    }
+
+    /** The greatest token that was granted. */
+    public long lastToken() {
+        return lastToken;
+    }
+
+    /** How many members hold a replica of each record. */
+    public int replicaCount() {
+        return replicaCount;
+    }
+
+    /** Whether the lease with this token has not ended. */
+    public boolean isLive(long token) {
+        return leases.containsKey(token);
+    }
+
+    /** The live member of this name, the latest where a former process's lease still runs. */
+    public Optional<Member> memberNamed(String name) {
+        return members().stream().filter(member -> member.name().equals(name)).reduce((first, second) -> second);
+    }
+
+    /** The member with this live lease. */
+    public Optional<Member> member(long token) {
+        return Optional.ofNullable(leases.get(token)).map(lease -> lease.member);
+    }
+
+    /** How often a lease was renewed; -1 where it has ended. */
+    public long renewals(long token) {
+        Lease lease = leases.get(token);
+        return lease == null ? -1 : lease.renewals;
+    }
+
+    /** The view by which a live member's records are placed; 0 while none are replicated, or it has no lease. */
+    public long replicatedView(long token) {
+        Lease lease = leases.get(token);
+        return lease == null ? 0 : lease.replicatedView;
+    }
+
+    /** The orphaned shards that are not completed, by the token of their former owner. */
+    public Collection<OrphanedShards> orphans() {
+        return Collections.unmodifiableCollection(orphans.values());
+    }
+
+    /** The orphaned shards of one that has gone. */
+    public Optional<OrphanedShards> orphan(long token) {
+        return Optional.ofNullable(orphans.get(token));
+    }
+
+    /** The replica holders of a member's shard by a view that is still known, the first successor first. */
+    public List<Member> replicaHolders(long owner, int shard, long inView) {
+        return ShardPlacement.replicaHolders(shard, views.getOrDefault(inView, List.of()), owner, replicaCount);
+    }
+
+    /** The live replica holders of an orphaned shard, the first successor first. */
+    public List<Member> successors(OrphanedShards orphan, int shard) {
+        return replicaHolders(orphan.former().token(), shard, orphan.view()).stream()
+                .filter(member -> isLive(member.token())).toList();
+    }
+
+    /** Who acts on a shard of one that may have gone: the live owner, by following the claims; empty where nobody does. */
+    public Optional<Member> currentOwner(long token, int shard) {
+        long at = token;
+        for (int hops = 0; hops <= orphans.size(); hops++) {
+            if (isLive(at)) {
+                return member(at);
+            }
+            OrphanedShards orphan = orphans.get(at);
+            Long owner = orphan == null ? null : orphan.owners().get(shard);
+            if (owner == null || owner == OrphanedShards.NOBODY) {
+                return Optional.empty();
+            }
+            at = owner;
+        }
+        return Optional.empty();
+    }
+
+    /** Whether a shard of one that has gone is unclaimed, or left to nobody: its process may yet take it back. */
+    public boolean isReclaimable(long token, int shard) {
+        OrphanedShards orphan = orphans.get(token);
+        return orphan != null && orphan.isUnclaimed(shard) || unclaimable.contains(token, shard);
+    }
+
+    // ---- its commands
+
+    /** Carries a command out. */
+    public Reply apply(Command command) {
+        if (command instanceof Join join) {
+            return join(join);
+        } else if (command instanceof Renew renew) {
+            return renew(renew);
+        } else if (command instanceof Leave leave) {
+            end(leave.token(), false);
+            return Reply.DONE;
+        } else if (command instanceof Expire expire) {
+            return expire(expire);
+        } else if (command instanceof Replicated replicated) {
+            return replicated(replicated);
+        } else if (command instanceof Claim claim) {
+            return claim(claim);
+        } else if (command instanceof Reclaim reclaim) {
+            return reclaim(reclaim);
+        }
+        return complete((Complete) command);
+    }
+
+    private Reply join(Join join) {
+        if (join.replicaCount() != replicaCount && !(leases.isEmpty() && orphans.isEmpty())) {
+            return new Reply.Refused("copies is " + join.replicaCount() + " at " + join.name() + " and " + replicaCount
+                    + " in the group");
+        }
+        Optional<Member> known = memberNamed(join.name());
+        Optional<Reply> early = known.flatMap(member -> answerKnown(join, member));
+        if (early.isPresent()) {
+            return early.get();
+        }
+        replicaCount = join.replicaCount();
+        // One that listens where the former one did shows that its process is gone; else that lease runs out by itself.
+        known.filter(member -> member.incarnation() == join.incarnation() || member.address().equals(join.address()))
+                .ifPresent(member -> end(member.token(),
+                        join.areReplicasDropped() && member.token() == join.previousToken()));
+        OrphanedShards previous = orphans.get(join.previousToken());
+        if (join.areReplicasDropped() && previous != null && previous.isUnclaimed()) {
+            orphans.remove(join.previousToken());   // nobody has any of its records any more
+        }
+        unclaimable.removeReplaced(join.name(), join.incarnation(), join.address());
+        Member member = new Member(join.name(), join.incarnation(), join.address(), ++lastToken);
+        leases.put(member.token(), new Lease(member));
+        membersChanged();
+        return new Reply.Granted(member.token());
+    }
+
+    /** What a process hears at once whose name a live member has. */
+    private static Optional<Reply> answerKnown(Join join, Member member) {
+        boolean isSameProcess = member.incarnation() == join.incarnation();
+        if (isSameProcess && join.previousToken() < member.token()) {
+            return Optional.of(new Reply.Granted(member.token()));   // its answer got lost
+        }
+        if (!isSameProcess && join.previousToken() > 0) {
+            // A process that was stopped has woken up after another one was started in its place.
+            return Optional.of(new Reply.Refused("another process has joined as " + join.name()));
+        }
+        return Optional.empty();
+    }
+
+    private Reply renew(Renew renew) {
+        List<Long> ended = new ArrayList<>();
+        for (Renewal renewal : renew.renewals()) {
+            Lease lease = leases.get(renewal.token());
+            if (lease == null) {
+                ended.add(renewal.token());
+            } else {
+                lease.renewals = Math.max(lease.renewals, renewal.number());
+            }
+        }
+        return new Reply.Ended(ended);
+    }
+
+    private Reply expire(Expire expire) {
+        if (renewals(expire.token()) == expire.number()) {
+            end(expire.token(), false);
+        }
+        return Reply.DONE;
+    }
+
+    private Reply replicated(Replicated replicated) {
+        Lease lease = leases.get(replicated.token());
+        if (lease == null) {
+            return new Reply.Ended(List.of(replicated.token()));
+        }
+        if (replicated.view() > lease.replicatedView && views.containsKey(replicated.view())) {
+            lease.replicatedView = replicated.view();
+            forgetUnusedViews();
+        }
+        return Reply.DONE;
+    }
+
+    private Reply claim(Claim claim) {
+        List<Integer> owned = new ArrayList<>();
+        OrphanedShards orphan = orphans.get(claim.orphan());
+        if (orphan != null && isLive(claim.claimer())) {
+            for (int shard : claim.shards()) {
+                if (mayClaim(orphan, shard, claim.claimer())) {
+                    orphan.assign(shard, claim.claimer());
+                    owned.add(shard);
+                }
+            }
+        }
+        return new Reply.Owned(owned);
+    }
+
+    private boolean mayClaim(OrphanedShards orphan, int shard, long claimer) {
+        Long owner = orphan.owners().get(shard);
+        if (owner == null || owner == claimer) {
+            return owner != null;
+        }
+        boolean isFree = owner == OrphanedShards.NOBODY || !isLive(owner);
+        return isFree && successors(orphan, shard).stream().anyMatch(member -> member.token() == claimer);
+    }
+
+    private Reply reclaim(Reclaim reclaim) {
+        List<Integer> takenBack = new ArrayList<>();
+        if (mayReclaim(reclaim)) {
+            Optional<OrphanedShards> orphan = orphan(reclaim.former());
+            for (int shard : reclaim.shards()) {
+                if (wasTakenOverBy(reclaim.former(), shard)) {
+                    continue;   // what it had taken over is still looked up in its records
+                }
+                boolean isUnclaimed = orphan.filter(shards -> shards.isUnclaimed(shard)).isPresent();
+                if (isUnclaimed) {
+                    orphan.get().remove(shard);
+                    takenBack.add(shard);
+                } else if (unclaimable.takeBack(reclaim.former(), shard)) {
+                    takenBack.add(shard);
+                }
+            }
+            dropLostShards();
+        }
+        return new Reply.Owned(takenBack);
+    }
+
+    private boolean mayReclaim(Reclaim reclaim) {
+        Optional<Member> former = orphan(reclaim.former()).map(OrphanedShards::former)
+                .or(() -> unclaimable.former(reclaim.former()));
+        Optional<Member> member = member(reclaim.token());
+        return former.isPresent() && member.isPresent() && member.get().name().equals(former.get().name())
+                && member.get().incarnation() == former.get().incarnation();
+    }
+
+    private Reply complete(Complete complete) {
+        OrphanedShards orphan = orphans.get(complete.orphan());
+        if (orphan != null) {
+            for (int shard : complete.shards()) {
+                Long owner = orphan.owners().get(shard);
+                // What the former owner had itself taken over is looked up in its records by whoever took that over from it:
+                // two would go on with one call.
+                if (owner != null && owner == complete.claimer() && isLive(owner)
+                        && !wasTakenOverBy(complete.orphan(), shard)) {
+                    orphan.remove(shard);
+                }
+            }
+            dropLostShards();
+        }
+        return Reply.DONE;
+    }
+
+    private boolean wasTakenOverBy(long token, int shard) {
+        return orphans.values().stream().anyMatch(orphan -> orphan.hasBeenOwnedBy(token, shard));
+    }
+
+    /** A lease has ended; what it replicated is orphaned, unless nobody has any of its records. */
+    private void end(long token, boolean areReplicasDropped) {
+        Lease lease = leases.remove(token);
+        if (lease == null) {
+            return;
+        }
+        if (lease.replicatedView > 0 && !areReplicasDropped) {
+            orphans.put(token, OrphanedShards.unclaimed(lease.member, lease.replicatedView));
+        } else if (!areReplicasDropped) {
+            BitSet all = new BitSet();
+            all.set(0, ShardPlacement.SHARDS);
+            unclaimable.add(lease.member, all);
+        }
+        membersChanged();
+        dropLostShards();
+    }
+
+    private void membersChanged() {
+        view++;
+        views.put(view, leases.values().stream().map(lease -> lease.member).toList());
+        forgetUnusedViews();
+    }
+
+    /** Shards whose replica holders have all gone are lost with them: records are kept in memory alone. */
+    private void dropLostShards() {
+        for (OrphanedShards orphan : List.copyOf(orphans.values())) {
+            BitSet lost = new BitSet();
+            orphan.owners().forEach((shard, owner) -> lost.set(shard,
+                    (owner == OrphanedShards.NOBODY || !isLive(owner)) && successors(orphan, shard).isEmpty()));
+            lost.stream().forEach(orphan::remove);
+            unclaimable.add(orphan.former(), lost);
+            if (orphan.isEmpty()) {
+                orphans.remove(orphan.former().token());
+            }
+        }
+        forgetUnusedViews();
+    }
+
+    private void forgetUnusedViews() {
+        Set<Long> used = new HashSet<>();
+        used.add(view);
+        leases.values().forEach(lease -> used.add(lease.replicatedView));
+        orphans.values().forEach(orphan -> used.add(orphan.view()));
+        views.keySet().retainAll(used);
+    }
+
+    // ---- as a snapshot
+
+    /** The whole state, for {@link RegistryCodec}. */
+    record Snapshot(long lastToken, long view, int replicaCount, SortedMap<Long, Lease> leases,
+            SortedMap<Long, OrphanedShards> orphans, SortedMap<Long, UnclaimableShards.Entry> unclaimable,
+            SortedMap<Long, List<Member>> views) {}
+
+    Snapshot snapshot() {
+        return new Snapshot(lastToken, view, replicaCount, leases, orphans, unclaimable.entries(), views);
+    }
+
+    static LeaseRegistry restore(Snapshot snapshot) {
+        LeaseRegistry registry = new LeaseRegistry();
+        registry.lastToken = snapshot.lastToken;
+        registry.view = snapshot.view;
+        registry.replicaCount = snapshot.replicaCount;
+        registry.leases.putAll(snapshot.leases);
+        registry.orphans.putAll(snapshot.orphans);
+        snapshot.unclaimable.values().forEach(registry.unclaimable::restore);
+        registry.views.clear();
+        registry.views.putAll(snapshot.views);
+        return registry;
+    }
+}
--- a/group/src/main/java/pathlane/group/LeaseTerms.java
+++ b/group/src/main/java/pathlane/group/LeaseTerms.java
@@ -19,7 +19,7 @@
     private static final int PARTS = 4;
 
     /** Three seconds, a clock that is off by a hundredth, 100 ms from a check to its bytes. */
-    public static final LeaseTerms USUAL = new LeaseTerms(Duration.ofSeconds(3), 0.01, Duration.ofMillis(100));
+    public static final LeaseTerms DEFAULT = new LeaseTerms(Duration.ofSeconds(3), 0.01, Duration.ofMillis(100));
 
     /** @throws IllegalArgumentException with a sentence where a figure is out of its range */
     public LeaseTerms {
@@ -41,12 +41,12 @@
     }
 
     /** How long the register waits from when it applied a renewal, by whichever voter's clock, to end the lease. */
-    public Duration endedAfter() {
+    public Duration expireAfter() {
         return Duration.ofNanos((long) (length.toNanos() * (1 + drift)));
     }
 
     /** How often a holder renews: twice it may fail before the lease is no longer valid. */
-    public Duration renewEvery() {
+    public Duration renewInterval() {
         return length.dividedBy(RENEWALS);
     }
 }
--- a/group/src/main/java/pathlane/group/Registrar.java
+++ b/group/src/main/java/pathlane/group/RegistryAccess.java
@@ -4,14 +4,14 @@
 import java.util.function.Consumer;
 
 /** The narrow way to the register: whatever agrees on it stands behind this. On the loop's thread. */
-public interface Registrar {
+public interface RegistryAccess {
 
     /**
      * Asks for a command. The answer comes once, never within this call; empty where it is not known whether the command
      * was carried out. It may be asked again then: commands can be applied twice.
      */
-    void ask(Command command, Consumer<Optional<Reply>> answered);
+    void submit(Command command, Consumer<Optional<Reply>> answered);
 
     /** The register as far as it was followed; it may be behind, so it proves nothing but what no change can undo. */
-    Register seen();
+    LeaseRegistry registry();
 }
--- a/group/src/main/java/pathlane/group/RegisterClient.java
+++ b/group/src/main/java/pathlane/group/RegistryClient.java
@@ -25,7 +25,7 @@
  * where it does not lead, {@code STATE index register}, {@code APPLIED index command} for each command after it but
  * renewals, and {@code ALIVE index} each so often.
  */
-public final class RegisterClient implements Registrar {
+public final class RegistryClient implements RegistryAccess {
 
     private static final Logger LOG = System.getLogger("group");
     static final int ASK = 1;
@@ -44,10 +44,10 @@
     private final List<InetSocketAddress> voters;
     private final Connector dialer;
     private final Scheduler scheduler;
-    private final SealedLink.Common common;
+    private final AuthenticatedLink.Context common;
     private final Runnable changed;
     private final Map<Long, Waiting> waiting = new HashMap<>();
-    private Register seen = new Register();
+    private LeaseRegistry seen = new LeaseRegistry();
     private long index = -1;
     private long asks;
     private int voter;
@@ -61,7 +61,8 @@
      *
      * @param changed run after each change of the register that was followed
      */
-    public RegisterClient(List<InetSocketAddress> voters, Connector dialer, SealedLink.Common common, Runnable changed) {
+    public RegistryClient(List<InetSocketAddress> voters, Connector dialer, AuthenticatedLink.Context common,
+            Runnable changed) {
         this.voters = List.copyOf(voters);
         this.dialer = dialer;
         this.scheduler = common.scheduler();
@@ -78,7 +79,7 @@
     public void stop() {
         stopped = true;
         if (session != null) {
-            session.link.end(CloseReason.DISCONNECTED);
+            session.link.close(CloseReason.DISCONNECTED);
         }
     }
 
@@ -88,20 +89,20 @@
     }
 
     @Override
-    public Register seen() {
+    public LeaseRegistry registry() {
         return seen;
     }
 
     @Override
-    public void ask(Command command, Consumer<Optional<Reply>> answered) {
+    public void submit(Command command, Consumer<Optional<Reply>> answered) {
         long id = ++asks;
         if (!isConnected()) {
             scheduler.after(Duration.ZERO, () -> answered.accept(Optional.empty()));
             return;
         }
         waiting.put(id, new Waiting(answered, scheduler.after(UNANSWERED, () -> answer(id, Optional.empty()))));
-        byte[] bytes = RegisterCodec.bytes(command);
-        session.link.write(RegisterCodec.packed(packer -> {
+        byte[] bytes = RegistryCodec.bytes(command);
+        session.link.send(RegistryCodec.packed(packer -> {
             packer.packInt(ASK).packLong(id).packBinaryHeader(bytes.length);
             packer.writePayload(bytes);
         }));
@@ -131,14 +132,14 @@
         packer.writePayload(bytes);
     }
 
-    private final class Session implements SealedLink.Upper {
+    private final class Session implements AuthenticatedLink.Listener {
 
-        private final SealedLink link = new SealedLink(common, true, this);
+        private final AuthenticatedLink link = new AuthenticatedLink(common, true, this);
         private boolean following;
         private Scheduler.Timer silence;
 
         @Override
-        public void up(SealedLink up, String name) {
+        public void authenticated(AuthenticatedLink up, String name) {
             await();
         }
 
@@ -146,30 +147,30 @@
             if (silence != null) {
                 silence.cancel();
             }
-            silence = scheduler.after(SILENCE, () -> link.end(CloseReason.SILENT));
+            silence = scheduler.after(SILENCE, () -> link.close(CloseReason.SILENT));
         }
 
         @Override
-        public void message(byte[] payload) {
+        public void received(byte[] payload) {
             await();
-            RegisterCodec.read(payload, unpacker -> {
-                message(unpacker);
+            RegistryCodec.read(payload, unpacker -> {
+                received(unpacker);
                 return null;
             });
         }
 
-        private void message(MessageUnpacker unpacker) throws IOException {
+        private void received(MessageUnpacker unpacker) throws IOException {
             int kind = unpacker.unpackInt();
             switch (kind) {
-                case ANSWER -> answer(unpacker.unpackLong(), Optional.of(RegisterCodec.reply(binary(unpacker))));
-                case ELSEWHERE -> link.end(CloseReason.DISCONNECTED);
+                case ANSWER -> answer(unpacker.unpackLong(), Optional.of(RegistryCodec.reply(binary(unpacker))));
+                case ELSEWHERE -> link.close(CloseReason.DISCONNECTED);
                 case STATE -> {
                     long at = unpacker.unpackLong();
                     if (at < index) {
-                        link.end(CloseReason.OVERTAKEN);   // it led once, and does not know that it is behind
+                        link.close(CloseReason.OVERTAKEN);   // it led once, and does not know that it is behind
                         return;
                     }
-                    seen = RegisterCodec.register(binary(unpacker));
+                    seen = RegistryCodec.register(binary(unpacker));
                     index = at;
                     if (!following) {
                         LOG.log(Level.INFO, "register is led by the voter at {0}", voters.get(voter));
@@ -179,7 +180,7 @@
                 }
                 case APPLIED -> {
                     index = unpacker.unpackLong();
-                    seen.apply(RegisterCodec.command(binary(unpacker)));
+                    seen.apply(RegistryCodec.command(binary(unpacker)));
                     changed.run();
                 }
                 case ALIVE -> {}
@@ -188,7 +189,7 @@
         }
 
         @Override
-        public void down(CloseReason end) {
+        public void closed(CloseReason end) {
             if (silence != null) {
                 silence.cancel();
             }
@@ -201,7 +202,7 @@
             following = false;
             List.copyOf(waiting.keySet()).forEach(id -> answer(id, Optional.empty()));
             voter = (voter + 1) % voters.size();
-            scheduler.after(NEXT_VOTER, RegisterClient.this::dial);
+            scheduler.after(NEXT_VOTER, RegistryClient.this::dial);
         }
     }
 }
--- a/group/src/main/java/pathlane/group/RegisterCodec.java
+++ b/group/src/main/java/pathlane/group/RegistryCodec.java
@@ -14,7 +14,7 @@
 import pathlane.wire.BadInput;
 
 /** The register's commands, answers and whole state as MessagePack: arrays, each with its kind first. */
-public final class RegisterCodec {
+public final class RegistryCodec {
 
     private static final int JOIN = 1;
     private static final int RENEW = 2;
@@ -34,33 +34,36 @@
     /** Guards memory against lengths that no group has. */
     private static final int MOST_ITEMS = 1 << 20;
 
-    private RegisterCodec() {}
+    private RegistryCodec() {}
 
+    /** A command's bytes. */
     public static byte[] bytes(Command command) {
         return packed(packer -> write(packer, command));
     }
 
     /** @throws BadInput where it is none */
     public static Command command(byte[] bytes) {
-        return read(bytes, RegisterCodec::command);
+        return read(bytes, RegistryCodec::command);
     }
 
+    /** A reply's bytes. */
     public static byte[] bytes(Reply reply) {
         return packed(packer -> write(packer, reply));
     }
 
     /** @throws BadInput where it is none */
     public static Reply reply(byte[] bytes) {
-        return read(bytes, RegisterCodec::reply);
+        return read(bytes, RegistryCodec::reply);
     }
 
-    public static byte[] bytes(Register register) {
-        return packed(packer -> write(packer, register.whole()));
+    /** The bytes of the whole state. */
+    public static byte[] bytes(LeaseRegistry register) {
+        return packed(packer -> write(packer, register.snapshot()));
     }
 
     /** @throws BadInput where it is none */
-    public static Register register(byte[] bytes) {
-        return read(bytes, unpacker -> Register.of(whole(unpacker)));
+    public static LeaseRegistry register(byte[] bytes) {
+        return read(bytes, unpacker -> LeaseRegistry.restore(whole(unpacker)));
     }
 
     interface Writer {
@@ -99,7 +102,7 @@
     private static void write(MessageBufferPacker packer, Command command) throws IOException {
         if (command instanceof Command.Join join) {
             packer.packInt(JOIN).packString(join.name()).packLong(join.incarnation()).packString(join.address())
-                    .packLong(join.last()).packInt(join.copies()).packBoolean(join.emptied());
+                    .packLong(join.previousToken()).packInt(join.replicaCount()).packBoolean(join.areReplicasDropped());
         } else if (command instanceof Command.Renew renew) {
             packer.packInt(RENEW).packArrayHeader(renew.renewals().size());
             for (Command.Renewal one : renew.renewals()) {
@@ -112,15 +115,15 @@
         } else if (command instanceof Command.Replicated replicated) {
             packer.packInt(COVER).packLong(replicated.token()).packLong(replicated.view());
         } else if (command instanceof Command.Claim claim) {
-            packer.packInt(CLAIM).packLong(claim.claimer()).packLong(claim.estate());
-            writeSlots(packer, claim.slots());
+            packer.packInt(CLAIM).packLong(claim.claimer()).packLong(claim.orphan());
+            writeSlots(packer, claim.shards());
         } else if (command instanceof Command.Reclaim reclaim) {
             packer.packInt(RECLAIM).packLong(reclaim.token()).packLong(reclaim.former());
-            writeSlots(packer, reclaim.slots());
+            writeSlots(packer, reclaim.shards());
         } else {
-            Command.Settle settle = (Command.Settle) command;
-            packer.packInt(SETTLE).packLong(settle.claimer()).packLong(settle.estate());
-            writeSlots(packer, settle.slots());
+            Command.Complete settle = (Command.Complete) command;
+            packer.packInt(SETTLE).packLong(settle.claimer()).packLong(settle.orphan());
+            writeSlots(packer, settle.shards());
         }
     }
 
@@ -149,32 +152,32 @@
                 return new Command.Replicated(unpacker.unpackLong(), unpacker.unpackLong());
             }
             case CLAIM -> {
-                return new Command.Claim(unpacker.unpackLong(), unpacker.unpackLong(), slots(unpacker));
+                return new Command.Claim(unpacker.unpackLong(), unpacker.unpackLong(), shards(unpacker));
             }
             case RECLAIM -> {
-                return new Command.Reclaim(unpacker.unpackLong(), unpacker.unpackLong(), slots(unpacker));
+                return new Command.Reclaim(unpacker.unpackLong(), unpacker.unpackLong(), shards(unpacker));
             }
             case SETTLE -> {
-                return new Command.Settle(unpacker.unpackLong(), unpacker.unpackLong(), slots(unpacker));
+                return new Command.Complete(unpacker.unpackLong(), unpacker.unpackLong(), shards(unpacker));
             }
             default -> throw new BadInput("a command of kind " + kind);
         }
     }
 
-    private static void writeSlots(MessageBufferPacker packer, List<Integer> slots) throws IOException {
-        packer.packArrayHeader(slots.size());
-        for (int slot : slots) {
-            packer.packInt(slot);
+    private static void writeSlots(MessageBufferPacker packer, List<Integer> shards) throws IOException {
+        packer.packArrayHeader(shards.size());
+        for (int shard : shards) {
+            packer.packInt(shard);
         }
     }
 
-    private static List<Integer> slots(MessageUnpacker unpacker) throws IOException {
+    private static List<Integer> shards(MessageUnpacker unpacker) throws IOException {
         int items = items(unpacker);
-        List<Integer> slots = new ArrayList<>();
+        List<Integer> shards = new ArrayList<>();
         for (int i = 0; i < items; i++) {
-            slots.add(unpacker.unpackInt());
+            shards.add(unpacker.unpackInt());
         }
-        return slots;
+        return shards;
     }
 
     private static void write(MessageBufferPacker packer, Reply reply) throws IOException {
@@ -185,9 +188,9 @@
             for (long token : ended.tokens()) {
                 packer.packLong(token);
             }
-        } else if (reply instanceof Reply.Held held) {
+        } else if (reply instanceof Reply.Owned held) {
             packer.packInt(HELD);
-            writeSlots(packer, held.slots());
+            writeSlots(packer, held.shards());
         } else if (reply instanceof Reply.Refused refused) {
             packer.packInt(REFUSED).packString(refused.why());
         } else {
@@ -205,7 +208,7 @@
                 return new Reply.Ended(tokens(unpacker));
             }
             case HELD -> {
-                return new Reply.Held(slots(unpacker));
+                return new Reply.Owned(shards(unpacker));
             }
             case DONE -> {
                 return Reply.DONE;
@@ -225,32 +228,32 @@
         return tokens;
     }
 
-    private static void write(MessageBufferPacker packer, Register.Whole whole) throws IOException {
-        packer.packLong(whole.lastToken()).packLong(whole.view()).packInt(whole.copies());
+    private static void write(MessageBufferPacker packer, LeaseRegistry.Snapshot whole) throws IOException {
+        packer.packLong(whole.lastToken()).packLong(whole.view()).packInt(whole.replicaCount());
         packer.packArrayHeader(whole.leases().size());
-        for (Register.Lease lease : whole.leases().values()) {
+        for (LeaseRegistry.Lease lease : whole.leases().values()) {
             write(packer, lease.member);
             packer.packLong(lease.renewals).packLong(lease.replicatedView);
         }
-        packer.packArrayHeader(whole.estates().size());
-        for (Register.Estate estate : whole.estates().values()) {
-            write(packer, estate.former());
-            packer.packLong(estate.view()).packArrayHeader(estate.holders().size());
-            for (var slot : estate.holders().entrySet()) {
-                packer.packInt(slot.getKey()).packLong(slot.getValue());
-                List<Long> past = estate.past(slot.getKey());
+        packer.packArrayHeader(whole.orphans().size());
+        for (OrphanedShards orphan : whole.orphans().values()) {
+            write(packer, orphan.former());
+            packer.packLong(orphan.view()).packArrayHeader(orphan.owners().size());
+            for (var shard : orphan.owners().entrySet()) {
+                packer.packInt(shard.getKey()).packLong(shard.getValue());
+                List<Long> past = orphan.previousOwners(shard.getKey());
                 packer.packArrayHeader(past.size());
                 for (long token : past) {
                     packer.packLong(token);
                 }
             }
         }
-        packer.packArrayHeader(whole.abandoned().size());
-        for (Register.Abandoned one : whole.abandoned().values()) {
+        packer.packArrayHeader(whole.unclaimable().size());
+        for (UnclaimableShards.Entry one : whole.unclaimable().values()) {
             write(packer, one.former());
-            byte[] slots = one.slots().toByteArray();
-            packer.packBinaryHeader(slots.length);
-            packer.writePayload(slots);
+            byte[] shards = one.shards().toByteArray();
+            packer.packBinaryHeader(shards.length);
+            packer.writePayload(shards);
         }
         packer.packArrayHeader(whole.views().size());
         for (var view : whole.views().entrySet()) {
@@ -261,33 +264,33 @@
         }
     }
 
-    private static Register.Whole whole(MessageUnpacker unpacker) throws IOException {
+    private static LeaseRegistry.Snapshot whole(MessageUnpacker unpacker) throws IOException {
         long lastToken = unpacker.unpackLong();
         long view = unpacker.unpackLong();
         int copies = unpacker.unpackInt();
-        SortedMap<Long, Register.Lease> leases = new TreeMap<>();
+        SortedMap<Long, LeaseRegistry.Lease> leases = new TreeMap<>();
         for (int left = items(unpacker); left > 0; left--) {
-            Register.Lease lease = new Register.Lease(member(unpacker));
+            LeaseRegistry.Lease lease = new LeaseRegistry.Lease(member(unpacker));
             lease.renewals = unpacker.unpackLong();
             lease.replicatedView = unpacker.unpackLong();
             leases.put(lease.member.token(), lease);
         }
-        SortedMap<Long, Register.Estate> estates = new TreeMap<>();
+        SortedMap<Long, OrphanedShards> orphans = new TreeMap<>();
         for (int left = items(unpacker); left > 0; left--) {
             Member former = member(unpacker);
             long placed = unpacker.unpackLong();
             SortedMap<Integer, Long> holders = new TreeMap<>();
             SortedMap<Integer, List<Long>> past = new TreeMap<>();
-            for (int slots = items(unpacker); slots > 0; slots--) {
-                int slot = unpacker.unpackInt();
-                holders.put(slot, unpacker.unpackLong());
-                past.put(slot, tokens(unpacker));
+            for (int shards = items(unpacker); shards > 0; shards--) {
+                int shard = unpacker.unpackInt();
+                holders.put(shard, unpacker.unpackLong());
+                past.put(shard, tokens(unpacker));
             }
-            estates.put(former.token(), Register.estate(former, placed, holders, past));
+            orphans.put(former.token(), OrphanedShards.restore(former, placed, holders, past));
         }
-        SortedMap<Long, Register.Abandoned> abandoned = new TreeMap<>();
+        SortedMap<Long, UnclaimableShards.Entry> abandoned = new TreeMap<>();
         for (int left = items(unpacker); left > 0; left--) {
-            Register.Abandoned one = new Register.Abandoned(member(unpacker),
+            UnclaimableShards.Entry one = new UnclaimableShards.Entry(member(unpacker),
                     BitSet.valueOf(unpacker.readPayload(unpacker.unpackBinaryHeader())));
             abandoned.put(one.former().token(), one);
         }
@@ -300,7 +303,7 @@
             }
             views.put(number, members);
         }
-        return new Register.Whole(lastToken, view, copies, leases, estates, abandoned, views);
+        return new LeaseRegistry.Snapshot(lastToken, view, copies, leases, orphans, abandoned, views);
     }
 
     private static void write(MessageBufferPacker packer, Member member) throws IOException {
--- a/group/src/main/java/pathlane/group/Voter.java
+++ b/group/src/main/java/pathlane/group/Voter.java
@@ -33,40 +33,41 @@
     /** Guards a follower that does not read against taking the voter's memory. */
     private static final int MOST_ASKS = 10_000;
 
-    private final SealedLink.Common common;
+    private final AuthenticatedLink.Context common;
     private final Scheduler scheduler;
     private final LongSupplier nanos;
-    private final ExpiryWatch expiry;
+    private final LeaseExpiryTracker expiry;
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final Map<Long, List<Consumer<Optional<Reply>>>> renewing = new LinkedHashMap<>();
     private final Map<Long, Long> renewals = new LinkedHashMap<>();
     private final Set<Long> expiring = new LinkedHashSet<>();
-    private Register register = new Register();
+    private LeaseRegistry register = new LeaseRegistry();
     private long index;
-    private AgreedLog log;
+    private CommandLog log;
     private boolean led;
     private int ticks;
     private long tickedAt;
     private boolean stopped;
 
     /** {@code nanos} is the monotonic clock. */
-    public Voter(LeaseTerms terms, SealedLink.Common common, LongSupplier nanos) {
+    public Voter(LeaseTerms terms, AuthenticatedLink.Context common, LongSupplier nanos) {
         this.common = common;
         this.scheduler = common.scheduler();
         this.nanos = nanos;
-        this.expiry = new ExpiryWatch(terms);
+        this.expiry = new LeaseExpiryTracker(terms);
     }
 
     /** Begins to serve, on this log. */
-    public void start(AgreedLog agreed) {
+    public void start(CommandLog agreed) {
         log = agreed;
         tickedAt = nanos.getAsLong();
         tick();
     }
 
+    /** Ends all connections; nothing is served any more. */
     public void stop() {
         stopped = true;
-        List.copyOf(sessions).forEach(session -> session.link.end(CloseReason.DISCONNECTED));
+        List.copyOf(sessions).forEach(session -> session.link.close(CloseReason.DISCONNECTED));
     }
 
     /** The state machine for a connection that a member has opened. */
@@ -74,7 +75,8 @@
         return new Session().link;
     }
 
-    public Register register() {
+    /** The registry as the log has made it so far. */
+    public LeaseRegistry register() {
         return register;
     }
 
@@ -86,12 +88,12 @@
         boolean wasLive = command instanceof Command.Expire expire && register.isLive(expire.token());
         Reply reply = register.apply(command);
         announcement(command, wasLive).ifPresent(announcement -> {
-            byte[] bytes = RegisterCodec.bytes(announcement);
-            byte[] message = RegisterCodec.packed(packer -> {
-                packer.packInt(RegisterClient.APPLIED).packLong(at);
-                RegisterClient.binary(packer, bytes);
+            byte[] bytes = RegistryCodec.bytes(announcement);
+            byte[] message = RegistryCodec.packed(packer -> {
+                packer.packInt(RegistryClient.APPLIED).packLong(at);
+                RegistryClient.binary(packer, bytes);
             });
-            sessions.stream().filter(session -> session.follows).forEach(session -> session.link.write(message));
+            sessions.stream().filter(session -> session.follows).forEach(session -> session.link.send(message));
         });
         return reply;
     }
@@ -111,15 +113,15 @@
     /** The log begins anew from this. */
     public void restored(long at, byte[] state) {
         index = at;
-        register = RegisterCodec.register(state);
-        expiry.forget();
+        register = RegistryCodec.register(state);
+        expiry.reset();
         sessions.forEach(session -> session.follows = false);
-        List.copyOf(sessions).forEach(session -> session.link.end(CloseReason.OVERTAKEN));
+        List.copyOf(sessions).forEach(session -> session.link.close(CloseReason.OVERTAKEN));
     }
 
     /** All of the register, for a new beginning of the log. */
-    public byte[] state() {
-        return RegisterCodec.bytes(register);
+    public byte[] snapshot() {
+        return RegistryCodec.bytes(register);
     }
 
     // ---- from the clock
@@ -128,33 +130,33 @@
         if (stopped) {
             return;
         }
-        boolean leads = log.leads();
+        boolean leads = log.isLeader();
         long now = nanos.getAsLong();
         if (now - tickedAt > OWN_STALL.toNanos()) {
-            expiry.forget();   // guards leases against an own stall: what came meanwhile has not been read
+            expiry.reset();   // guards leases against an own stall: what came meanwhile has not been read
         }
         tickedAt = now;
         if (leads != led) {
             LOG.log(Level.INFO, leads ? "{0} leads the register" : "{0} leads the register no more", common.name());
             led = leads;
             // Guards leases against the time without a leader, in which nobody could renew: they count from now.
-            expiry.forget();
+            expiry.reset();
             if (!leads) {
-                byte[] elsewhere = RegisterCodec.packed(packer -> packer.packInt(RegisterClient.ELSEWHERE));
-                sessions.forEach(session -> session.link.write(elsewhere));
+                byte[] elsewhere = RegistryCodec.packed(packer -> packer.packInt(RegistryClient.ELSEWHERE));
+                sessions.forEach(session -> session.link.send(elsewhere));
             }
         }
         // Each voter counts from when it applied a renewal itself, so that one that begins to lead has its own times.
-        List<Command.Expire> due = expiry.look(register, now);
+        List<Command.Expire> due = expiry.dueLeases(register, now);
         if (leads) {
             for (Command.Expire one : due) {
                 if (expiring.add(one.token())) {
-                    log.add(one, applied -> expired(one, applied));
+                    log.append(one, applied -> expired(one, applied));
                 }
             }
             if (++ticks % ALIVE_EACH == 0) {
-                byte[] alive = RegisterCodec.packed(packer -> packer.packInt(RegisterClient.ALIVE).packLong(index));
-                sessions.stream().filter(session -> session.follows).forEach(session -> session.link.write(alive));
+                byte[] alive = RegistryCodec.packed(packer -> packer.packInt(RegistryClient.ALIVE).packLong(index));
+                sessions.stream().filter(session -> session.follows).forEach(session -> session.link.send(alive));
             }
         }
         scheduler.after(TICK, this::tick);
@@ -171,7 +173,7 @@
 
     private void ask(Command command, Consumer<Optional<Reply>> answered) {
         if (!(command instanceof Command.Renew renew)) {
-            log.add(command, answered);
+            log.append(command, answered);
             return;
         }
         for (Command.Renewal one : renew.renewals()) {
@@ -191,46 +193,46 @@
         renewals.clear();
         renewing.clear();
         if (!all.isEmpty()) {
-            log.add(new Command.Renew(all), applied -> waiting.forEach(one -> one.accept(applied)));
+            log.append(new Command.Renew(all), applied -> waiting.forEach(one -> one.accept(applied)));
         }
     }
 
-    private final class Session implements SealedLink.Upper {
+    private final class Session implements AuthenticatedLink.Listener {
 
-        private final SealedLink link = new SealedLink(common, false, this);
+        private final AuthenticatedLink link = new AuthenticatedLink(common, false, this);
         private boolean follows;
         private int asks;
 
         @Override
-        public void up(SealedLink up, String name) {
-            if (!log.leads()) {
-                link.write(RegisterCodec.packed(packer -> packer.packInt(RegisterClient.ELSEWHERE)));
+        public void authenticated(AuthenticatedLink up, String name) {
+            if (!log.isLeader()) {
+                link.send(RegistryCodec.packed(packer -> packer.packInt(RegistryClient.ELSEWHERE)));
                 return;
             }
             sessions.add(this);
             follows = true;
-            byte[] bytes = state();
-            link.write(RegisterCodec.packed(packer -> {
-                packer.packInt(RegisterClient.STATE).packLong(index);
-                RegisterClient.binary(packer, bytes);
+            byte[] bytes = snapshot();
+            link.send(RegistryCodec.packed(packer -> {
+                packer.packInt(RegistryClient.STATE).packLong(index);
+                RegistryClient.binary(packer, bytes);
             }));
         }
 
         @Override
-        public void message(byte[] payload) {
-            RegisterCodec.read(payload, unpacker -> {
-                message(unpacker);
+        public void received(byte[] payload) {
+            RegistryCodec.read(payload, unpacker -> {
+                received(unpacker);
                 return null;
             });
         }
 
-        private void message(MessageUnpacker unpacker) throws IOException {
+        private void received(MessageUnpacker unpacker) throws IOException {
             int kind = unpacker.unpackInt();
-            if (kind != RegisterClient.ASK) {
+            if (kind != RegistryClient.ASK) {
                 throw new BadInput("a message of kind " + kind + " from a member");
             }
             long id = unpacker.unpackLong();
-            Command command = RegisterCodec.command(RegisterClient.binary(unpacker));
+            Command command = RegistryCodec.command(RegistryClient.binary(unpacker));
             if (command instanceof Command.Expire) {
                 throw new BadInput("a member that wants to end leases");
             }
@@ -240,17 +242,17 @@
             ask(command, applied -> {
                 asks--;
                 applied.ifPresent(reply -> {
-                    byte[] bytes = RegisterCodec.bytes(reply);
-                    link.write(RegisterCodec.packed(packer -> {
-                        packer.packInt(RegisterClient.ANSWER).packLong(id);
-                        RegisterClient.binary(packer, bytes);
+                    byte[] bytes = RegistryCodec.bytes(reply);
+                    link.send(RegistryCodec.packed(packer -> {
+                        packer.packInt(RegistryClient.ANSWER).packLong(id);
+                        RegistryClient.binary(packer, bytes);
                     }));
                 });
             });
         }
 
         @Override
-        public void down(CloseReason end) {
+        public void closed(CloseReason end) {
             sessions.remove(this);
         }
     }
--- a/group/src/test/java/pathlane/group/LeaseExplorationTest.java
+++ b/group/src/test/java/pathlane/group/LeaseExplorationTest.java
@@ -19,8 +19,8 @@
 
 /**
  * Every order in which leases are renewed, lapse and end, claims are made, answers are lost, and processes are stopped,
- * go on, die and start anew, for 3 controllers and 2 calls, over the real {@link Register} and {@link LeaseTerms}: in no
- * state may two controllers act on one call. Time goes in steps, as many as two leases last.
+ * go on, die and start anew, for 3 controllers and 2 calls, over the real {@link LeaseRegistry} and {@link LeaseTerms}: in
+ * no state may two controllers act on one call. Time goes in steps, as many as two leases last.
  */
 class LeaseExplorationTest {
 
@@ -59,7 +59,7 @@
     private String violation;
 
     private void explore(Without without) {
-        Register register = new Register();
+        LeaseRegistry register = new LeaseRegistry();
         List<Self> selves = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             Reply.Granted granted = (Reply.Granted) register.apply(join(i, 1, 0));
@@ -71,7 +71,7 @@
         }
         Deque<State> open = new ArrayDeque<>();
         Set<HashValue128> seen = new HashSet<>();
-        add(new State(0, RegisterCodec.bytes(register), selves, new TreeSet<>(), false,
+        add(new State(0, RegistryCodec.bytes(register), selves, new TreeSet<>(), false,
                 new TreeSet<>(List.of("1:0", "1:1"))), open, seen);
         while (!open.isEmpty() && violation == null) {
             State state = open.pop();
@@ -102,7 +102,7 @@
         if (state.now < END) {
             next.add(new State(state.now + STEP, state.register, state.selves, state.onTheWay, state.started, state.noted));
         }
-        Register register = RegisterCodec.register(state.register);
+        LeaseRegistry register = RegistryCodec.register(state.register);
         for (int i = 0; i < CONTROLLERS; i++) {
             Self self = state.selves.get(i);
             if (self.dead) {
@@ -142,42 +142,43 @@
     }
 
     private State restart(State state, int i) {
-        Register register = RegisterCodec.register(state.register);
+        LeaseRegistry register = RegistryCodec.register(state.register);
         Reply.Granted granted = (Reply.Granted) register.apply(join(i, 2, 0));
-        return new State(state.now, RegisterCodec.bytes(register), replace(state.selves, i,
+        return new State(state.now, RegistryCodec.bytes(register), replace(state.selves, i,
                 new Self(granted.token(), state.now + validFor(), 2, false, false, Set.of())), state.onTheWay, true,
                 state.noted);
     }
 
-    private void claims(State state, Register register, int i, Without without, List<State> next) {
+    private void claims(State state, LeaseRegistry register, int i, Without without, List<State> next) {
         Self self = state.selves.get(i);
         boolean sure = state.now < self.validUntil;
         if (!sure && without != Without.THE_OWN_CHECK) {
             return;
         }
-        for (Register.Estate estate : register.estates()) {
+        for (OrphanedShards estate : register.orphans()) {
             for (int call = 0; call < SLOTS.length; call++) {
                 long owner = estate.former().token();
                 if (!state.noted.contains(owner + ":" + call)
-                        || !estate.holders().containsKey(SLOTS[call]) || register.heirs(estate, SLOTS[call]).stream()
+                        || !estate.owners().containsKey(SLOTS[call]) || register.successors(estate, SLOTS[call]).stream()
                                 .noneMatch(heir -> heir.token() == self.token)) {
                     continue;
                 }
-                Register after = RegisterCodec.register(state.register);
-                Reply.Held held = (Reply.Held) after.apply(new Command.Claim(self.token, estate.former().token(),
+                LeaseRegistry after = RegistryCodec.register(state.register);
+                Reply.Owned held = (Reply.Owned) after.apply(new Command.Claim(self.token, estate.former().token(),
                         List.of(SLOTS[call])));
-                if (held.slots().contains(SLOTS[call]) || without == Without.AGREEMENT) {
+                if (held.shards().contains(SLOTS[call]) || without == Without.AGREEMENT) {
                     // What a holder before had noted itself goes by its own records.
                     int one = call;
-                    boolean elsewhere = estate.past(SLOTS[call]).stream().anyMatch(past -> register.estate(past).isPresent()
-                            && state.noted.contains(past + ":" + one));
+                    boolean elsewhere =
+                            estate.previousOwners(SLOTS[call]).stream().anyMatch(past -> register.orphan(past).isPresent()
+                                    && state.noted.contains(past + ":" + one));
                     Set<Integer> holds = new TreeSet<>(self.holds);
                     Set<String> noted = new TreeSet<>(state.noted);
                     if (!elsewhere) {
                         holds.add(call);
                         noted.add(self.token + ":" + call);
                     }
-                    next.add(new State(state.now, RegisterCodec.bytes(after), replace(state.selves, i, new Self(self.token,
+                    next.add(new State(state.now, RegistryCodec.bytes(after), replace(state.selves, i, new Self(self.token,
                             self.validUntil, self.renewals, false, false, holds)), state.onTheWay, state.started, noted));
                 }
             }
@@ -189,10 +190,10 @@
         String[] words = message.split(" ");
         int i = Integer.parseInt(words[1]);
         long token = Long.parseLong(words[2]);
-        Register register = RegisterCodec.register(state.register);
+        LeaseRegistry register = RegistryCodec.register(state.register);
         Reply.Ended ended = (Reply.Ended) register.apply(new Command.Renew(List.of(new Command.Renewal(token,
                 Long.parseLong(words[3])))));
-        byte[] bytes = RegisterCodec.bytes(register);
+        byte[] bytes = RegistryCodec.bytes(register);
         Set<String> way = new TreeSet<>(state.onTheWay);
         way.remove(message);
         next.add(new State(state.now, bytes, state.selves, way, state.started, state.noted));
@@ -210,32 +211,32 @@
     }
 
     /** The owner hears that its lease has ended, joins anew, and takes back what nobody has claimed. */
-    private State takenBack(State state, Register register, Self self, Set<String> way, Without without) {
-        Register after = RegisterCodec.register(RegisterCodec.bytes(register));
+    private State takenBack(State state, LeaseRegistry register, Self self, Set<String> way, Without without) {
+        LeaseRegistry after = RegistryCodec.register(RegistryCodec.bytes(register));
         Reply.Granted granted = (Reply.Granted) after.apply(join(0, 1, self.token));
         Set<Integer> holds = new TreeSet<>();
         for (int call : self.holds) {
-            Reply.Held held =
-                    (Reply.Held) after.apply(new Command.Reclaim(granted.token(), self.token, List.of(SLOTS[call])));
-            if (held.slots().contains(SLOTS[call]) || without == Without.AGREEMENT_ON_TAKING_BACK) {
+            Reply.Owned held =
+                    (Reply.Owned) after.apply(new Command.Reclaim(granted.token(), self.token, List.of(SLOTS[call])));
+            if (held.shards().contains(SLOTS[call]) || without == Without.AGREEMENT_ON_TAKING_BACK) {
                 holds.add(call);
             }
         }
-        return new State(state.now, RegisterCodec.bytes(after), replace(state.selves, 0, new Self(granted.token(),
+        return new State(state.now, RegistryCodec.bytes(after), replace(state.selves, 0, new Self(granted.token(),
                 state.now + validFor(), 2, false, false, holds)), way, state.started, state.noted);
     }
 
     /** The leader ends a lease, once it has waited since it applied the last renewal, which here is when it was taken. */
-    private void expire(State state, Register register, Member member, Without without, List<State> next) {
+    private void expire(State state, LeaseRegistry register, Member member, Without without, List<State> next) {
         long number = register.renewals(member.token());
         int appliedAt = appliedAt(state, member, number);
         if (without != Without.WAITING_FOR_THE_END
-                && state.now - appliedAt <= TERMS.endedAfter().toMillis()) {
+                && state.now - appliedAt <= TERMS.expireAfter().toMillis()) {
             return;
         }
-        Register after = RegisterCodec.register(state.register);
+        LeaseRegistry after = RegistryCodec.register(state.register);
         after.apply(new Command.Expire(member.token(), number));
-        next.add(new State(state.now, RegisterCodec.bytes(after), state.selves, state.onTheWay, state.started, state.noted));
+        next.add(new State(state.now, RegistryCodec.bytes(after), state.selves, state.onTheWay, state.started, state.noted));
     }
 
     /** No earlier than it was sent: the worst case for whoever waits. Renewals leave at known times in this model. */
--- a/handover/src/main/java/pathlane/handover/AdoptedCalls.java
+++ b/handover/src/main/java/pathlane/handover/AdoptedCalls.java
@@ -16,47 +16,48 @@
 import pathlane.core.CallEvent;
 import pathlane.core.Scheduler;
 import pathlane.decision.Outcome;
-import pathlane.group.Placement;
-import pathlane.group.Registrar;
+import pathlane.group.RegistryAccess;
+import pathlane.group.ShardPlacement;
 
 /**
- * The calls of ended leases that this member goes on with, from the claim of their slot until the register has settled it
+ * The calls of ended leases that this member goes on with, from the claim of their shard until the register has settled it
  * and their former records are gone. On the loop's thread.
  */
-final class AdoptedCalls implements Succession.Work {
+final class AdoptedCalls implements ShardAdoption.Listener {
 
     private static final Logger LOG = System.getLogger("group");
     /** The bus may name a server up to 9.5 s late: an adopted call's is waited for so long. */
     private static final Duration NAMED_BY = Duration.ofSeconds(10);
 
-    private record Place(long owner, int slot) {}
+    private record Place(long owner, int shard) {}
 
     /** An attempt that was out when its owner went. */
     private record OpenAttempt(CallRecord record, Instant orphanAt) {}
 
-    private final Terms terms;
+    private final HandoverSettings terms;
     private final Scheduler scheduler;
-    private final Registrar registrar;
-    private final Links links;
+    private final RegistryAccess registry;
+    private final PeerConnections links;
     private final ReplicationLog replicationLog;
     private final ReplicaStore replicaStore;
     private final Consumer<CallEvent> handler;
     private final Map<String, OpenAttempt> openAttempts = new HashMap<>();
-    /** Calls whose slot is not settled: their former records are still there. */
+    /** Calls whose shard is not settled: their former records are still there. */
     private final Map<String, Place> unsettled = new HashMap<>();
     private final Map<Place, List<String>> callsOf = new HashMap<>();
-    /** The last change of the own records that concerned a slot. */
+    /** The last change of the own records that concerned a shard. */
     private final Map<Place, Long> changedAt = new HashMap<>();
     /** Calls whose server the list does not name yet, and until when it is waited for. */
     private final Map<String, Instant> unplaced = new LinkedHashMap<>();
     private CallController controller;
 
     /** {@code handler} handles an event that was stored for a call whose attempt was out. */
-    AdoptedCalls(Terms terms, Scheduler scheduler, Registrar registrar, Links links, ReplicationLog replicationLog,
+    AdoptedCalls(HandoverSettings terms, Scheduler scheduler, RegistryAccess registry, PeerConnections links,
+            ReplicationLog replicationLog,
             ReplicaStore replicaStore, Consumer<CallEvent> handler) {
         this.terms = terms;
         this.scheduler = scheduler;
-        this.registrar = registrar;
+        this.registry = registry;
         this.links = links;
         this.replicationLog = replicationLog;
         this.replicaStore = replicaStore;
@@ -69,58 +70,58 @@
     }
 
     @Override
-    public void goOn(CallRecord record, long from, int slot) {
-        Place place = new Place(from, slot);
-        unsettled.put(record.call(), place);
-        callsOf.computeIfAbsent(place, any -> new ArrayList<>()).add(record.call());
+    public void adopt(CallRecord record, long from, int shard) {
+        Place place = new Place(from, shard);
+        unsettled.put(record.callId(), place);
+        callsOf.computeIfAbsent(place, any -> new ArrayList<>()).add(record.callId());
         switch (record.kind()) {
-            case STANDS -> place(record, scheduler.now().plus(NAMED_BY));
-            case SENT, WAITS -> goOnWithAttempt(record);
-            case OWES_CALLER -> {
-                over(record.call());
-                controller.deliverRelease(record.call(), new AdoptedCaller(record.caller()), record.how());
+            case ESTABLISHED -> place(record, scheduler.now().plus(NAMED_BY));
+            case IN_FLIGHT, RETRY_DELAYED -> goOnWithAttempt(record);
+            case CLIENT_RELEASE_PENDING -> {
+                completed(record.callId());
+                controller.deliverRelease(record.callId(), new AdoptedClient(record.clientKey()), record.outcome());
             }
-            case OWES_SERVER -> {
-                over(record.call());
-                controller.deliverServerRelease(record.call(), record.server(), record.ending());
+            case SERVER_RELEASE_PENDING -> {
+                completed(record.callId());
+                controller.deliverServerRelease(record.callId(), record.server(), record.releaseToken());
             }
-            case OVER -> {}
+            case COMPLETED -> {}
         }
         changedAt.put(place, replicationLog.changes());
     }
 
     private void goOnWithAttempt(CallRecord record) {
-        Instant orphanAt = scheduler.now().plus(record.lasts()).plus(terms.orphans());
-        openAttempts.put(record.call(), new OpenAttempt(record, orphanAt));
+        Instant orphanAt = scheduler.now().plus(record.remaining()).plus(terms.orphanTimeout());
+        openAttempts.put(record.callId(), new OpenAttempt(record, orphanAt));
         replicationLog.put(record);
-        replicaStore.take(record.call()).forEach(handler);
+        replicaStore.takeEvents(record.callId()).forEach(handler);
     }
 
     @Override
-    public void isOver(String call, long from, int slot) {
-        Place place = new Place(from, slot);
+    public void complete(String call, long from, int shard) {
+        Place place = new Place(from, shard);
         if (place.equals(unsettled.get(call))) {
             openAttempts.remove(call);
             unplaced.remove(call);
             controller.disown(call);
-            over(call);
+            completed(call);
             changedAt.put(place, replicationLog.changes());
         }
     }
 
     @Override
-    public boolean isKept(long from, int slot) {
-        return replicationLog.areKept(changedAt.getOrDefault(new Place(from, slot), 0L), slot);
+    public boolean isReplicated(long from, int shard) {
+        return replicationLog.isReplicatedUpTo(changedAt.getOrDefault(new Place(from, shard), 0L), shard);
     }
 
     @Override
-    public void settled(long from, int slot) {
-        Place place = new Place(from, slot);
+    public void shardCompleted(long from, int shard) {
+        Place place = new Place(from, shard);
         changedAt.remove(place);
         List<String> calls = callsOf.remove(place);
         for (String call : calls == null ? List.<String>of() : calls) {
             if (unsettled.remove(call, place)) {
-                replicationLog.record(call).filter(record -> record.kind() == CallRecord.Kind.OVER)
+                replicationLog.record(call).filter(record -> record.kind() == CallRecord.Kind.COMPLETED)
                         .ifPresent(record -> replicationLog.drop(call));
             }
         }
@@ -132,16 +133,16 @@
     }
 
     /** Nothing is left to do for a call, adopted or not. */
-    void over(String call) {
+    void completed(String call) {
         replicationLog.drop(call);
         if (unsettled.containsKey(call)) {
             // Guards against a successor that would go on with it by its former owner's records.
-            replicationLog.put(CallRecord.over(call));
+            replicationLog.put(CallRecord.completed(call));
         }
     }
 
-    /** Whether the call's slot is not settled yet. */
-    boolean isUnsettled(String call) {
+    /** Whether the call's shard is not settled yet. */
+    boolean isIncomplete(String call) {
         return unsettled.containsKey(call);
     }
 
@@ -151,12 +152,12 @@
     }
 
     /** Whether the call stands at a server that the list does not name yet. */
-    boolean isUnplaced(String call) {
+    boolean awaitsServer(String call) {
         return unplaced.containsKey(call);
     }
 
     /** The call stands at a server of this controller's. */
-    void stands(String call) {
+    void established(String call) {
         openAttempts.remove(call);
     }
 
@@ -167,8 +168,8 @@
             replicationLog.drop(event.callId());
             return false;   // towards whichever connection from callers there is
         }
-        over(event.callId());
-        controller.deliverServerRelease(event.callId(), attempt.record().server(), attempt.record().ending());
+        completed(event.callId());
+        controller.deliverServerRelease(event.callId(), attempt.record().server(), attempt.record().releaseToken());
         return true;
     }
 
@@ -179,7 +180,7 @@
             replicationLog.record(call).ifPresentOrElse(record -> place(record, unplaced.get(call)),
                     () -> unplaced.remove(call));
         }
-        if (!mayEnd || terms.orphans().compareTo(Duration.ZERO) <= 0) {
+        if (!mayEnd || terms.orphanTimeout().compareTo(Duration.ZERO) <= 0) {
             return;
         }
         for (OpenAttempt attempt : List.copyOf(openAttempts.values())) {
@@ -191,37 +192,37 @@
 
     /** Nobody has claimed to have this call: if it stands at its server, it stands for nobody. */
     private void endOrphan(CallRecord record) {
-        openAttempts.remove(record.call());
-        over(record.call());
-        boolean elsewhere = replicaStore.ownerOf(record.call()).filter(registrar.seen()::isLive).isPresent();
+        openAttempts.remove(record.callId());
+        completed(record.callId());
+        boolean elsewhere = replicaStore.ownerOf(record.callId()).filter(registry.registry()::isLive).isPresent();
         if (!elsewhere) {
-            LOG.log(Level.INFO, "call {0} was left open by its controller; it is ended", record.call());
-            controller.deliverServerRelease(record.call(), record.server(), record.ending());
-            controller.deliverRelease(record.call(), new AdoptedCaller(record.caller()), Outcome.RESET);
+            LOG.log(Level.INFO, "call {0} was left open by its controller; it is ended", record.callId());
+            controller.deliverServerRelease(record.callId(), record.server(), record.releaseToken());
+            controller.deliverRelease(record.callId(), new AdoptedClient(record.clientKey()), Outcome.RESET);
         }
     }
 
     /** Goes on with a call that stands, if the list names its server. */
     private void place(CallRecord record, Instant until) {
-        String call = record.call();
+        String call = record.callId();
         replicationLog.put(record);
-        if (controller.adopt(call, record.server(), new AdoptedCaller(record.caller()), record.ending())) {
+        if (controller.adopt(call, record.server(), new AdoptedClient(record.clientKey()), record.releaseToken())) {
             unplaced.remove(call);
-            replicaStore.take(call).forEach(controller::handleOwned);
+            replicaStore.takeEvents(call).forEach(controller::handleOwned);
         } else if (controller.isRemoved(record.server()) || !scheduler.now().isBefore(until)) {
             unplaced.remove(call);
-            over(call);
-            controller.deliverRelease(call, new AdoptedCaller(record.caller()), Outcome.RESET);
+            completed(call);
+            controller.deliverRelease(call, new AdoptedClient(record.clientKey()), Outcome.RESET);
         } else {
             unplaced.put(call, until);
         }
     }
 
-    /** The slots of calls that are not settled: their owner's records are looked up in this lease's own. */
-    Set<Integer> unsettledSlots() {
-        Set<Integer> slots = new HashSet<>();
-        unsettled.keySet().forEach(call -> slots.add(Placement.slot(call)));
-        return slots;
+    /** The shards of calls that are not settled: their owner's records are looked up in this lease's own. */
+    Set<Integer> incompleteShards() {
+        Set<Integer> shards = new HashSet<>();
+        unsettled.keySet().forEach(call -> shards.add(ShardPlacement.shardOf(call)));
+        return shards;
     }
 
     /** The calls that others go on with once this member's lease has ended. */
--- a/handover/src/main/java/pathlane/handover/AdoptedCaller.java
+++ b/handover/src/main/java/pathlane/handover/AdoptedClient.java
@@ -5,7 +5,7 @@
 import pathlane.decision.Outcome;
 
 /** The caller of a call that another member set up: known by name alone, and reached by whichever connection reaches it. */
-record AdoptedCaller(String clientKey) implements ClientPort {
+record AdoptedClient(String clientKey) implements ClientPort {
 
     @Override
     public void answer(String call, byte[] description) {
--- a/handover/src/main/java/pathlane/handover/ParkedEvents.java
+++ b/handover/src/main/java/pathlane/handover/DeferredEvents.java
@@ -9,11 +9,11 @@
 import pathlane.core.CallEvent;
 
 /** Events of calls that arrived while this controller may not act on them, at most one of each kind for a call. */
-final class ParkedEvents {
+final class DeferredEvents {
 
     private final Map<String, List<CallEvent>> events = new LinkedHashMap<>();
 
-    void park(CallEvent event) {
+    void defer(CallEvent event) {
         List<CallEvent> ofCall = events.computeIfAbsent(event.callId(), call -> new ArrayList<>());
         if (ofCall.stream().noneMatch(one -> one.getClass() == event.getClass())) {
             ofCall.add(event);
@@ -27,7 +27,7 @@
     }
 
     /** Hands over all events but those of calls that are to stay. */
-    void handOver(Predicate<String> stays, Consumer<CallEvent> receiver) {
+    void forEachExcept(Predicate<String> stays, Consumer<CallEvent> receiver) {
         List<Map.Entry<String, List<CallEvent>>> all = new ArrayList<>(events.entrySet());
         events.clear();
         for (Map.Entry<String, List<CallEvent>> ofCall : all) {
--- a/handover/src/main/java/pathlane/handover/GracefulLeave.java
+++ b/handover/src/main/java/pathlane/handover/GracefulLeave.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import pathlane.core.Scheduler;
 import pathlane.group.LeaseHolder;
-import pathlane.group.Registrar;
+import pathlane.group.RegistryAccess;
 
 /**
  * A member's planned end: its records are sent, its lease is given up, and once the register has said so what is left is
@@ -22,7 +22,7 @@
     private static final Duration LAST_MESSAGES = Duration.ofMillis(100);
 
     private final Scheduler scheduler;
-    private final Registrar registrar;
+    private final RegistryAccess registry;
     private final LeaseHolder leaseHolder;
     private final ReplicationLog replicationLog;
     private final Duration flushCheck;
@@ -30,10 +30,10 @@
     private Runnable done;
 
     /** {@code window} is how long a change of the records may wait for others. */
-    GracefulLeave(Scheduler scheduler, Registrar registrar, LeaseHolder leaseHolder, ReplicationLog replicationLog,
+    GracefulLeave(Scheduler scheduler, RegistryAccess registry, LeaseHolder leaseHolder, ReplicationLog replicationLog,
             Duration window) {
         this.scheduler = scheduler;
-        this.registrar = registrar;
+        this.registry = registry;
         this.leaseHolder = leaseHolder;
         this.replicationLog = replicationLog;
         this.flushCheck = window.plusMillis(1);
@@ -53,7 +53,7 @@
     }
 
     private void leaveOnceKept(Instant until) {
-        if (leaseHolder.isValid() && !replicationLog.isKept() && scheduler.now().isBefore(until)) {
+        if (leaseHolder.isValid() && !replicationLog.isReplicated() && scheduler.now().isBefore(until)) {
             scheduler.after(flushCheck, () -> leaveOnceKept(until));
             return;
         }
@@ -64,7 +64,7 @@
     }
 
     private void awaitLeft(long token, Instant until) {
-        if (token != 0 && registrar.seen().isLive(token) && scheduler.now().isBefore(until)) {
+        if (token != 0 && registry.registry().isLive(token) && scheduler.now().isBefore(until)) {
             scheduler.after(LEAVE_CHECK, () -> awaitLeft(token, until));
             return;
         }
--- a/handover/src/main/java/pathlane/handover/Handover.java
+++ b/handover/src/main/java/pathlane/handover/Handover.java
@@ -15,11 +15,11 @@
 import pathlane.core.ClientPort;
 import pathlane.core.Scheduler;
 import pathlane.decision.Outcome;
+import pathlane.group.AuthenticatedLink;
 import pathlane.group.LeaseHolder;
-import pathlane.group.Placement;
-import pathlane.group.Register;
-import pathlane.group.RegisterClient;
-import pathlane.group.SealedLink;
+import pathlane.group.LeaseRegistry;
+import pathlane.group.RegistryClient;
+import pathlane.group.ShardPlacement;
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimiter;
@@ -39,18 +39,18 @@
     private static final int ORPHANED_EVENTS_AT_ONCE = 1_000;
     private static final Duration ORPHANED_EVENT_EVERY = Duration.ofMillis(2);
 
-    private final Terms terms;
+    private final HandoverSettings terms;
     private final Scheduler scheduler;
-    private final RegisterClient client;
+    private final RegistryClient client;
     private final LeaseHolder leaseHolder;
-    private final Links links;
+    private final PeerConnections links;
     private final ReplicationLog replicationLog;
     private final ReplicaStore replicaStore;
-    private final Succession succession;
+    private final ShardAdoption shardAdoption;
     private final OrphanedEvents orphanedEvents;
     private final Reclaim reclaim;
     private final RateLimiter orphanedEventLimit;
-    private final ParkedEvents parkedEvents = new ParkedEvents();
+    private final DeferredEvents deferredEvents = new DeferredEvents();
     private final AdoptedCalls adoptedCalls;
     private final ReplicaRelease replicaRelease;
     private CallController controller;
@@ -65,24 +65,27 @@
      * @param voters where the register's voters are reached
      * @param nanos the monotonic clock
      */
-    public Handover(Terms terms, long incarnation, List<InetSocketAddress> voters, Connector dialer,
-            SealedLink.Common common, LongSupplier nanos) {
+    public Handover(HandoverSettings terms, long incarnation, List<InetSocketAddress> voters, Connector dialer,
+            AuthenticatedLink.Context common, LongSupplier nanos) {
         this.terms = terms;
         this.scheduler = common.scheduler();
-        this.client = new RegisterClient(voters, dialer, common, this::registerChanged);
-        this.leaseHolder = new LeaseHolder(terms.name(), incarnation, terms.address(), terms.copies(), terms.lease(),
+        this.client = new RegistryClient(voters, dialer, common, this::registerChanged);
+        this.leaseHolder = new LeaseHolder(terms.name(), incarnation, terms.address(), terms.replicaCount(), terms.lease(),
                 client, scheduler, nanos, this);
-        this.replicaStore = new ReplicaStore(scheduler, terms.clearWait());
-        this.links = new Links(dialer, common, client, leaseHolder::token);
-        this.replicationLog = new ReplicationLog(client, scheduler, terms.window(), links);
-        this.adoptedCalls = new AdoptedCalls(terms, scheduler, client, links, replicationLog, replicaStore, this::handle);
-        this.succession = new Succession(client, leaseHolder, scheduler, replicaStore, terms.pace(), adoptedCalls);
+        this.replicaStore = new ReplicaStore(scheduler, terms.retryDelay());
+        this.links = new PeerConnections(dialer, common, client, leaseHolder::token);
+        this.replicationLog = new ReplicationLog(client, scheduler, terms.batchWindow(), links);
+        this.adoptedCalls =
+                new AdoptedCalls(terms, scheduler, client, links, replicationLog, replicaStore, this::handleLocally);
+        this.shardAdoption =
+                new ShardAdoption(client, leaseHolder, scheduler, replicaStore, terms.adoptionsPerSecond(), adoptedCalls);
         this.orphanedEvents = new OrphanedEvents(client, scheduler, replicaStore, links, leaseHolder::token,
                 event -> controller.handleUnowned(event));
-        this.reclaim = new Reclaim(client, new ReclaimListener());
-        this.replicaRelease = new ReplicaRelease(scheduler, leaseHolder, replicationLog, links, this::released);
-        links.deliverTo(new IncomingMessages(client, replicaStore, replicationLog, succession, orphanedEvents,
-                replicaRelease, this::reported));
+        this.reclaim = new Reclaim(client,
+                new ReclaimedCalls(leaseHolder, replicationLog, deferredEvents, orphanedEvents, () -> controller));
+        this.replicaRelease = new ReplicaRelease(scheduler, leaseHolder, replicationLog, links, this::replicasReleased);
+        links.setHandler(new IncomingMessages(client, replicaStore, replicationLog, shardAdoption, orphanedEvents,
+                replicaRelease, this::handleReport));
         this.orphanedEventLimit = new RateLimiter(ORPHANED_EVENTS_AT_ONCE, ORPHANED_EVENT_EVERY, scheduler);
     }
 
@@ -106,7 +109,7 @@
             return;
         }
         leaving = true;
-        GracefulLeave leave = new GracefulLeave(scheduler, client, leaseHolder, replicationLog, terms.window());
+        GracefulLeave leave = new GracefulLeave(scheduler, client, leaseHolder, replicationLog, terms.batchWindow());
         leave.begin(this::passOnParked, () -> {
             stop();
             done.run();
@@ -122,10 +125,10 @@
     }
 
     /** What there is to see, as a line for the log. */
-    public String line() {
-        return "lease=" + leaseHolder.token() + " sure=" + leaseHolder.isValid() + " covered=" + isReplicated()
-                + " members=" + client.seen().members().size() + " records=" + replicationLog.size()
-                + " keeps=" + replicaStore.size() + " taken_over=" + adopted() + " parked=" + parkedEvents.size();
+    public String summary() {
+        return "lease=" + leaseHolder.token() + " lease_valid=" + leaseHolder.isValid() + " replicated=" + isReplicated()
+                + " members=" + client.registry().members().size() + " records=" + replicationLog.size()
+                + " replicas=" + replicaStore.size() + " adopted=" + adopted() + " deferred=" + deferredEvents.size();
     }
 
     /** The lease's token; 0 while there is none. */
@@ -140,52 +143,52 @@
 
     /** Whether all of this controller's records are where the register looks for them. */
     public boolean isReplicated() {
-        Register register = client.seen();
+        LeaseRegistry register = client.registry();
         return leaseHolder.isValid() && register.replicatedView(leaseHolder.token()) == register.view()
-                && replicationLog.isKept();
+                && replicationLog.isReplicated();
     }
 
     /** The register as it was last seen. */
-    public Register register() {
-        return client.seen();
+    public LeaseRegistry register() {
+        return client.registry();
     }
 
     /** What is left to do for a call by what is known here, its own or another's; empty where nothing is. */
-    public Optional<CallRecord.Kind> knows(String call) {
+    public Optional<CallRecord.Kind> pendingWork(String call) {
         return replicationLog.record(call).map(CallRecord::kind).or(() -> replicaStore.kindOf(call));
     }
 
     /** Calls of others that this one went on with. */
     public long adopted() {
-        return succession.adopted();
+        return shardAdoption.adopted();
     }
 
     // ---- from the life of a call
 
     @Override
     public void attemptStarted(String call, long server, Duration patience, ClientPort caller, Supplier<byte[]> ending) {
-        replicationLog.put(CallRecord.sent(call, server, caller.clientKey(), patience, ending.get()));
+        replicationLog.put(CallRecord.inFlight(call, server, caller.clientKey(), patience, ending.get()));
     }
 
     @Override
     public void attemptEnded(String call, long server, Duration wait, ClientPort caller) {
-        replicationLog.put(CallRecord.waits(call, server, caller.clientKey(), wait, ending(call)));
+        replicationLog.put(CallRecord.retryDelayed(call, server, caller.clientKey(), wait, ending(call)));
     }
 
     @Override
     public void callEstablished(String call, long server, ClientPort caller) {
-        adoptedCalls.stands(call);
-        replicationLog.put(CallRecord.stands(call, server, caller.clientKey(), ending(call)));
+        adoptedCalls.established(call);
+        replicationLog.put(CallRecord.established(call, server, caller.clientKey(), ending(call)));
     }
 
     private byte[] ending(String call) {
-        return replicationLog.record(call).map(CallRecord::ending).orElseGet(() -> new byte[0]);
+        return replicationLog.record(call).map(CallRecord::releaseToken).orElseGet(() -> new byte[0]);
     }
 
     @Override
     public void deliverAnswer(String call, int callClass, Runnable write) {
-        if (terms.waiting().contains(callClass) && leaseHolder.isValid()) {
-            replicationLog.whenKept(call, terms.waitMost(), write);
+        if (terms.synchronousClasses().contains(callClass) && leaseHolder.isValid()) {
+            replicationLog.whenReplicated(call, terms.maxAnswerDelay(), write);
         } else {
             write.run();
         }
@@ -193,28 +196,28 @@
 
     @Override
     public void clientReleasePending(String call, ClientPort caller, Outcome how) {
-        replicationLog.put(CallRecord.owesCaller(call, caller == null ? "" : caller.clientKey(), how));
+        replicationLog.put(CallRecord.clientReleasePending(call, caller == null ? "" : caller.clientKey(), how));
     }
 
     @Override
     public void serverReleasePending(String call, long server, byte[] ending) {
-        replicationLog.put(CallRecord.owesServer(call, server, ending));
+        replicationLog.put(CallRecord.serverReleasePending(call, server, ending));
     }
 
     @Override
     public void callCompleted(String call) {
-        adoptedCalls.over(call);
+        adoptedCalls.completed(call);
     }
 
     @Override
     public boolean mayAct(String call) {
         return !reclaim.contains(call)   // else it is not known yet whether the lease that ended left this member the call
-                && (leaseHolder.isValid() || !replicationLog.isShared(call) && !adoptedCalls.isUnsettled(call));
+                && (leaseHolder.isValid() || !replicationLog.isShared(call) && !adoptedCalls.isIncomplete(call));
     }
 
     @Override
     public void defer(CallEvent event) {
-        parkedEvents.park(event);
+        deferredEvents.defer(event);
     }
 
     @Override
@@ -222,27 +225,27 @@
         if (adoptedCalls.hasOpenAttempt(event.callId())) {
             return adoptedCalls.resolveAttempt(event);
         }
-        if (client.seen().members().size() < 2 || !orphanedEventLimit.tryAcquire()) {
+        if (client.registry().members().size() < 2 || !orphanedEventLimit.tryAcquire()) {
             return false;
         }
-        orphanedEvents.tell(event);
+        orphanedEvents.report(event);
         return true;
     }
 
     @Override
     public Duration delayBeforeFirstAttempt(String call) {
-        return replicaStore.heldBack(call);
+        return replicaStore.retryDelay(call);
     }
 
     /** Handles an event of a call that does not stand here. */
-    private void handle(CallEvent event) {
+    private void handleLocally(CallEvent event) {
         if (!delegate(event)) {
             controller.handleUnowned(event);
         }
     }
 
     /** Another member has reported an event: whether it is handled here, or stored until it is. */
-    private boolean reported(CallEvent event) {
+    private boolean handleReport(CallEvent event) {
         String call = event.callId();
         if (controller.isEstablished(call)) {
             boolean may = mayAct(call);
@@ -254,14 +257,14 @@
             return may;
         }
         if (adoptedCalls.hasOpenAttempt(call)) {
-            handle(event);
+            handleLocally(event);
             return true;
         }
-        if (adoptedCalls.isUnplaced(call)) {
-            replicaStore.happened(event);
+        if (adoptedCalls.awaitsServer(call)) {
+            replicaStore.storeEvent(event);
             return true;
         }
-        return orphanedEvents.keep(event);
+        return orphanedEvents.store(event);
     }
 
     // ---- from the lease
@@ -270,7 +273,7 @@
     public void granted(long token) {
         replicaRelease.clear();
         replicationLog.begin(token);
-        succession.look();
+        shardAdoption.reconcile();
         reclaim.ask();
         replayParked();
     }
@@ -281,12 +284,12 @@
         replicaRelease.begin();
     }
 
-    /** All keepers have dropped their replicas. */
-    private void released() {
-        LOG.log(Level.INFO, "no agreement can be reached; all keepers have dropped their records, and calls are served "
-                + "uncovered");
-        leaseHolder.emptied();
-        replicationLog.freed();
+    /** All holders have dropped their replicas. */
+    private void replicasReleased() {
+        LOG.log(Level.INFO, "no agreement can be reached; all replica holders have dropped their replicas, and calls are "
+                + "served without replication");
+        leaseHolder.replicasDropped();
+        replicationLog.replicasDropped();
         replayParked();
     }
 
@@ -300,40 +303,40 @@
     public void lost(long token) {
         List<CallRecord> others = replicationLog.shared();
         Set<String> gone = adoptedCalls.calls();
-        Set<Integer> unsettledSlots = adoptedCalls.unsettledSlots();
+        Set<Integer> unsettledSlots = adoptedCalls.incompleteShards();
         reclaim.begin(token, unsettledSlots);
         int open = 0;
         for (CallRecord record : others) {
-            if (unsettledSlots.contains(Placement.slot(record.call()))) {
-                gone.add(record.call());
+            if (unsettledSlots.contains(ShardPlacement.shardOf(record.callId()))) {
+                gone.add(record.callId());
             } else {
                 reclaim.add(token, record);
-                replicationLog.forget(record.call());
-                if (record.kind() != CallRecord.Kind.STANDS) {
-                    controller.disown(record.call());   // what is owed is not told before it is known whose it is
+                replicationLog.forget(record.callId());
+                if (record.kind() != CallRecord.Kind.ESTABLISHED) {
+                    controller.disown(record.callId());   // what is owed is not told before it is known whose it is
                 }
                 open++;
             }
         }
-        LOG.log(Level.WARNING, "others act on {0} calls from now on; {1} are taken back if nobody has claimed them",
+        LOG.log(Level.WARNING, "others act on {0} calls from now on; {1} are reclaimed if nobody has claimed them",
                 Integer.toString(gone.size()), Integer.toString(open));
         gone.forEach(call -> {
             controller.disown(call);
             replicationLog.forget(call);
         });
         replicationLog.end();
-        succession.stop();
+        shardAdoption.stop();
         adoptedCalls.clear();
         passOnParked();
     }
 
     /** Events that arrived while this controller could not act go to whoever can. */
     private void passOnParked() {
-        parkedEvents.handOver(call -> reclaim.contains(call) && !leaving, orphanedEvents::tell);
+        deferredEvents.forEachExcept(call -> reclaim.contains(call) && !leaving, orphanedEvents::report);
     }
 
     private void replayParked() {
-        parkedEvents.handOver(call -> false, controller::handleOwned);
+        deferredEvents.forEachExcept(call -> false, controller::handleOwned);
     }
 
     // ---- from the register and the clock
@@ -344,21 +347,21 @@
             // Many may come at once; what is in between concerns nobody.
             scheduler.after(REGISTER_SETTLES, this::lookAtRegister);
         }
-        Register register = client.seen();
+        LeaseRegistry register = client.registry();
         if (leaseHolder.token() != 0 && !register.isLive(leaseHolder.token())
                 && register.lastToken() >= leaseHolder.token()) {
-            leaseHolder.seenEnded(leaseHolder.token());
+            leaseHolder.observedEnd(leaseHolder.token());
         }
     }
 
     private void lookAtRegister() {
         registerChanged = false;
         // What was kept for whoever would act goes the round again: who acts now is not told by records kept here.
-        List<CallEvent> left = replicaStore.prune(client.seen(), leaseHolder.token());
-        replicationLog.registerChanged();
-        succession.look();
+        List<CallEvent> left = replicaStore.prune(client.registry(), leaseHolder.token());
+        replicationLog.registryChanged();
+        shardAdoption.reconcile();
         orphanedEvents.deliver();
-        left.forEach(orphanedEvents::tell);
+        left.forEach(orphanedEvents::report);
     }
 
     private void tick() {
@@ -370,31 +373,4 @@
         reclaim.ask();
         scheduler.after(TICK, this::tick);
     }
-
-    /** Acts on the outcome for calls of a lease that ended. */
-    private final class ReclaimListener implements Reclaim.Listener {
-
-        @Override
-        public long validToken() {
-            return leaseHolder.isValid() ? leaseHolder.token() : 0;
-        }
-
-        @Override
-        public void own(CallRecord record) {
-            if (record.kind() == CallRecord.Kind.OWES_CALLER) {
-                controller.deliverRelease(record.call(), new AdoptedCaller(record.caller()), record.how());
-            } else if (record.kind() == CallRecord.Kind.OWES_SERVER) {
-                controller.deliverServerRelease(record.call(), record.server(), record.ending());
-            } else if (controller.isEstablished(record.call())) {
-                replicationLog.put(record);
-                parkedEvents.take(record.call()).forEach(controller::handleOwned);
-            }
-        }
-
-        @Override
-        public void others(String call) {
-            controller.disown(call);
-            parkedEvents.take(call).forEach(orphanedEvents::tell);
-        }
-    }
 }
--- a/handover/src/main/java/pathlane/handover/OrphanedEvents.java
+++ b/handover/src/main/java/pathlane/handover/OrphanedEvents.java
@@ -10,15 +10,15 @@
 import java.util.function.LongSupplier;
 import pathlane.core.CallEvent;
 import pathlane.core.Scheduler;
+import pathlane.group.LeaseRegistry;
 import pathlane.group.Member;
-import pathlane.group.Placement;
-import pathlane.group.Register;
-import pathlane.group.Registrar;
+import pathlane.group.RegistryAccess;
+import pathlane.group.ShardPlacement;
 
 /**
  * Forwards events of calls to the member that acts on the call, where they arrived at another one: a release on any
  * connection from callers, an end on any connection to the server. An event is stored beside the call's record, at all its
- * keepers, until the acting member has acknowledged it, since nobody may act for a while. On the loop's thread.
+ * holders, until the acting member has acknowledged it, since nobody may act for a while. On the loop's thread.
  */
 final class OrphanedEvents {
 
@@ -37,7 +37,7 @@
         }
     }
 
-    private final Registrar registrar;
+    private final RegistryAccess registry;
     private final Scheduler scheduler;
     private final ReplicaStore replicaStore;
     private final ReplicationLog.Transport transport;
@@ -52,9 +52,10 @@
      * @param self the token of the present lease
      * @param unowned receives events of calls that no member knows
      */
-    OrphanedEvents(Registrar registrar, Scheduler scheduler, ReplicaStore replicaStore, ReplicationLog.Transport transport,
+    OrphanedEvents(RegistryAccess registry, Scheduler scheduler, ReplicaStore replicaStore,
+            ReplicationLog.Transport transport,
             LongSupplier self, Consumer<CallEvent> unowned) {
-        this.registrar = registrar;
+        this.registry = registry;
         this.scheduler = scheduler;
         this.replicaStore = replicaStore;
         this.transport = transport;
@@ -63,14 +64,15 @@
     }
 
     /** An event of a call that another member owns, or nobody, has arrived here. */
-    void tell(CallEvent event) {
-        if (keep(event)) {
+    void report(CallEvent event) {
+        if (store(event)) {
             return;
         }
-        Register register = registrar.seen();
-        // Whoever it belongs to, its keepers are among the first of its slot.
-        List<Member> asked = Placement.keepers(Placement.slot(event.callId()), register.members(), self.getAsLong(),
-                register.copies() + 1);
+        LeaseRegistry register = registry.registry();
+        // Whoever it belongs to, its holders are among the first of its shard.
+        List<Member> asked =
+                ShardPlacement.replicaHolders(ShardPlacement.shardOf(event.callId()), register.members(), self.getAsLong(),
+                        register.replicaCount() + 1);
         if (asked.isEmpty()) {
             scheduler.after(Duration.ZERO, () -> unowned.accept(event));
         } else {
@@ -79,34 +81,34 @@
     }
 
     /** An event of a call whose records were just dropped here for its owner: that one is notified. */
-    void tellOwner(CallEvent event, long owner) {
-        if (registrar.seen().isLive(owner)) {
-            ask(event, false, List.of(registrar.seen().member(owner).orElseThrow()));
+    void reportToOwner(CallEvent event, long owner) {
+        if (registry.registry().isLive(owner)) {
+            ask(event, false, List.of(registry.registry().member(owner).orElseThrow()));
         } else {
-            tell(event);
+            report(event);
         }
     }
 
     private void ask(CallEvent event, boolean kept, List<Member> members) {
         long ask = ++asks;
         open.put(ask, new Open(event, kept, members.size()));
-        members.forEach(member -> transport.send(member.token(), new PeerMessage.Told(ask, event)));
+        members.forEach(member -> transport.send(member.token(), new PeerMessage.EventReport(ask, event)));
         scheduler.after(ANSWER_MOST, () -> close(ask));
     }
 
     /** A member's answer whether the event is handled. */
-    void known(PeerMessage.Known known) {
-        Open one = open.get(known.ask());
+    void replied(PeerMessage.EventReply known) {
+        Open one = open.get(known.requestId());
         if (one == null) {
             return;
         }
-        if (known.known()) {
-            open.remove(known.ask());
+        if (known.isHandled()) {
+            open.remove(known.requestId());
             if (one.kept) {
-                replicaStore.done(one.event);
+                replicaStore.removeEvent(one.event);
             }
         } else if (--one.awaited == 0) {
-            close(known.ask());
+            close(known.requestId());
         }
     }
 
@@ -118,32 +120,33 @@
     }
 
     /** Stores an event of a call whose record is kept here, and forwards it; false where no record is. */
-    boolean keep(CallEvent event) {
+    boolean store(CallEvent event) {
         Optional<Long> owner = replicaStore.ownerOf(event.callId());
         if (owner.isEmpty()) {
             return false;
         }
-        if (replicaStore.happened(event)) {
+        if (replicaStore.storeEvent(event)) {
             deliver(event.callId(), owner.get());
-            Register register = registrar.seen();
-            int slot = Placement.slot(event.callId());
-            List<Member> others = new ArrayList<>(register.estate(owner.get()).map(estate -> register.heirs(estate, slot))
-                    .orElseGet(() -> register.keepers(owner.get(), slot, register.replicatedView(owner.get()))));
+            LeaseRegistry register = registry.registry();
+            int shard = ShardPlacement.shardOf(event.callId());
+            List<Member> others = new ArrayList<>(register.orphan(owner.get())
+                    .map(orphan -> register.successors(orphan, shard))
+                    .orElseGet(() -> register.replicaHolders(owner.get(), shard, register.replicatedView(owner.get()))));
             others.removeIf(member -> member.token() == self.getAsLong() || !register.isLive(member.token()));
-            others.forEach(member -> transport.send(member.token(), new PeerMessage.Told(0, event)));
+            others.forEach(member -> transport.send(member.token(), new PeerMessage.EventReport(0, event)));
         }
         return true;
     }
 
     /** Forwards the stored events to the members that act by now. */
     void deliver() {
-        replicaStore.happenedTo().forEach(call -> replicaStore.ownerOf(call).ifPresent(owner -> deliver(call, owner)));
+        replicaStore.callsWithEvents().forEach(call -> replicaStore.ownerOf(call).ifPresent(owner -> deliver(call, owner)));
     }
 
     private void deliver(String call, long owner) {
-        Optional<Member> acting = registrar.seen().actingFor(owner, Placement.slot(call));
+        Optional<Member> acting = registry.registry().currentOwner(owner, ShardPlacement.shardOf(call));
         if (acting.isPresent() && acting.get().token() != self.getAsLong()) {
-            replicaStore.happened(call).forEach(event -> ask(event, true, List.of(acting.get())));
+            replicaStore.storeEvent(call).forEach(event -> ask(event, true, List.of(acting.get())));
         }
     }
 }
--- a/handover/src/main/java/pathlane/handover/PeerCodec.java
+++ b/handover/src/main/java/pathlane/handover/PeerCodec.java
@@ -57,58 +57,60 @@
     }
 
     private static void write(MessageBufferPacker packer, PeerMessage message) throws IOException {
-        if (message instanceof PeerMessage.Slot slot) {
-            packer.packInt(SLOT).packLong(slot.owner()).packLong(slot.view()).packInt(slot.slot()).packLong(slot.upTo());
-            write(packer, slot.records());
+        if (message instanceof PeerMessage.ShardSnapshot shard) {
+            packer.packInt(SLOT).packLong(shard.owner()).packLong(shard.view()).packInt(shard.shard())
+                    .packLong(shard.upTo());
+            write(packer, shard.records());
         } else if (message instanceof PeerMessage.Changes changes) {
             packer.packInt(CHANGES).packLong(changes.owner()).packLong(changes.upTo())
                     .packArrayHeader(changes.changes().size());
             for (PeerMessage.Change change : changes.changes()) {
                 if (change.record() == null) {
                     packer.packInt(DROPPED);
-                    writeId(packer, change.call());
+                    writeId(packer, change.callId());
                 } else {
                     write(packer, change.record());
                 }
             }
-        } else if (message instanceof PeerMessage.Placed placed) {
+        } else if (message instanceof PeerMessage.ViewReplicated placed) {
             packer.packInt(PLACED).packLong(placed.owner()).packLong(placed.view()).packLong(placed.upTo());
-        } else if (message instanceof PeerMessage.Kept kept) {
+        } else if (message instanceof PeerMessage.Acknowledged kept) {
             packer.packInt(KEPT).packLong(kept.owner()).packLong(kept.upTo()).packLong(kept.view());
-        } else if (message instanceof PeerMessage.Pull pull) {
-            packer.packInt(PULL).packLong(pull.owner()).packInt(pull.slot());
-        } else if (message instanceof PeerMessage.Pulled pulled) {
-            packer.packInt(PULLED).packLong(pulled.owner()).packInt(pulled.slot()).packLong(pulled.upTo());
+        } else if (message instanceof PeerMessage.FetchShard pull) {
+            packer.packInt(PULL).packLong(pull.owner()).packInt(pull.shard());
+        } else if (message instanceof PeerMessage.ShardFetched pulled) {
+            packer.packInt(PULLED).packLong(pulled.owner()).packInt(pulled.shard()).packLong(pulled.upTo());
             write(packer, pulled.records());
-        } else if (message instanceof PeerMessage.Told told) {
-            packer.packInt(TOLD).packLong(told.ask());
+        } else if (message instanceof PeerMessage.EventReport told) {
+            packer.packInt(TOLD).packLong(told.requestId());
             write(packer, told.event());
-        } else if (message instanceof PeerMessage.Known known) {
-            packer.packInt(KNOWN).packLong(known.ask()).packBoolean(known.known());
-        } else if (message instanceof PeerMessage.Free free) {
+        } else if (message instanceof PeerMessage.EventReply known) {
+            packer.packInt(KNOWN).packLong(known.requestId()).packBoolean(known.isHandled());
+        } else if (message instanceof PeerMessage.DropReplicas free) {
             packer.packInt(FREE).packLong(free.owner());
         } else {
-            PeerMessage.Freed freed = (PeerMessage.Freed) message;
-            packer.packInt(FREED).packLong(freed.owner()).packBoolean(freed.free());
+            PeerMessage.ReplicasDropped freed = (PeerMessage.ReplicasDropped) message;
+            packer.packInt(FREED).packLong(freed.owner()).packBoolean(freed.isDropped());
         }
     }
 
     private static PeerMessage read(MessageUnpacker unpacker) throws IOException {
         int kind = unpacker.unpackInt();
         return switch (kind) {
-            case SLOT -> new PeerMessage.Slot(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackInt(),
+            case SLOT -> new PeerMessage.ShardSnapshot(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackInt(),
                     unpacker.unpackLong(),
                     records(unpacker));
             case CHANGES -> new PeerMessage.Changes(unpacker.unpackLong(), unpacker.unpackLong(), changes(unpacker));
-            case PLACED -> new PeerMessage.Placed(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
-            case KEPT -> new PeerMessage.Kept(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
-            case PULL -> new PeerMessage.Pull(unpacker.unpackLong(), unpacker.unpackInt());
-            case PULLED -> new PeerMessage.Pulled(unpacker.unpackLong(), unpacker.unpackInt(), unpacker.unpackLong(),
+            case PLACED ->
+                new PeerMessage.ViewReplicated(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
+            case KEPT -> new PeerMessage.Acknowledged(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
+            case PULL -> new PeerMessage.FetchShard(unpacker.unpackLong(), unpacker.unpackInt());
+            case PULLED -> new PeerMessage.ShardFetched(unpacker.unpackLong(), unpacker.unpackInt(), unpacker.unpackLong(),
                     records(unpacker));
-            case TOLD -> new PeerMessage.Told(unpacker.unpackLong(), event(unpacker));
-            case KNOWN -> new PeerMessage.Known(unpacker.unpackLong(), unpacker.unpackBoolean());
-            case FREE -> new PeerMessage.Free(unpacker.unpackLong());
-            case FREED -> new PeerMessage.Freed(unpacker.unpackLong(), unpacker.unpackBoolean());
+            case TOLD -> new PeerMessage.EventReport(unpacker.unpackLong(), event(unpacker));
+            case KNOWN -> new PeerMessage.EventReply(unpacker.unpackLong(), unpacker.unpackBoolean());
+            case FREE -> new PeerMessage.DropReplicas(unpacker.unpackLong());
+            case FREED -> new PeerMessage.ReplicasDropped(unpacker.unpackLong(), unpacker.unpackBoolean());
             default -> throw new BadInput("a message of kind " + kind + " from a member");
         };
     }
@@ -122,22 +124,22 @@
 
     private static void write(MessageBufferPacker packer, CallRecord record) throws IOException {
         packer.packInt(record.kind().ordinal());
-        writeId(packer, record.call());
+        writeId(packer, record.callId());
         switch (record.kind()) {
-            case SENT, WAITS -> {
-                packer.packLong(record.server()).packString(record.caller()).packLong(record.lasts().toMillis());
-                binary(packer, record.ending());
+            case IN_FLIGHT, RETRY_DELAYED -> {
+                packer.packLong(record.server()).packString(record.clientKey()).packLong(record.remaining().toMillis());
+                binary(packer, record.releaseToken());
             }
-            case STANDS -> {
-                packer.packLong(record.server()).packString(record.caller());
-                binary(packer, record.ending());
+            case ESTABLISHED -> {
+                packer.packLong(record.server()).packString(record.clientKey());
+                binary(packer, record.releaseToken());
             }
-            case OWES_CALLER -> packer.packString(record.caller()).packInt(record.how().ordinal());
-            case OWES_SERVER -> {
+            case CLIENT_RELEASE_PENDING -> packer.packString(record.clientKey()).packInt(record.outcome().ordinal());
+            case SERVER_RELEASE_PENDING -> {
                 packer.packLong(record.server());
-                binary(packer, record.ending());
+                binary(packer, record.releaseToken());
             }
-            case OVER -> {}
+            case COMPLETED -> {}
         }
     }
 
@@ -159,7 +161,7 @@
                 changes.add(new PeerMessage.Change(readId(unpacker), null));
             } else {
                 CallRecord record = record(unpacker, kind);
-                changes.add(new PeerMessage.Change(record.call(), record));
+                changes.add(new PeerMessage.Change(record.callId(), record));
             }
         }
         return changes;
@@ -171,14 +173,15 @@
         }
         String call = readId(unpacker);
         return switch (KINDS[kind]) {
-            case SENT -> CallRecord.sent(call, unpacker.unpackLong(), unpacker.unpackString(),
+            case IN_FLIGHT -> CallRecord.inFlight(call, unpacker.unpackLong(), unpacker.unpackString(),
                     Duration.ofMillis(unpacker.unpackLong()), binary(unpacker));
-            case WAITS -> CallRecord.waits(call, unpacker.unpackLong(), unpacker.unpackString(),
+            case RETRY_DELAYED -> CallRecord.retryDelayed(call, unpacker.unpackLong(), unpacker.unpackString(),
                     Duration.ofMillis(unpacker.unpackLong()), binary(unpacker));
-            case STANDS -> CallRecord.stands(call, unpacker.unpackLong(), unpacker.unpackString(), binary(unpacker));
-            case OWES_CALLER -> CallRecord.owesCaller(call, unpacker.unpackString(), ending(unpacker));
-            case OWES_SERVER -> CallRecord.owesServer(call, unpacker.unpackLong(), binary(unpacker));
-            case OVER -> CallRecord.over(call);
+            case ESTABLISHED ->
+                CallRecord.established(call, unpacker.unpackLong(), unpacker.unpackString(), binary(unpacker));
+            case CLIENT_RELEASE_PENDING -> CallRecord.clientReleasePending(call, unpacker.unpackString(), ending(unpacker));
+            case SERVER_RELEASE_PENDING -> CallRecord.serverReleasePending(call, unpacker.unpackLong(), binary(unpacker));
+            case COMPLETED -> CallRecord.completed(call);
         };
     }
 
--- a/handover/src/main/java/pathlane/handover/Links.java
+++ b/handover/src/main/java/pathlane/handover/PeerConnections.java
@@ -22,9 +22,9 @@
 import org.msgpack.core.MessageUnpacker;
 import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
+import pathlane.group.AuthenticatedLink;
 import pathlane.group.Member;
-import pathlane.group.Registrar;
-import pathlane.group.SealedLink;
+import pathlane.group.RegistryAccess;
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
 import pathlane.wire.BadInput;
@@ -34,7 +34,7 @@
  * which lease to which it goes; one to a lease that the receiver does not have is dropped, so that nothing meant for a
  * process is taken by the one that was started in its place. On the loop's thread.
  */
-final class Links implements ReplicationLog.Transport {
+final class PeerConnections implements ReplicationLog.Transport {
 
     private static final Logger LOG = System.getLogger("group");
     private static final Duration DIAL_TIMEOUT = Duration.ofMillis(500);
@@ -56,9 +56,9 @@
     private record Waiting(byte[] message, Instant until) {}
 
     private final Connector dialer;
-    private final SealedLink.Common common;
+    private final AuthenticatedLink.Context common;
     private final Scheduler scheduler;
-    private final Registrar registrar;
+    private final RegistryAccess registry;
     private final LongSupplier self;
     private Handler handler;
     private final Map<Long, Outgoing> outgoing = new HashMap<>();
@@ -67,28 +67,28 @@
     private boolean stopped;
 
     /** {@code self} is the token of the present lease, 0 while there is none. */
-    Links(Connector dialer, SealedLink.Common common, Registrar registrar, LongSupplier self) {
+    PeerConnections(Connector dialer, AuthenticatedLink.Context common, RegistryAccess registry, LongSupplier self) {
         this.dialer = dialer;
         this.common = common;
         this.scheduler = common.scheduler();
-        this.registrar = registrar;
+        this.registry = registry;
         this.self = self;
     }
 
     /** What receives the messages from now on; called before any link is opened. */
-    void deliverTo(Handler receiver) {
+    void setHandler(Handler receiver) {
         handler = receiver;
     }
 
     @Override
     public boolean isUp(long member) {
         Outgoing link = outgoing.get(member);
-        return link != null && link.link.isUp();
+        return link != null && link.link.isAuthenticated();
     }
 
     /** Links to these are held up from now on; those to others end once nothing was sent on them for a while. */
     @Override
-    public void wanted(Set<Long> members) {
+    public void keepConnectedTo(Set<Long> members) {
         wanted = new HashSet<>(members);
         wanted.forEach(this::open);
         outgoing.forEach((member, link) -> {
@@ -103,7 +103,7 @@
         if (there != null || stopped) {
             return Optional.ofNullable(there);
         }
-        Optional<Member> known = registrar.seen().member(member);
+        Optional<Member> known = registry.registry().member(member);
         if (known.isEmpty()) {
             return Optional.empty();
         }
@@ -138,10 +138,10 @@
     /** Ends all. */
     void stop() {
         stopped = true;
-        List.copyOf(outgoing.values()).forEach(link -> link.link.end(CloseReason.DISCONNECTED));
+        List.copyOf(outgoing.values()).forEach(link -> link.link.close(CloseReason.DISCONNECTED));
     }
 
-    private void received(byte[] payload, long stream, SealedLink link) {
+    private void dispatch(byte[] payload, long stream, AuthenticatedLink link) {
         long from;
         PeerMessage message;
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(payload)) {
@@ -154,15 +154,15 @@
         } catch (IOException | MessagePackException e) {
             throw new BadInput("not a message of a member: " + e.getMessage());
         }
-        handler.received(from, stream, message, answer -> link.write(envelope(from, answer)));
+        handler.received(from, stream, message, answer -> link.send(envelope(from, answer)));
     }
 
-    private final class Outgoing implements SealedLink.Upper {
+    private final class Outgoing implements AuthenticatedLink.Listener {
 
         private final Member member;
         private final List<Waiting> waiting = new ArrayList<>();
         private final long stream = ++streams;
-        private SealedLink link = new SealedLink(common, true, this);
+        private AuthenticatedLink link = new AuthenticatedLink(common, true, this);
         private Instant used = scheduler.now();
 
         Outgoing(Member member) {
@@ -170,11 +170,11 @@
         }
 
         void dial() {
-            if (!registrar.seen().isLive(member.token()) || stopped) {
+            if (!registry.registry().isLive(member.token()) || stopped) {
                 outgoing.remove(member.token(), this);
                 return;
             }
-            link = new SealedLink(common, true, this);
+            link = new AuthenticatedLink(common, true, this);
             int colon = member.address().lastIndexOf(':');
             dialer.connect(new InetSocketAddress(member.address().substring(0, colon),
                     Integer.parseInt(member.address().substring(colon + 1))), DIAL_TIMEOUT, link);
@@ -182,8 +182,8 @@
 
         void send(byte[] message) {
             used = scheduler.now();
-            if (link.isUp()) {
-                link.write(message);
+            if (link.isAuthenticated()) {
+                link.send(message);
             } else {
                 waiting.removeIf(one -> one.until.isBefore(used));
                 if (waiting.size() < MOST_WAITING) {
@@ -199,30 +199,30 @@
                         endIfUnused();
                     } else {
                         outgoing.remove(member.token(), this);
-                        link.end(CloseReason.IDLE);
+                        link.close(CloseReason.IDLE);
                     }
                 }
             });
         }
 
         @Override
-        public void up(SealedLink up, String name) {
+        public void authenticated(AuthenticatedLink up, String name) {
             if (!name.equals(member.name())) {
                 throw new BadInput("it says that it is " + name + ", not " + member.name());
             }
             handler.up(member.token());
             Instant now = scheduler.now();
-            waiting.stream().filter(one -> !one.until.isBefore(now)).forEach(one -> link.write(one.message));
+            waiting.stream().filter(one -> !one.until.isBefore(now)).forEach(one -> link.send(one.message));
             waiting.clear();
         }
 
         @Override
-        public void message(byte[] payload) {
-            received(payload, stream, link);
+        public void received(byte[] payload) {
+            dispatch(payload, stream, link);
         }
 
         @Override
-        public void down(CloseReason end) {
+        public void closed(CloseReason end) {
             if (outgoing.get(member.token()) != this) {
                 return;
             }
@@ -231,23 +231,23 @@
         }
     }
 
-    private final class Incoming implements SealedLink.Upper {
+    private final class Incoming implements AuthenticatedLink.Listener {
 
         private final long stream = ++streams;
-        private final SealedLink link = new SealedLink(common, false, this);
+        private final AuthenticatedLink link = new AuthenticatedLink(common, false, this);
 
         @Override
-        public void up(SealedLink up, String name) {
+        public void authenticated(AuthenticatedLink up, String name) {
             // Whose it is stands in each message.
         }
 
         @Override
-        public void message(byte[] payload) {
-            received(payload, stream, link);
+        public void received(byte[] payload) {
+            dispatch(payload, stream, link);
         }
 
         @Override
-        public void down(CloseReason end) {
+        public void closed(CloseReason end) {
             // It is dialled again from the other side.
         }
     }
--- a/handover/src/main/java/pathlane/handover/Reclaim.java
+++ b/handover/src/main/java/pathlane/handover/Reclaim.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import pathlane.group.Command;
-import pathlane.group.Placement;
-import pathlane.group.Registrar;
+import pathlane.group.RegistryAccess;
 import pathlane.group.Reply;
+import pathlane.group.ShardPlacement;
 
 /**
  * Reclaims the calls of a lease that has ended while its process goes on: by its next lease it is granted, through the
- * register, the slots that nobody has claimed; those that somebody has are that one's. Until the register has answered,
+ * register, the shards that nobody has claimed; those that somebody has are that one's. Until the register has answered,
  * nothing is done about their calls here. On the loop's thread.
  */
 final class Reclaim {
@@ -31,34 +31,34 @@
         void others(String call);
     }
 
-    private final Registrar registrar;
+    private final RegistryAccess registry;
     private final Listener listener;
     private final Map<Long, Map<Integer, List<CallRecord>>> open = new TreeMap<>();
     private final Set<String> calls = new HashSet<>();
     private boolean asking;
 
-    Reclaim(Registrar registrar, Listener listener) {
-        this.registrar = registrar;
+    Reclaim(RegistryAccess registry, Listener listener) {
+        this.registry = registry;
         this.listener = listener;
     }
 
-    /** A lease has ended: its slots are to be taken back, whether there are calls in them or not, but for some. */
+    /** A lease has ended: its shards are to be taken back, whether there are calls in them or not, but for some. */
     void begin(long former, Set<Integer> without) {
-        Map<Integer, List<CallRecord>> slots = new TreeMap<>();
-        for (int slot = 0; slot < Placement.SLOTS; slot++) {
-            if (!without.contains(slot)) {
-                slots.put(slot, new ArrayList<>());
+        Map<Integer, List<CallRecord>> shards = new TreeMap<>();
+        for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
+            if (!without.contains(shard)) {
+                shards.put(shard, new ArrayList<>());
             }
         }
-        if (!slots.isEmpty()) {
-            open.put(former, slots);
+        if (!shards.isEmpty()) {
+            open.put(former, shards);
         }
     }
 
-    /** A call of this lease, in one of the slots that are to be taken back. */
+    /** A call of this lease, in one of the shards that are to be taken back. */
     void add(long former, CallRecord record) {
-        calls.add(record.call());
-        open.get(former).get(Placement.slot(record.call())).add(record);
+        calls.add(record.callId());
+        open.get(former).get(ShardPlacement.shardOf(record.callId())).add(record);
     }
 
     boolean contains(String call) {
@@ -82,30 +82,30 @@
             return;
         }
         long former = formers.next();
-        List<Integer> slots = List.copyOf(open.get(former).keySet());
-        registrar.ask(new Command.Reclaim(token, former, slots), answered -> {
-            if (answered.isPresent() && answered.get() instanceof Reply.Held held) {
-                slots.forEach(slot -> resolve(former, slot, held.slots().contains(slot)));
+        List<Integer> shards = List.copyOf(open.get(former).keySet());
+        registry.submit(new Command.Reclaim(token, former, shards), answered -> {
+            if (answered.isPresent() && answered.get() instanceof Reply.Owned held) {
+                shards.forEach(shard -> resolve(former, shard, held.shards().contains(shard)));
             }
             ask(token, formers);
         });
     }
 
-    private void resolve(long former, int slot, boolean back) {
-        if (!back && registrar.seen().isOpen(former, slot)) {
+    private void resolve(long former, int shard, boolean back) {
+        if (!back && registry.registry().isReclaimable(former, shard)) {
             return;   // its records are looked up still by who goes on with others' calls: asked again
         }
         Map<Integer, List<CallRecord>> left = open.get(former);
-        List<CallRecord> records = left.remove(slot);
+        List<CallRecord> records = left.remove(shard);
         if (left.isEmpty()) {
             open.remove(former);
         }
         for (CallRecord record : records) {
-            calls.remove(record.call());
+            calls.remove(record.callId());
             if (back) {
                 listener.own(record);
             } else {
-                listener.others(record.call());
+                listener.others(record.callId());
             }
         }
     }
--- a/handover/src/main/java/pathlane/handover/ReplicaRelease.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaRelease.java
@@ -7,7 +7,7 @@
 import pathlane.group.LeaseHolder;
 
 /**
- * Guards calls against a group that can't agree: while the own lease has lapsed, all keepers are asked to drop their
+ * Guards calls against a group that can't agree: while the own lease has lapsed, all holders are asked to drop their
  * replicas and not to act by them. Once all have, the calls are this controller's alone. On the loop's thread.
  */
 final class ReplicaRelease {
@@ -17,14 +17,14 @@
     private final Scheduler scheduler;
     private final LeaseHolder leaseHolder;
     private final ReplicationLog replicationLog;
-    private final Links links;
+    private final PeerConnections links;
     private final Runnable released;
     /** Keepers that have dropped their replicas since the lease lapsed. */
     private final Set<Long> releasedBy = new HashSet<>();
     private boolean stopped;
 
-    /** {@code released} runs once all keepers have dropped their replicas. */
-    ReplicaRelease(Scheduler scheduler, LeaseHolder leaseHolder, ReplicationLog replicationLog, Links links,
+    /** {@code released} runs once all holders have dropped their replicas. */
+    ReplicaRelease(Scheduler scheduler, LeaseHolder leaseHolder, ReplicationLog replicationLog, PeerConnections links,
             Runnable released) {
         this.scheduler = scheduler;
         this.leaseHolder = leaseHolder;
@@ -43,24 +43,24 @@
         if (!leaseHolder.hasLapsed() || stopped) {
             return;
         }
-        PeerMessage question = new PeerMessage.Free(leaseHolder.token());
-        replicationLog.keepers().stream().filter(keeper -> !releasedBy.contains(keeper))
-                .forEach(keeper -> links.send(keeper, question));
+        PeerMessage question = new PeerMessage.DropReplicas(leaseHolder.token());
+        replicationLog.replicaHolders().stream().filter(holder -> !releasedBy.contains(holder))
+                .forEach(holder -> links.send(holder, question));
         scheduler.after(ASK_EVERY, this::ask);
     }
 
-    /** A keeper has answered. */
-    void answered(long keeper, PeerMessage.Freed answer) {
-        if (!answer.free() || answer.owner() != leaseHolder.token()) {
+    /** A holder has answered. */
+    void answered(long holder, PeerMessage.ReplicasDropped answer) {
+        if (!answer.isDropped() || answer.owner() != leaseHolder.token()) {
             return;
         }
-        // Also where the lease is valid again by now: what the keeper dropped is not replicated before it has it anew.
-        replicationLog.dropped(keeper);
+        // Also where the lease is valid again by now: what the holder dropped is not replicated before it has it anew.
+        replicationLog.replicasDroppedAt(holder);
         if (!leaseHolder.hasLapsed()) {
             return;
         }
-        releasedBy.add(keeper);
-        if (releasedBy.containsAll(replicationLog.keepers())) {
+        releasedBy.add(holder);
+        if (releasedBy.containsAll(replicationLog.replicaHolders())) {
             released.run();
         }
     }
--- a/handover/src/main/java/pathlane/handover/ReplicaStore.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaStore.java
@@ -13,18 +13,19 @@
 import java.util.Set;
 import pathlane.core.CallEvent;
 import pathlane.core.Scheduler;
+import pathlane.group.LeaseRegistry;
 import pathlane.group.Member;
-import pathlane.group.Placement;
-import pathlane.group.Register;
+import pathlane.group.OrphanedShards;
+import pathlane.group.ShardPlacement;
 
 /**
- * The replicas that a member holds of other owners' records, by owner and slot, as far as each owner's changes have arrived.
- * A slot is as its owner had it at one moment, never half of one state and half of another. On the loop's thread.
+ * The replicas that a member holds of other owners' records, by owner and shard, as far as each owner's changes have come.
+ * A shard is as its owner had it at one moment, never half of one state and half of another. On the loop's thread.
  */
 final class ReplicaStore {
 
-    /** A slot as it was kept: how far it goes, in the owner's count of its changes. */
-    record Copy(long upTo, List<CallRecord> records) {}
+    /** A shard as it was kept: how far it goes, in the owner's count of its changes. */
+    record ShardCopy(long upTo, List<CallRecord> records) {}
 
     private static final class KeptSlot {
         long stream;
@@ -33,7 +34,7 @@
     }
 
     private static final class Kept {
-        final Map<Integer, KeptSlot> slots = new HashMap<>();
+        final Map<Integer, KeptSlot> shards = new HashMap<>();
         /** The connection on which it last sent, and how far what came there goes. */
         long stream;
         long upTo = -1;
@@ -60,40 +61,40 @@
     }
 
     private void note(CallRecord record) {
-        boolean sent = record.kind() == CallRecord.Kind.SENT;
-        if (sent || record.kind() == CallRecord.Kind.WAITS) {
-            heldBack.put(record.call(), scheduler.now().plus(record.lasts()).plus(sent ? clearWait : Duration.ZERO));
+        boolean sent = record.kind() == CallRecord.Kind.IN_FLIGHT;
+        if (sent || record.kind() == CallRecord.Kind.RETRY_DELAYED) {
+            heldBack.put(record.callId(), scheduler.now().plus(record.remaining()).plus(sent ? clearWait : Duration.ZERO));
         } else {
-            heldBack.remove(record.call());
+            heldBack.remove(record.callId());
         }
     }
 
     /** How long nothing may be sent for a call. */
-    Duration heldBack(String call) {
+    Duration retryDelay(String call) {
         Instant until = heldBack.get(call);
         Duration left = until == null ? Duration.ZERO : Duration.between(scheduler.now(), until);
         return left.isNegative() ? Duration.ZERO : left;
     }
 
-    /** A slot whole; {@code stream} numbers the connection it came on. */
-    void slot(PeerMessage.Slot slot, long stream) {
-        freed.remove(slot.owner());
-        Kept kept = owners.computeIfAbsent(slot.owner(), owner -> new Kept());
+    /** A shard whole; {@code stream} numbers the connection it came on. */
+    void storeSnapshot(PeerMessage.ShardSnapshot shard, long stream) {
+        freed.remove(shard.owner());
+        Kept kept = owners.computeIfAbsent(shard.owner(), owner -> new Kept());
         if (!isCurrent(kept, stream)) {
             return;
         }
-        kept.newest = Math.max(kept.newest, slot.view());
+        kept.newest = Math.max(kept.newest, shard.view());
         KeptSlot fresh = new KeptSlot();
         fresh.stream = stream;
-        fresh.upTo = slot.upTo();
-        for (CallRecord record : slot.records()) {
-            fresh.records.put(record.call(), record);
-            ownerOf.put(record.call(), slot.owner());
+        fresh.upTo = shard.upTo();
+        for (CallRecord record : shard.records()) {
+            fresh.records.put(record.callId(), record);
+            ownerOf.put(record.callId(), shard.owner());
             note(record);
         }
-        KeptSlot before = kept.slots.put(slot.slot(), fresh);
+        KeptSlot before = kept.shards.put(shard.shard(), fresh);
         if (before != null) {
-            before.records.keySet().forEach(call -> forgetUnless(call, slot.owner(), fresh));
+            before.records.keySet().forEach(call -> forgetUnless(call, shard.owner(), fresh));
         }
     }
 
@@ -113,23 +114,23 @@
     }
 
     /** Changes, in the order in which they were made. What is not kept on this connection is passed over. */
-    void changes(PeerMessage.Changes changes, long stream) {
+    void applyChanges(PeerMessage.Changes changes, long stream) {
         Kept kept = owners.get(changes.owner());
         if (kept == null || kept.stream != stream) {
             return;
         }
         for (PeerMessage.Change change : changes.changes()) {
-            KeptSlot slot = kept.slots.get(Placement.slot(change.call()));
-            if (slot == null || slot.stream != stream) {
+            KeptSlot shard = kept.shards.get(ShardPlacement.shardOf(change.callId()));
+            if (shard == null || shard.stream != stream) {
                 continue;
             }
             if (change.record() == null) {
-                slot.records.remove(change.call());
-                ownerOf.remove(change.call(), changes.owner());
-                events.remove(change.call());
+                shard.records.remove(change.callId());
+                ownerOf.remove(change.callId(), changes.owner());
+                events.remove(change.callId());
             } else {
-                slot.records.put(change.call(), change.record());
-                ownerOf.put(change.call(), changes.owner());
+                shard.records.put(change.callId(), change.record());
+                ownerOf.put(change.callId(), changes.owner());
                 note(change.record());
             }
         }
@@ -138,36 +139,36 @@
         }
     }
 
-    /** The owner has sent all slots of a view; returns what to answer. */
-    PeerMessage.Kept placed(PeerMessage.Placed placed, long stream) {
+    /** The owner has sent all shards of a view; returns what to answer. */
+    PeerMessage.Acknowledged viewReplicated(PeerMessage.ViewReplicated placed, long stream) {
         Kept kept = owners.computeIfAbsent(placed.owner(), owner -> new Kept());
         if (isCurrent(kept, stream)) {
             kept.view = placed.view();
             kept.upTo = placed.upTo();
             kept.newest = Math.max(kept.newest, placed.view());
         }
-        return upTo(placed.owner());
+        return acknowledgement(placed.owner());
     }
 
     /** How much is kept of an owner's. */
-    PeerMessage.Kept upTo(long owner) {
+    PeerMessage.Acknowledged acknowledgement(long owner) {
         Kept kept = owners.get(owner);
-        return new PeerMessage.Kept(owner, kept == null ? -1 : kept.upTo, kept == null ? 0 : kept.view);
+        return new PeerMessage.Acknowledged(owner, kept == null ? -1 : kept.upTo, kept == null ? 0 : kept.view);
     }
 
-    /** What is kept of a slot, or nothing. */
-    Optional<Copy> copy(long owner, int slot) {
+    /** What is kept of a shard, or nothing. */
+    Optional<ReplicaStore.ShardCopy> copy(long owner, int shard) {
         Kept kept = owners.get(owner);
-        KeptSlot one = kept == null ? null : kept.slots.get(slot);
+        KeptSlot one = kept == null ? null : kept.shards.get(shard);
         if (one == null || freed.contains(owner)) {
             return Optional.empty();
         }
         long upTo = one.stream == kept.stream ? Math.max(one.upTo, kept.upTo) : one.upTo;
-        return Optional.of(new Copy(upTo, new ArrayList<>(one.records.values())));
+        return Optional.of(new ReplicaStore.ShardCopy(upTo, new ArrayList<>(one.records.values())));
     }
 
     /** Calls to which something happened that nobody has acted on. */
-    List<String> happenedTo() {
+    List<String> callsWithEvents() {
         return List.copyOf(events.keySet());
     }
 
@@ -178,12 +179,12 @@
 
     /** What is left to do for a call by the records that are kept here. */
     Optional<CallRecord.Kind> kindOf(String call) {
-        return ownerOf(call).map(owners::get).map(kept -> kept.slots.get(Placement.slot(call)))
-                .map(slot -> slot.records.get(call)).map(CallRecord::kind);
+        return ownerOf(call).map(owners::get).map(kept -> kept.shards.get(ShardPlacement.shardOf(call)))
+                .map(shard -> shard.records.get(call)).map(CallRecord::kind);
     }
 
     /** Keeps what happened for whoever goes on with the call; false where it is kept already. */
-    boolean happened(CallEvent event) {
+    boolean storeEvent(CallEvent event) {
         List<CallEvent> all = events.computeIfAbsent(event.callId(), call -> new ArrayList<>());
         if (all.stream().anyMatch(one -> one.getClass() == event.getClass())) {
             return false;
@@ -192,12 +193,12 @@
     }
 
     /** What happened to a call and is kept. */
-    List<CallEvent> happened(String call) {
+    List<CallEvent> storeEvent(String call) {
         return List.copyOf(events.getOrDefault(call, List.of()));
     }
 
     /** Whoever acts on the call knows of it. */
-    void done(CallEvent event) {
+    void removeEvent(CallEvent event) {
         events.computeIfPresent(event.callId(), (call, all) -> {
             all.removeIf(one -> one.getClass() == event.getClass());
             return all.isEmpty() ? null : all;
@@ -205,13 +206,13 @@
     }
 
     /** What happened to a call; it is handed out once. */
-    List<CallEvent> take(String call) {
+    List<CallEvent> takeEvents(String call) {
         List<CallEvent> happened = events.remove(call);
         return happened == null ? List.of() : happened;
     }
 
     /** Drops an owner's records and will not act by them, until it sends some anew; returns what is the owner's to know. */
-    List<CallEvent> free(long owner) {
+    List<CallEvent> dropReplicas(long owner) {
         List<CallEvent> happened = new ArrayList<>();
         events.forEach((call, all) -> {
             if (ownerOf.getOrDefault(call, 0L) == owner) {
@@ -223,21 +224,21 @@
         return happened;
     }
 
-    boolean isFreed(long owner) {
+    boolean isDropped(long owner) {
         return freed.contains(owner);
     }
 
     private void drop(long owner) {
         Kept kept = owners.remove(owner);
         if (kept != null) {
-            kept.slots.values().forEach(slot -> drop(owner, slot, new ArrayList<>()));
+            kept.shards.values().forEach(shard -> drop(owner, shard, new ArrayList<>()));
         }
     }
 
-    private void drop(long owner, KeptSlot slot, List<CallEvent> left) {
-        slot.records.keySet().forEach(call -> {
+    private void drop(long owner, KeptSlot shard, List<CallEvent> left) {
+        shard.records.keySet().forEach(call -> {
             if (ownerOf.remove(call, owner)) {
-                left.addAll(take(call));
+                left.addAll(takeEvents(call));
             }
         });
     }
@@ -246,28 +247,28 @@
      * Lets go of what the register no longer places here, and of owners whose work is settled; returns what had happened to
      * their calls and was not taken by whoever acts.
      */
-    List<CallEvent> prune(Register register, long self) {
+    List<CallEvent> prune(LeaseRegistry register, long self) {
         List<CallEvent> left = new ArrayList<>();
         Instant now = scheduler.now();
         heldBack.values().removeIf(until -> until.isBefore(now));
         freed.removeIf(owner -> owner <= register.lastToken() && !register.isLive(owner)
-                && register.estate(owner).isEmpty());
+                && register.orphan(owner).isEmpty());
         for (Iterator<Map.Entry<Long, Kept>> each = owners.entrySet().iterator(); each.hasNext();) {
             Map.Entry<Long, Kept> one = each.next();
             long owner = one.getKey();
             if (owner > register.lastToken() || one.getValue().newest > register.view()) {
                 continue;   // its owner has seen more of the register
             }
-            Optional<Register.Estate> estate = register.estate(owner);
-            if (!register.isLive(owner) && estate.isEmpty()) {
-                one.getValue().slots.values().forEach(slot -> drop(owner, slot, left));
+            Optional<OrphanedShards> orphan = register.orphan(owner);
+            if (!register.isLive(owner) && orphan.isEmpty()) {
+                one.getValue().shards.values().forEach(shard -> drop(owner, shard, left));
                 each.remove();
             } else {
-                one.getValue().slots.entrySet().removeIf(slot -> {
-                    boolean stays = estate.isPresent() ? estate.get().holders().containsKey(slot.getKey())
-                            : keeps(register, owner, slot.getKey(), self);
+                one.getValue().shards.entrySet().removeIf(shard -> {
+                    boolean stays = orphan.isPresent() ? orphan.get().owners().containsKey(shard.getKey())
+                            : keeps(register, owner, shard.getKey(), self);
                     if (!stays) {
-                        drop(owner, slot.getValue(), left);
+                        drop(owner, shard.getValue(), left);
                     }
                     return !stays;
                 });
@@ -276,9 +277,9 @@
         return left;
     }
 
-    private static boolean keeps(Register register, long owner, int slot, long self) {
-        return isAmong(register.keepers(owner, slot, register.replicatedView(owner)), self)
-                || isAmong(register.keepers(owner, slot, register.view()), self);
+    private static boolean keeps(LeaseRegistry register, long owner, int shard, long self) {
+        return isAmong(register.replicaHolders(owner, shard, register.replicatedView(owner)), self)
+                || isAmong(register.replicaHolders(owner, shard, register.view()), self);
     }
 
     private static boolean isAmong(List<Member> members, long token) {
