--- a/handover/src/main/java/pathlane/handover/ReplicationLog.java
+++ b/handover/src/main/java/pathlane/handover/ReplicationLog.java
@@ -5,227 +5,165 @@
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.Consumer;
 import pathlane.core.Scheduler;
 import pathlane.group.Command;
+import pathlane.group.LeaseRegistry;
 import pathlane.group.Member;
-import pathlane.group.Placement;
-import pathlane.group.Register;
-import pathlane.group.Registrar;
+import pathlane.group.RegistryAccess;
+import pathlane.group.ShardPlacement;
 
 /**
- * An owner's records of its calls, and their replication: which members hold a replica of each, what has yet to be sent to
- * them, and which records others may act by. On the loop's thread.
+ * The replication of an owner's records: which members hold a replica of each, what has yet to be sent to them, and which
+ * records others may act by. On the loop's thread.
  *
- * <p>Each keeper is sent the slots that the replicated view and the newest view give it: each slot whole once, then its
- * changes in order. Once all keepers of the newest view have all their slots, the register is told to go by it, so that
- * a claim is never made by one who has less. A record is <em>shared</em> from the moment it may have reached a keeper
- * whose claim the register may take: then this owner acts on the call while its lease is valid, and not else.
+ * <p>Each replica holder is sent the shards that the replicated view and the newest view give it: each shard whole once,
+ * then its changes in order. Once all holders of the newest view have all their shards, the registry is told to go by it, so
+ * that a claim is never made by one who has less. A record is <em>shared</em> from the moment it may have reached a holder whose
+ * claim the registry may take: then this owner acts on the call while its lease is valid, and not otherwise.
  */
 final class ReplicationLog {
 
-    /** Sends messages; what is sent to a keeper that is not up is lost. */
+    /** Sends messages; what is sent to a holder that is not up is lost. */
     interface Transport {
-        boolean isUp(long keeper);
+        boolean isUp(long holder);
 
-        void send(long keeper, PeerMessage message);
+        void send(long holder, PeerMessage message);
 
-        /** Keepers that are wanted from now on; links to others may go. */
-        void wanted(Set<Long> keepers);
+        /** Connections to these are kept up from now on; those to others may go. */
+        void keepConnectedTo(Set<Long> holders);
     }
 
     private static final Duration REPORT_AGAIN = Duration.ofMillis(250);
     /** Changes in one message, at most. */
     private static final int MOST_CHANGES = 500;
+    private static final long NO_TOKEN = 0;
+    private static final long NO_VIEW = -1;
+    /** A part of the changes says nothing of how far it goes: what a holder has of the others may lack the rest. */
+    private static final long PARTIAL = -1;
 
-    private static final class Entry {
-        CallRecord record;
-        /** The number of its last change. */
-        long change;
-        /** As it was last sent; null while it never was by this lease. */
-        CallRecord.Kind sent;
-
-        /** Whether a successor would act on the call: one of which it knows an attempt alone is left to its owner. */
-        boolean isShared() {
-            return sent != null && sent != CallRecord.Kind.SENT && sent != CallRecord.Kind.WAITS;
-        }
-    }
-
-    private static final class Feed {
-        BitSet slots = new BitSet();
-        /** Slots that it has had whole on the link that is up. */
-        final BitSet sent = new BitSet();
-        final List<PeerMessage.Change> changes = new ArrayList<>();
-        long keptUpTo = -1;
-        /** The last change that concerned it. */
-        long due;
-        long placed;
-        long placedSent;
-    }
-
-    private record Waiting(long change, Set<Long> keepers, Runnable then, Scheduler.Timer timer) {}
-
-    private final Registrar registrar;
+    private final RegistryAccess registry;
     private final Scheduler scheduler;
-    private final Duration window;
+    private final Duration batchWindow;
     private final Transport transport;
-    private final Map<String, Entry> entries = new HashMap<>();
-    private final List<Map<String, Entry>> slots = new ArrayList<>();
-    private final Map<Long, Feed> feeds = new LinkedHashMap<>();
-    private final Map<String, Waiting> waiting = new LinkedHashMap<>();
-    private long token;
+    private final RecordTable records = new RecordTable();
+    private final Map<Long, ReplicaFeed> feeds = new LinkedHashMap<>();
+    private final AwaitedReplications awaited;
+    private long token = NO_TOKEN;
     private long changes;
-    private long target = -1;
-    private long replicatedViewSeen;
-    /** Whether the register was ever asked to go by this lease's records. */
-    private boolean replicationReported;
-    private boolean reportPending;
-    private boolean flushDue;
-    private boolean paused;
-
-    /** {@code window} is how long a change may wait for others to go with it. */
-    ReplicationLog(Registrar registrar, Scheduler scheduler, Duration window, Transport transport) {
-        this.registrar = registrar;
+    private long targetView = NO_VIEW;
+    private long replicatedView;
+    /** Whether the registry was ever asked to go by this lease's records. */
+    private boolean isReplicationReported;
+    private boolean isReportPending;
+    private boolean isFlushScheduled;
+    private boolean isPaused;
+
+    /** {@code batchWindow} is how long a change may wait for others to go with it. */
+    ReplicationLog(RegistryAccess registry, Scheduler scheduler, Duration batchWindow, Transport transport) {
+        this.registry = registry;
         this.scheduler = scheduler;
-        this.window = window;
+        this.batchWindow = batchWindow;
         this.transport = transport;
-        for (int slot = 0; slot < Placement.SLOTS; slot++) {
-            slots.add(new LinkedHashMap<>());
-        }
+        this.awaited = new AwaitedReplications(scheduler);
     }
 
     // ---- the calls
 
     /** The call's record from now on. */
     void put(CallRecord record) {
-        Entry entry = entries.computeIfAbsent(record.call(), call -> new Entry());
-        entry.record = record;
-        slots.get(Placement.slot(record.call())).put(record.call(), entry);
-        change(record.call(), record, entry);
+        records.put(record, ++changes);
+        replicate(new PeerMessage.Change(record.callId(), record));
     }
 
     /** Nothing is left of the call. */
-    void drop(String call) {
-        Entry entry = entries.remove(call);
-        if (entry != null) {
-            slots.get(Placement.slot(call)).remove(call);
-            change(call, null, entry);
-        }
-        Waiting one = waiting.remove(call);
-        if (one != null) {
-            one.timer.cancel();
-            one.then.run();
+    void drop(String callId) {
+        if (records.remove(callId)) {
+            changes++;
+            replicate(new PeerMessage.Change(callId, null));
         }
+        awaited.callDropped(callId);
+    }
+
+    /** Removes a call without telling the replica holders: others act on it. */
+    void forget(String callId) {
+        records.remove(callId);
     }
 
-    private void change(String call, CallRecord record, Entry entry) {
-        entry.change = ++changes;
-        if (token == 0) {
+    private void replicate(PeerMessage.Change change) {
+        if (token == NO_TOKEN) {
             return;
         }
-        int slot = Placement.slot(call);
-        for (Map.Entry<Long, Feed> feed : feeds.entrySet()) {
-            if (feed.getValue().sent.get(slot) && transport.isUp(feed.getKey())) {
-                feed.getValue().changes.add(new PeerMessage.Change(call, record));
-                feed.getValue().due = changes;
-                flushSoon();
+        int shard = ShardPlacement.shardOf(change.callId());
+        feeds.forEach((holder, feed) -> {
+            if (feed.hasSent(shard) && transport.isUp(holder)) {
+                feed.addChange(change, changes);
+                scheduleFlush();
             }
-        }
+        });
     }
 
-    private void flushSoon() {
-        if (!flushDue) {
-            flushDue = true;
-            scheduler.after(window, this::flush);
+    private void scheduleFlush() {
+        if (!isFlushScheduled) {
+            isFlushScheduled = true;
+            scheduler.after(batchWindow, this::flush);
         }
     }
 
     /** Sends what waits, at once. */
     void flush() {
-        flushDue = false;
-        feeds.forEach((keeper, feed) -> flush(keeper, feed));
+        isFlushScheduled = false;
+        feeds.forEach(this::flush);
     }
 
-    private void flush(long keeper, Feed feed) {
-        if (paused || feed.changes.isEmpty()) {
+    private void flush(long holder, ReplicaFeed feed) {
+        if (isPaused) {
             return;
         }
-        feed.changes.forEach(change -> sent(change.call()));
-        List<PeerMessage.Change> all = new ArrayList<>(feed.changes);
-        feed.changes.clear();
-        for (int from = 0; from < all.size(); from += MOST_CHANGES) {
-            int to = Math.min(all.size(), from + MOST_CHANGES);
-            // Only the last part says how far it goes: what is kept of the others may lack the rest.
-            transport.send(keeper, new PeerMessage.Changes(token, to == all.size() ? changes : -1, all.subList(from, to)));
-        }
-    }
-
-    private void sent(String call) {
-        Entry entry = entries.get(call);
-        if (entry != null) {
-            entry.sent = entry.record.kind();
+        List<PeerMessage.Change> unsent = feed.takeUnsentChanges();
+        unsent.forEach(change -> records.find(change.callId()).ifPresent(RecordTable.Entry::markSent));
+        for (int from = 0; from < unsent.size(); from += MOST_CHANGES) {
+            int to = Math.min(unsent.size(), from + MOST_CHANGES);
+            long upTo = to == unsent.size() ? changes : PARTIAL;
+            transport.send(holder, new PeerMessage.Changes(token, upTo, unsent.subList(from, to)));
         }
     }
 
-    /** The lease is not valid: what changes from now on is this owner's alone, until {@link #resume} or {@link #begin}. */
-    void pause() {
-        paused = true;
-    }
-
-    /** The lease is valid again, and the keepers have what they had: they are sent what they missed. */
-    void resume() {
-        paused = false;
-        feeds.forEach((keeper, feed) -> {
-            if (transport.isUp(keeper)) {
-                send(keeper, feed);
-            }
-        });
-        registerChanged();
-    }
-
     /** Whether others may act on this call by its record, should the lease have ended. */
-    boolean isShared(String call) {
-        Entry entry = entries.get(call);
-        return replicationReported && entry != null && entry.isShared();
+    boolean isShared(String callId) {
+        return isReplicationReported && records.find(callId).filter(RecordTable.Entry::isShared).isPresent();
     }
 
-    /** The calls that others may act on. */
+    /** The records of calls that others may act on. */
     List<CallRecord> shared() {
-        return entries.values().stream().filter(entry -> replicationReported && entry.isShared()).map(entry -> entry.record)
-                .toList();
+        return records.all().stream().filter(entry -> isReplicationReported && entry.isShared())
+                .map(RecordTable.Entry::record).toList();
     }
 
-    Optional<CallRecord> record(String call) {
-        return Optional.ofNullable(entries.get(call)).map(entry -> entry.record);
+    /** The call's record. */
+    Optional<CallRecord> record(String callId) {
+        return records.find(callId).map(RecordTable.Entry::record);
     }
 
-    /** Runs this once the call's record is at all its keepers that are up, or after so long, whichever is first. */
-    void whenKept(String call, Duration most, Runnable then) {
-        Entry entry = entries.get(call);
-        Set<Long> keepers = new HashSet<>();
-        int slot = Placement.slot(call);
-        feeds.forEach((keeper, feed) -> {
-            if (feed.sent.get(slot) && transport.isUp(keeper)) {
-                keepers.add(keeper);
+    /** Runs a task once the call's record is at all its replica holders that are up, or after so long. */
+    void whenReplicated(String callId, Duration atMost, Runnable task) {
+        Optional<RecordTable.Entry> entry = records.find(callId);
+        Set<Long> holders = new HashSet<>();
+        int shard = ShardPlacement.shardOf(callId);
+        feeds.forEach((holder, feed) -> {
+            if (feed.hasSent(shard) && transport.isUp(holder)) {
+                holders.add(holder);
             }
         });
-        if (entry == null || token == 0 || paused || keepers.isEmpty()) {
-            then.run();
-            return;
+        if (entry.isEmpty() || token == NO_TOKEN || isPaused || holders.isEmpty()) {
+            task.run();
+        } else {
+            awaited.await(callId, entry.get().lastChange(), holders, atMost, task);
         }
-        Scheduler.Timer timer = scheduler.after(most, () -> {
-            Waiting one = waiting.remove(call);
-            if (one != null) {
-                one.then.run();
-            }
-        });
-        waiting.put(call, new Waiting(entry.change, keepers, then, timer));
     }
 
     // ---- the lease
@@ -234,186 +172,178 @@
     void begin(long granted) {
         token = granted;
         feeds.clear();
-        entries.values().forEach(entry -> entry.sent = null);
-        paused = false;
-        target = -1;
-        replicatedViewSeen = 0;
-        replicationReported = false;
-        reportPending = false;
-        registerChanged();
+        records.clearSent();
+        isPaused = false;
+        targetView = NO_VIEW;
+        replicatedView = 0;
+        isReplicationReported = false;
+        isReportPending = false;
+        registryChanged();
     }
 
     /** There is no lease: nothing is sent. */
     void end() {
-        token = 0;
+        token = NO_TOKEN;
         feeds.clear();
-        transport.wanted(Set.of());
-        List.copyOf(waiting.values()).forEach(one -> {
-            one.timer.cancel();
-            one.then.run();
-        });
-        waiting.clear();
+        transport.keepConnectedTo(Set.of());
+        awaited.runAll();
     }
 
-    /** The keepers have dropped all records and will not act by them: what is here is this owner's alone. */
-    void freed() {
-        entries.values().forEach(entry -> entry.sent = null);
-        feeds.values().forEach(feed -> {
-            feed.sent.clear();
-            feed.changes.clear();
-            feed.placedSent = 0;
-        });
+    /** The lease is not valid: what changes from now on is this owner's alone, until {@link #resume} or {@link #begin}. */
+    void pause() {
+        isPaused = true;
     }
 
-    /** A keeper has dropped its records: it is sent them anew, once the lease is valid. */
-    void dropped(long keeper) {
-        Feed feed = feeds.get(keeper);
+    /** The lease is valid again, and the replica holders have what they had: they are sent what they missed. */
+    void resume() {
+        isPaused = false;
+        sendToAll();
+        registryChanged();
+    }
+
+    /** The replica holders have dropped all records and will not act by them: they are this owner's alone. */
+    void replicasDropped() {
+        records.clearSent();
+        feeds.values().forEach(ReplicaFeed::restart);
+    }
+
+    /** A replica holder has dropped its records: it is sent them anew, once the lease is valid. */
+    void replicasDroppedAt(long holder) {
+        ReplicaFeed feed = feeds.get(holder);
         if (feed != null) {
-            feed.keptUpTo = -1;
-            feed.placed = 0;
-            linkUp(keeper);
+            feed.clearAcknowledged();
+            connected(holder);
         }
     }
 
-    /** The register was seen to change: its newest view, or the one that it goes by for this owner. */
-    void registerChanged() {
-        Register register = registrar.seen();
-        if (token == 0 || paused || !register.isLive(token)) {
+    // ---- the views
+
+    /** The registry was seen to change: its newest view, or the one that it goes by for this owner. */
+    void registryChanged() {
+        LeaseRegistry known = registry.registry();
+        if (token == NO_TOKEN || isPaused || !known.isLive(token)) {
             return;
         }
-        if (register.view() != target || register.replicatedView(token) != replicatedViewSeen) {
-            target = register.view();
-            replicatedViewSeen = register.replicatedView(token);
-            place(register);
+        if (known.view() != targetView || known.replicatedView(token) != replicatedView) {
+            targetView = known.view();
+            replicatedView = known.replicatedView(token);
+            place(known);
         }
-        reportIfPlaced();
+        reportIfReplicated();
+    }
+
+    private void place(LeaseRegistry known) {
+        Map<Long, BitSet> wanted = wantedShards(known);
+        feeds.keySet().retainAll(wanted.keySet());
+        wanted.forEach((holder, shards) -> feeds.computeIfAbsent(holder, any -> new ReplicaFeed()).place(shards));
+        transport.keepConnectedTo(wanted.keySet());
+        sendToAll();
     }
 
-    private void place(Register register) {
+    /** The shards that each live replica holder is to have, by the replicated view and the newest one. */
+    private Map<Long, BitSet> wantedShards(LeaseRegistry known) {
         Map<Long, BitSet> wanted = new HashMap<>();
-        for (long view : replicatedViewSeen == 0 ? new long[] {target} : new long[] {replicatedViewSeen, target}) {
-            for (int slot = 0; slot < Placement.SLOTS; slot++) {
-                for (Member keeper : register.keepers(token, slot, view)) {
-                    if (register.isLive(keeper.token())) {
-                        wanted.computeIfAbsent(keeper.token(), any -> new BitSet()).set(slot);
+        List<Long> views = replicatedView == 0 ? List.of(targetView) : List.of(replicatedView, targetView);
+        for (long view : views) {
+            for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
+                for (Member holder : known.replicaHolders(token, shard, view)) {
+                    if (known.isLive(holder.token())) {
+                        wanted.computeIfAbsent(holder.token(), any -> new BitSet()).set(shard);
                     }
                 }
             }
         }
-        for (Iterator<Map.Entry<Long, Feed>> each = feeds.entrySet().iterator(); each.hasNext();) {
-            Map.Entry<Long, Feed> one = each.next();
-            if (!wanted.containsKey(one.getKey())) {
-                each.remove();
-            }
-        }
-        wanted.forEach((keeper, places) -> {
-            Feed feed = feeds.computeIfAbsent(keeper, any -> new Feed());
-            feed.slots = places;
-            feed.sent.and(places);
-        });
-        transport.wanted(wanted.keySet());
-        feeds.forEach((keeper, feed) -> {
-            if (transport.isUp(keeper)) {
-                send(keeper, feed);
+        return wanted;
+    }
+
+    private void sendToAll() {
+        feeds.forEach((holder, feed) -> {
+            if (transport.isUp(holder)) {
+                send(holder, feed);
             }
         });
     }
 
-    /** Sends the slots that it has not had on this link, then says which view they make up. */
-    private void send(long keeper, Feed feed) {
-        if (paused) {
+    /** Sends the shards that the holder has not had on this connection, then says which view they make up. */
+    private void send(long holder, ReplicaFeed feed) {
+        if (isPaused) {
             return;
         }
-        flush(keeper, feed);
-        for (int slot = feed.slots.nextSetBit(0); slot >= 0; slot = feed.slots.nextSetBit(slot + 1)) {
-            if (!feed.sent.get(slot)) {
-                feed.sent.set(slot);
-                List<CallRecord> records = new ArrayList<>();
-                slots.get(slot).values().forEach(entry -> {
-                    entry.sent = entry.record.kind();
-                    records.add(entry.record);
-                });
-                transport.send(keeper, new PeerMessage.Slot(token, target, slot, changes, records));
-            }
-        }
-        if (feed.placedSent != target) {
-            feed.placedSent = target;
-            transport.send(keeper, new PeerMessage.Placed(token, target, changes));
-            feed.due = changes;
+        flush(holder, feed);
+        feed.takeUnsentShards().stream().forEach(shard -> sendShard(holder, shard));
+        if (feed.announce(targetView, changes)) {
+            transport.send(holder, new PeerMessage.ViewReplicated(token, targetView, changes));
         }
     }
 
-    /** A link to a keeper is up, and nothing was sent on it. */
-    void linkUp(long keeper) {
-        Feed feed = feeds.get(keeper);
-        if (feed != null && token != 0) {
-            feed.sent.clear();
-            feed.changes.clear();
-            feed.placedSent = 0;
-            send(keeper, feed);
+    private void sendShard(long holder, int shard) {
+        List<CallRecord> ofShard = new ArrayList<>();
+        for (RecordTable.Entry entry : records.ofShard(shard)) {
+            entry.markSent();
+            ofShard.add(entry.record());
         }
+        transport.send(holder, new PeerMessage.ShardSnapshot(token, targetView, shard, changes, ofShard));
     }
 
-    /** A keeper says how much it keeps. */
-    void kept(long keeper, PeerMessage.Kept kept) {
-        Feed feed = feeds.get(keeper);
-        if (feed == null || kept.owner() != token) {
-            return;
+    /** A connection to a replica holder is up, and nothing was sent on it. */
+    void connected(long holder) {
+        ReplicaFeed feed = feeds.get(holder);
+        if (feed != null && token != NO_TOKEN) {
+            feed.restart();
+            send(holder, feed);
         }
-        feed.keptUpTo = Math.max(feed.keptUpTo, kept.upTo());
-        feed.placed = Math.max(feed.placed, kept.view());
-        for (Iterator<Waiting> each = waiting.values().iterator(); each.hasNext();) {
-            Waiting one = each.next();
-            if (one.change <= kept.upTo()) {
-                one.keepers.remove(keeper);
-            }
-            if (one.keepers.isEmpty()) {
-                each.remove();
-                one.timer.cancel();
-                scheduler.after(Duration.ZERO, one.then);
-            }
-        }
-        reportIfPlaced();
     }
 
-    private void reportIfPlaced() {
-        if (reportPending || token == 0 || feeds.isEmpty() || replicatedViewSeen >= target) {
-            return;
+    /** A replica holder says how much it has. */
+    void acknowledged(long holder, PeerMessage.Acknowledged message) {
+        ReplicaFeed feed = feeds.get(holder);
+        if (feed != null && message.owner() == token) {
+            feed.acknowledged(message.upTo(), message.view());
+            awaited.acknowledged(holder, message.upTo());
+            reportIfReplicated();
         }
-        Register register = registrar.seen();
-        boolean all = true;
-        for (Map.Entry<Long, Feed> one : feeds.entrySet()) {
-            boolean inTarget = register.members().stream().anyMatch(member -> member.token() == one.getKey());
-            all &= !inTarget || one.getValue().placed >= target;
-        }
-        if (!all) {
+    }
+
+    /** Tells the registry once all holders of the newest view have what it gives them. */
+    private void reportIfReplicated() {
+        if (isReportPending || token == NO_TOKEN || feeds.isEmpty() || replicatedView >= targetView
+                || !isTargetReplicated()) {
             return;
         }
-        long asked = token;
-        reportPending = true;
-        replicationReported = true;
-        registrar.ask(new Command.Replicated(asked, target), answered -> {
-            if (asked == token) {
-                reportPending = false;
-                scheduler.after(REPORT_AGAIN, this::registerChanged);
+        long reportedFor = token;
+        isReportPending = true;
+        isReplicationReported = true;
+        registry.submit(new Command.Replicated(reportedFor, targetView), reply -> {
+            if (reportedFor == token) {
+                isReportPending = false;
+                scheduler.after(REPORT_AGAIN, this::registryChanged);
             }
         });
     }
 
-    /** Whether all that this owner has is kept where the register looks for it. */
-    boolean isKept() {
-        return feeds.entrySet().stream().allMatch(one -> !transport.isUp(one.getKey())
-                || one.getValue().changes.isEmpty() && one.getValue().keptUpTo >= one.getValue().due);
+    private boolean isTargetReplicated() {
+        Set<Long> members = new HashSet<>();
+        registry.registry().members().forEach(member -> members.add(member.token()));
+        return feeds.entrySet().stream()
+                .allMatch(feed -> !members.contains(feed.getKey()) || feed.getValue().hasView(targetView));
     }
 
-    /** Whether the records of these calls have reached all keepers that are up. */
-    boolean areKept(long upTo, int slot) {
-        return feeds.entrySet().stream().allMatch(one -> !one.getValue().slots.get(slot) || !transport.isUp(one.getKey())
-                || one.getValue().keptUpTo >= upTo);
+    // ---- what is known of it
+
+    /** Whether all that this owner has is where the registry looks for it. */
+    boolean isReplicated() {
+        return feeds.entrySet().stream()
+                .allMatch(feed -> !transport.isUp(feed.getKey()) || feed.getValue().isUpToDate());
+    }
+
+    /** Whether a shard's changes up to this one have reached all its replica holders that are up. */
+    boolean isReplicatedUpTo(long change, int shard) {
+        return feeds.entrySet().stream().allMatch(feed -> !feed.getValue().isFor(shard)
+                || !transport.isUp(feed.getKey()) || feed.getValue().has(change));
     }
 
     /** The members to which anything was sent by this lease, and that may act by it. */
-    Set<Long> keepers() {
+    Set<Long> replicaHolders() {
         return Set.copyOf(feeds.keySet());
     }
 
@@ -422,19 +352,8 @@
         return changes;
     }
 
-    /** Records, whether shared or not. */
+    /** How many records there are, shared or not. */
     int size() {
-        return entries.size();
-    }
-
-    /** Takes a call out without a word to anybody: others act on it. */
-    void forget(String call) {
-        if (entries.remove(call) != null) {
-            slots.get(Placement.slot(call)).remove(call);
-        }
-    }
-
-    void each(Consumer<CallRecord> what) {
-        List.copyOf(entries.values()).forEach(entry -> what.accept(entry.record));
+        return records.size();
     }
 }
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -13,11 +13,11 @@
 import java.util.function.Function;
 import pathlane.config.file.NodeConfig;
 import pathlane.core.CloseReason;
-import pathlane.group.Keys;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.group.LeaseTerms;
-import pathlane.group.SealedLink;
 import pathlane.handover.Handover;
-import pathlane.handover.Terms;
+import pathlane.handover.HandoverSettings;
 import pathlane.platform.PlatformFront;
 import pathlane.standin.VirtualTime;
 import pathlane.transport.Connector;
@@ -36,7 +36,7 @@
     private static final int VOTER_PORT = 6000;
     private static final int SERVER_PORT = 10_000;
     private static final int BUS_PORT = 9092;
-    private static final Keys KEYS = Keys.read("k1 000102030405060708090a0b0c0d0e0f\n");
+    private static final KeyRing KEYS = KeyRing.read("k1 000102030405060708090a0b0c0d0e0f\n");
 
     /** Figures of a fleet. */
     public record Shape(int controllers, int servers, int voters, int copies, LeaseTerms lease, Duration work,
@@ -60,11 +60,12 @@
             time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * shape.lease.drift() * 0.9);
             ProcessTime own = time;
             Connector dialer = (address, timeout, protocol) -> dial(name, address, timeout, own.own(protocol));
-            SealedLink.Common common = new SealedLink.Common(name, () -> KEYS, () -> bytes(random),
+            AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> KEYS, () -> bytes(random),
                     own, new RateLimitedLog("group", own));
-            handover = new Handover(new Terms(name, "127.0.0.1:" + (MEMBER_PORT + place), shape.copies, shape.lease,
-                    Duration.ofMillis(5), Set.of(), Duration.ofMillis(200), shape.pace, Duration.ofSeconds(2),
-                    Duration.ofMillis(215)), random.nextLong(), voterAddresses(), dialer, common, own::nanos);
+            handover =
+                    new Handover(new HandoverSettings(name, "127.0.0.1:" + (MEMBER_PORT + place), shape.copies, shape.lease,
+                            Duration.ofMillis(5), Set.of(), Duration.ofMillis(200), shape.pace, Duration.ofSeconds(2),
+                            Duration.ofMillis(215)), random.nextLong(), voterAddresses(), dialer, common, own::nanos);
             front = new PlatformFront(NodeConfig.parse(FleetConfig.text(name, CALLER_PORT + place, shape.servers,
                     server -> SERVER_PORT + server, BUS_PORT, shape.controllers, random.nextLong() >>> 1)), dialer, own,
                     () -> true, Optional::empty, handover);
--- a/lab/src/main/java/pathlane/lab/VirtualTakeover.java
+++ b/lab/src/main/java/pathlane/lab/VirtualTakeover.java
@@ -22,8 +22,9 @@
     private VirtualTakeover() {}
 
     private static VirtualFleet fleet(int controllers, long seed) {
-        VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(controllers, SERVERS, VOTERS, COPIES, LeaseTerms.USUAL,
-                Duration.ofMillis(5), Duration.ZERO, 20_000), seed);
+        VirtualFleet fleet =
+                new VirtualFleet(new VirtualFleet.Shape(controllers, SERVERS, VOTERS, COPIES, LeaseTerms.DEFAULT,
+                        Duration.ofMillis(5), Duration.ZERO, 20_000), seed);
         if (!fleet.until(Duration.ofSeconds(60), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated()))) {
             throw new IllegalStateException("the group did not come about");
         }
@@ -50,7 +51,7 @@
             Controller owner = fleet.controllers().get(0);
             // The kill falls anywhere between two renewals of the lease.
             fleet.until(Duration.ofSeconds(30), owner.handover::isReplicated);
-            fleet.world().pass(run * LeaseTerms.USUAL.renewEvery().toMillis() / runs);
+            fleet.world().pass(run * LeaseTerms.DEFAULT.renewInterval().toMillis() / runs);
             owner.kill();
             long waited = 0;
             while (fleet.up().stream().mapToLong(one -> one.handover.adopted()).sum() < calls) {
--- a/lab/src/main/java/pathlane/lab/VirtualVoter.java
+++ b/lab/src/main/java/pathlane/lab/VirtualVoter.java
@@ -5,9 +5,9 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import pathlane.core.Scheduler;
-import pathlane.group.Keys;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.group.LeaseTerms;
-import pathlane.group.SealedLink;
 import pathlane.group.Voter;
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
@@ -23,7 +23,7 @@
     private final Faults faults;
     private final SplittableRandom random;
     private final LeaseTerms lease;
-    private final Keys keys;
+    private final KeyRing keys;
     private final MemoryStore store = new MemoryStore();
     private List<VirtualVoter> voters = List.of();
     private ProcessTime time;
@@ -31,7 +31,7 @@
     private RaftLog log;
 
     VirtualVoter(String name, Scheduler world, Faults faults, SplittableRandom random, LeaseTerms lease,
-            Keys keys) {
+            KeyRing keys) {
         this.name = name;
         this.world = world;
         this.faults = faults;
@@ -60,7 +60,7 @@
         voters = among;
         time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * lease.drift() * 0.9);
         ProcessTime own = time;
-        SealedLink.Common common = new SealedLink.Common(name, () -> keys, () -> {
+        AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
@@ -105,6 +105,6 @@
 
     /** Whether this voter leads. */
     public boolean leads() {
-        return isUp() && log.leads();
+        return isUp() && log.isLeader();
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
@@ -15,7 +15,7 @@
 import pathlane.discovery.ServiceState;
 import pathlane.discovery.WatchClient;
 import pathlane.discovery.WatchListener;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Protocol;
 
 /**
@@ -41,7 +41,7 @@
     }
 
     @Override
-    void begin(SealedLink.Common common) {
+    void begin(AuthenticatedLink.Context common) {
         servers.clear();
         revisions.clear();
         lastStatus = Optional.empty();
--- a/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
@@ -16,7 +16,7 @@
 import pathlane.core.CloseReason;
 import pathlane.discovery.ServiceState;
 import pathlane.discovery.WatchTerms;
-import pathlane.group.Keys;
+import pathlane.group.KeyRing;
 import pathlane.lab.Faults;
 import pathlane.lab.Path;
 import pathlane.lab.ProcessTime;
@@ -40,7 +40,7 @@
     private static final int RELAY_PORT = 9_100;
     private static final int CONTROLLER_PORT = 9_500;
     private static final int NONCE_BYTES = 16;
-    private static final Keys KEYS = Keys.read("k1 000102030405060708090a0b0c0d0e0f\n");
+    private static final KeyRing KEYS = KeyRing.read("k1 000102030405060708090a0b0c0d0e0f\n");
 
     private final FleetShape shape;
     private final VirtualTime world = new VirtualTime();
@@ -131,7 +131,7 @@
         return shape;
     }
 
-    Keys keys() {
+    KeyRing keys() {
         return KEYS;
     }
 
--- a/lab/src/main/java/pathlane/lab/discovery/FleetProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FleetProcess.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.Optional;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.lab.ProcessTime;
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
@@ -27,7 +27,7 @@
     }
 
     /** Sets up and starts the state machines of a new life. */
-    abstract void begin(SealedLink.Common common);
+    abstract void begin(AuthenticatedLink.Context common);
 
     /** A protocol for a connection that came in; empty where nobody listens. */
     abstract Optional<Protocol> accept();
@@ -78,7 +78,7 @@
         life++;
         time = new ProcessTime(fleet.world(), 1);
         fleet.trace().note(name, "starts, life " + life);
-        begin(new SealedLink.Common(name, fleet::keys, fleet::nonce, time, new RateLimitedLog("discovery", time)));
+        begin(new AuthenticatedLink.Context(name, fleet::keys, fleet::nonce, time, new RateLimitedLog("discovery", time)));
     }
 
     /** Its process dies; its connections end at the other sides. */
--- a/lab/src/main/java/pathlane/lab/discovery/RelayProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/RelayProcess.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import pathlane.discovery.Relay;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Protocol;
 
 /** A relay's process, of a region or a zone; each life begins empty. */
@@ -19,7 +19,7 @@
     }
 
     @Override
-    void begin(SealedLink.Common common) {
+    void begin(AuthenticatedLink.Context common) {
         relay = new Relay(fleet().watchTerms(this, upstreams), fleet().shape().terms(), common, fleet().dialer(this),
                 time(), fleet().newRandom());
         relay.start();
--- a/lab/src/main/java/pathlane/lab/discovery/SourceProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/SourceProcess.java
@@ -8,7 +8,7 @@
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceState;
 import pathlane.discovery.Source;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Protocol;
 
 /**
@@ -32,7 +32,7 @@
     }
 
     @Override
-    void begin(SealedLink.Common common) {
+    void begin(AuthenticatedLink.Context common) {
         source = new Source(life(), fleet().shape().terms(), common, time(), fleet().newRandom());
         time().after(LOAD_EACH, this::loadNext);
     }
--- a/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
+++ b/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
@@ -41,7 +41,7 @@
     public static List<Second> measure(Path home, int members, int windows) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("pathlane-lab");
         List<Second> seconds = new ArrayList<>();
-        Rig.Shape shape = new Rig.Shape(members, SERVERS, VOTERS, COPIES, LeaseTerms.USUAL, Duration.ofMillis(5), 20_000,
+        Rig.Shape shape = new Rig.Shape(members, SERVERS, VOTERS, COPIES, LeaseTerms.DEFAULT, Duration.ofMillis(5), 20_000,
                 Duration.ofSeconds(5));
         try (Rig rig = new Rig(shape, home, folder, members)) {
             rig.start();
--- a/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
+++ b/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
@@ -22,7 +22,7 @@
 
     private static final Duration PATIENCE = Duration.ofSeconds(6);
     private static final String CLASS = "status-check";
-    private static final Pattern TAKEN_OVER = Pattern.compile("(\\d+) calls of lease \\d+ are taken over");
+    private static final Pattern TAKEN_OVER = Pattern.compile("(\\d+) calls of lease \\d+ are adopted");
     private static final long MOST_MILLIS = 120_000;
     private static final int TICK_MILLIS = 10;
     private static final int AT_ONCE = 25;
@@ -44,8 +44,9 @@
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("pathlane-lab");
         T measured;
-        try (Rig rig = new Rig(new Rig.Shape(controllers, 2, grouped ? 3 : 0, Math.min(3, controllers - 1), LeaseTerms.USUAL,
-                Duration.ofMillis(5), 20_000, Duration.ofSeconds(5)), home, folder, seed)) {
+        try (Rig rig =
+                new Rig(new Rig.Shape(controllers, 2, grouped ? 3 : 0, Math.min(3, controllers - 1), LeaseTerms.DEFAULT,
+                        Duration.ofMillis(5), 20_000, Duration.ofSeconds(5)), home, folder, seed)) {
             rig.start();
             measured = measure.on(rig);
         }
@@ -95,7 +96,7 @@
         for (int run = 1; run <= runs; run++) {
             times.recordValue(with(controllers, true, run, rig -> {
                 stand(rig, "n1", calls);
-                rig.awaitLog("n1", "covered=true members=" + controllers + " records=" + calls + " ", 0);
+                rig.awaitLog("n1", "replicated=true members=" + controllers + " records=" + calls + " ", 0);
                 int from = rig.history().size();
                 rig.process("n1").kill();
                 long killedAt = rig.history().events().get(from).atNanos();
--- a/lab/src/main/java/pathlane/lab/rig/Rig.java
+++ b/lab/src/main/java/pathlane/lab/rig/Rig.java
@@ -215,7 +215,7 @@
         }
         onLoop(this::keepConnected);
         for (String name : shape.voters == 0 ? List.<String>of() : processes("n")) {
-            awaitLog(name, "sure=true covered=true members=" + shape.controllers, 0);
+            awaitLog(name, "lease_valid=true replicated=true members=" + shape.controllers, 0);
         }
     }
 
--- a/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
+++ b/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
@@ -33,8 +33,8 @@
     private static final int AT_ONCE = 25;
     private static final Duration PATIENCE = Duration.ofSeconds(6);
     private static final String CLASS = "status-check";
-    private static final Pattern TAKEN_OVER = Pattern.compile("taken_over=(\\d+)");
-    private static final Pattern COVERED = Pattern.compile("sure=true covered=true members=\\d+ records=(\\d+) ");
+    private static final Pattern TAKEN_OVER = Pattern.compile("adopted=(\\d+)");
+    private static final Pattern COVERED = Pattern.compile("lease_valid=true replicated=true members=\\d+ records=(\\d+) ");
     /** Words for what may be counted. */
     private static final Map<String, What> COUNTED = Map.of("answered", What.ANSWERED, "refused", What.REFUSED,
             "broken", What.BROKEN, "told", What.TOLD_OVER, "heard", What.HEARD_RELEASE, "reached", What.REACHED,
--- a/lab/src/main/java/pathlane/lab/rig/WatchClients.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchClients.java
@@ -16,8 +16,8 @@
 import pathlane.discovery.WatchClient;
 import pathlane.discovery.WatchTerms;
 import pathlane.discovery.WatchTerms.PublisherAddress;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.lab.rig.DiscoveryRig.ClientShape;
 import pathlane.transport.Connector;
 import pathlane.transport.RateLimitedLog;
@@ -56,9 +56,9 @@
         Map<InetSocketAddress, String> names = new HashMap<>();
         publishers.forEach(publisher -> names.put(publisher.address(), publisher.name()));
         Connector dialer = (address, timeout, protocol) -> relay.out(shape.name(), protocol, names.get(address), address);
-        Keys keys = Keys.read(DiscoveryRig.KEYS);
+        KeyRing keys = KeyRing.read(DiscoveryRig.KEYS);
         SplittableRandom nonces = random.split();
-        SealedLink.Common common = new SealedLink.Common(shape.name(), () -> keys, () -> {
+        AuthenticatedLink.Context common = new AuthenticatedLink.Context(shape.name(), () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             nonces.nextBytes(nonce);
             return nonce;
--- a/lab/src/main/java/pathlane/lab/scale/HollowController.java
+++ b/lab/src/main/java/pathlane/lab/scale/HollowController.java
@@ -23,7 +23,7 @@
 import pathlane.discovery.WatchCounters;
 import pathlane.discovery.WatchListener;
 import pathlane.discovery.WatchTerms;
-import pathlane.group.Keys;
+import pathlane.group.KeyRing;
 import pathlane.transport.Connector;
 import pathlane.transport.RateLimitedLog;
 
@@ -38,7 +38,7 @@
      *
      * @param dialer opens the connections; each controller counts its own
      */
-    record Environment(Connector dialer, Scheduler scheduler, Keys keys, RateLimitedLog log, Settings settings,
+    record Environment(Connector dialer, Scheduler scheduler, KeyRing keys, RateLimitedLog log, Settings settings,
             InForceRecorder recorder) {}
 
     /** One service's decision module, and the revision that it was told. */
--- a/lab/src/main/java/pathlane/lab/scale/RunFolder.java
+++ b/lab/src/main/java/pathlane/lab/scale/RunFolder.java
@@ -9,8 +9,8 @@
 import java.util.HexFormat;
 import java.util.function.Supplier;
 import pathlane.core.Scheduler;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.transport.RateLimitedLog;
 
 /** The files that the processes of one run share. */
@@ -51,22 +51,22 @@
         }
     }
 
-    Keys readKeys() {
+    KeyRing readKeys() {
         try {
-            return Keys.read(Files.readString(keysFile()));
+            return KeyRing.read(Files.readString(keysFile()));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** What the links of one party share. */
-    static SealedLink.Common linkCommon(String name, Keys keys, Scheduler scheduler, RateLimitedLog log) {
+    static AuthenticatedLink.Context linkCommon(String name, KeyRing keys, Scheduler scheduler, RateLimitedLog log) {
         SecureRandom random = new SecureRandom();
         Supplier<byte[]> nonces = () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
         };
-        return new SealedLink.Common(name, () -> keys, nonces, scheduler, log);
+        return new AuthenticatedLink.Context(name, () -> keys, nonces, scheduler, log);
     }
 }
--- a/lab/src/test/java/pathlane/lab/Schedule.java
+++ b/lab/src/test/java/pathlane/lab/Schedule.java
@@ -180,11 +180,11 @@
         Map<String, Integer> ranks = new HashMap<>();
         for (Controller one : fleet.up()) {
             for (String call : known) {
-                one.handover.knows(call).ifPresent(kind -> ranks.merge(call, switch (kind) {
-                    case OVER -> 0;
-                    case SENT, WAITS -> 1;
-                    case STANDS -> 2;
-                    case OWES_CALLER, OWES_SERVER -> 3;
+                one.handover.pendingWork(call).ifPresent(kind -> ranks.merge(call, switch (kind) {
+                    case COMPLETED -> 0;
+                    case IN_FLIGHT, RETRY_DELAYED -> 1;
+                    case ESTABLISHED -> 2;
+                    case CLIENT_RELEASE_PENDING, SERVER_RELEASE_PENDING -> 3;
                 }, Math::max));
             }
         }
@@ -220,7 +220,7 @@
         fleet.controllers().stream().filter(one -> !one.isUp()).forEach(Controller::start);
         pass(2000);
         fleet.until(Duration.ofSeconds(20), () -> fleet.up().stream().allMatch(one -> one.handover.isLeaseValid()
-                && one.handover.register().estates().isEmpty()));
+                && one.handover.register().orphans().isEmpty()));
         pass(4500);   // attempts that were out have ended, and those that nobody claims have been ended
         fleet.controllers().forEach(one -> fleet.caller().connect(one.name));
         pass(500);
--- a/lab/src/test/java/pathlane/lab/TakeoverTest.java
+++ b/lab/src/test/java/pathlane/lab/TakeoverTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void recordsThatKeepersDroppedForWantOfAgreementAreKeptAgainOnceThereIsOne() {
-        VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(4, 2, 3, 3, pathlane.group.LeaseTerms.USUAL,
+        VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(4, 2, 3, 3, pathlane.group.LeaseTerms.DEFAULT,
                 Duration.ofMillis(5), Duration.ZERO, 20_000), 3);
         assertTrue(
                 fleet.until(Duration.ofSeconds(30), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated())));
@@ -58,7 +58,7 @@
 
     @Test
     void whatIsTakenOverIsSpreadAndGoneOnWithAtTheStatedPace() {
-        VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(10, 2, 3, 3, pathlane.group.LeaseTerms.USUAL,
+        VirtualFleet fleet = new VirtualFleet(new VirtualFleet.Shape(10, 2, 3, 3, pathlane.group.LeaseTerms.DEFAULT,
                 Duration.ofMillis(5), Duration.ZERO, 100), 5);
         assertTrue(
                 fleet.until(Duration.ofSeconds(30), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated())));
--- a/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
+++ b/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
@@ -18,8 +18,8 @@
 import pathlane.discovery.WatchListener;
 import pathlane.discovery.WatchMessage;
 import pathlane.discovery.WatchTerms;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.lab.Faults;
 import pathlane.lab.Path;
 import pathlane.standin.VirtualTime;
@@ -29,7 +29,7 @@
 final class ScriptedPublisher {
 
     static final String SERVICE = "service-1";
-    private static final Keys KEYS = Keys.read("k1 000102030405060708090a0b0c0d0e0f\n");
+    private static final KeyRing KEYS = KeyRing.read("k1 000102030405060708090a0b0c0d0e0f\n");
     private static final Duration LATENCY = Duration.ofMillis(1);
 
     final VirtualTime world = new VirtualTime();
@@ -38,7 +38,7 @@
     final List<String> absent = new ArrayList<>();
     final WatchClient client;
     private final SplittableRandom random = new SplittableRandom(1);
-    private SealedLink link;
+    private AuthenticatedLink link;
     private long batch;
 
     /** A client that watches one service, and has been accepted. */
@@ -56,22 +56,22 @@
         pass();
     }
 
-    private SealedLink.Common common(String name) {
-        return new SealedLink.Common(name, () -> KEYS, () -> {
+    private AuthenticatedLink.Context common(String name) {
+        return new AuthenticatedLink.Context(name, () -> KEYS, () -> {
             byte[] bytes = new byte[16];
             random.nextBytes(bytes);
             return bytes;
         }, world, new RateLimitedLog("discovery", world));
     }
 
-    private SealedLink accept(PublisherStatus status) {
+    private AuthenticatedLink accept(PublisherStatus status) {
         batch = 0;
-        link = new SealedLink(common("relay"), false, new SealedLink.Upper() {
+        link = new AuthenticatedLink(common("relay"), false, new AuthenticatedLink.Listener() {
             @Override
-            public void up(SealedLink up, String name) {}
+            public void authenticated(AuthenticatedLink up, String name) {}
 
             @Override
-            public void message(byte[] payload) {
+            public void received(byte[] payload) {
                 WatchMessage.Request request = (WatchMessage.Request) WatchCodec.message(payload);
                 if (request instanceof WatchMessage.Subscribe subscribe && subscribe.last() && batch == 0) {
                     send(new WatchMessage.Accepted(status));
@@ -80,7 +80,7 @@
             }
 
             @Override
-            public void down(CloseReason end) {}
+            public void closed(CloseReason end) {}
         });
         return link;
     }
@@ -90,7 +90,7 @@
     }
 
     void send(WatchMessage.Response message) {
-        link.write(WatchCodec.bytes(message));
+        link.send(WatchCodec.bytes(message));
     }
 
     /** Sends changes in one update, and has them handled. */
--- a/relay/src/main/java/pathlane/relay/ProgramFile.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFile.java
@@ -12,7 +12,7 @@
 import pathlane.discovery.WatchTerms;
 import pathlane.files.TomlFile;
 import pathlane.files.WatchTables;
-import pathlane.group.Keys;
+import pathlane.group.KeyRing;
 
 /** The file of a source or a relay, in TOML. */
 sealed interface ProgramFile {
@@ -31,7 +31,7 @@
     record Common(String name, InetSocketAddress listen, Path keys, PublisherTerms terms) {
 
         /** Reads the keys that the file names. */
-        Keys readKeys() {
+        KeyRing readKeys() {
             return WatchTables.keys(keys);
         }
     }
--- a/relay/src/main/java/pathlane/relay/PublisherProgram.java
+++ b/relay/src/main/java/pathlane/relay/PublisherProgram.java
@@ -6,8 +6,8 @@
 import java.security.SecureRandom;
 import java.time.Duration;
 import java.time.Instant;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
 import pathlane.relay.ProgramFile.RelayFile;
@@ -30,7 +30,7 @@
     private final Network network = new Network(loop);
     private final Role role;
     private final StatusLog statusLog;
-    private Keys keys;
+    private KeyRing keys;
 
     /**
      * Reads what the file names and starts nothing yet. A source has its epoch on the disk once this returns.
@@ -41,7 +41,7 @@
         this.file = file;
         this.keys = file.common().readKeys();
         SecureRandom random = new SecureRandom();
-        SealedLink.Common common = new SealedLink.Common(file.common().name(), () -> keys, () -> {
+        AuthenticatedLink.Context common = new AuthenticatedLink.Context(file.common().name(), () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
@@ -82,7 +82,7 @@
     void reload() {
         loop.execute(() -> {
             try {
-                Keys fresh = file.common().readKeys();
+                KeyRing fresh = file.common().readKeys();
                 role.reload();
                 keys = fresh;
                 LOG.log(Level.INFO, "read again: {0} keys", Integer.toString(fresh.keys().size()));
--- a/relay/src/main/java/pathlane/relay/RelayRole.java
+++ b/relay/src/main/java/pathlane/relay/RelayRole.java
@@ -6,7 +6,7 @@
 import pathlane.discovery.Publisher;
 import pathlane.discovery.Relay;
 import pathlane.discovery.WatchCounters;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.relay.ProgramFile.RelayFile;
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
@@ -16,7 +16,8 @@
 
     private final Relay relay;
 
-    RelayRole(RelayFile file, SealedLink.Common common, Connector dialer, Scheduler scheduler, RandomGenerator random) {
+    RelayRole(RelayFile file, AuthenticatedLink.Context common, Connector dialer, Scheduler scheduler,
+            RandomGenerator random) {
         relay = new Relay(file.upstream(), file.common().terms(), common, dialer, scheduler, random);
     }
 
--- a/relay/src/main/java/pathlane/relay/SourceRole.java
+++ b/relay/src/main/java/pathlane/relay/SourceRole.java
@@ -8,7 +8,7 @@
 import pathlane.discovery.InForceTracker;
 import pathlane.discovery.Publisher;
 import pathlane.discovery.Source;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.relay.ProgramFile.BusOrigin;
 import pathlane.relay.ProgramFile.CatalogueOrigin;
 import pathlane.relay.ProgramFile.SourceFile;
@@ -22,7 +22,8 @@
     private final ContentFeed feed;
 
     /** Takes the next epoch, which is on the disk once this returns. */
-    SourceRole(SourceFile file, SealedLink.Common common, Connector dialer, Scheduler scheduler, RandomGenerator random) {
+    SourceRole(SourceFile file, AuthenticatedLink.Context common, Connector dialer, Scheduler scheduler,
+            RandomGenerator random) {
         // Before the epoch: a start that fails for its content takes none.
         ContentFeed.Factory factory = factory(file.origin(), dialer, scheduler, random);
         long epoch = new EpochFile(file.epochFile()).next();
--- a/relay/src/test/java/pathlane/relay/BusSourceTest.java
+++ b/relay/src/test/java/pathlane/relay/BusSourceTest.java
@@ -18,7 +18,7 @@
 import pathlane.core.ServerEndpoint;
 import pathlane.discovery.PublisherTerms;
 import pathlane.discovery.Source;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
 import pathlane.relay.ProgramFile.BusOrigin;
 import pathlane.relay.ProgramFile.ConfigurationText;
 import pathlane.standin.VirtualTime;
@@ -37,7 +37,7 @@
     private static final int RECORD = 27;
 
     private final VirtualTime time = new VirtualTime();
-    private final Source source = new Source(1, PublisherTerms.USUAL, new SealedLink.Common("s", () -> null,
+    private final Source source = new Source(1, PublisherTerms.USUAL, new AuthenticatedLink.Context("s", () -> null,
             () -> new byte[16], time, new RateLimitedLog("test", time)), time, new SplittableRandom(1));
     private final List<Long> asked = new ArrayList<>();
     private Protocol bus;
--- a/voter/src/main/java/pathlane/voter/RaftLog.java
+++ b/voter/src/main/java/pathlane/voter/RaftLog.java
@@ -24,9 +24,9 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import pathlane.core.Scheduler;
-import pathlane.group.AgreedLog;
 import pathlane.group.Command;
-import pathlane.group.RegisterCodec;
+import pathlane.group.CommandLog;
+import pathlane.group.RegistryCodec;
 import pathlane.group.Reply;
 import pathlane.group.Voter;
 
@@ -37,7 +37,7 @@
  * <p>The library counts its heartbeats in whole seconds. Its time is led here to run {@link #SPEED} times as fast: a leader
  * says that it is there each 200 ms, and is missed after 600.
  */
-public final class RaftLog implements AgreedLog {
+public final class RaftLog implements CommandLog {
 
     private static final int SPEED = 5;
     private static final long HEARTBEAT_TIMEOUT_S = 3;
@@ -110,15 +110,15 @@
     }
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return node.getStatus() == RaftNodeStatus.ACTIVE && self.equals(node.getTerm().getLeaderEndpoint());
     }
 
     @Override
-    public void add(Command command, Consumer<Optional<Reply>> applied) {
-        CompletableFuture<Ordered<byte[]>> done = node.replicate(RegisterCodec.bytes(command));
+    public void append(Command command, Consumer<Optional<Reply>> applied) {
+        CompletableFuture<Ordered<byte[]>> done = node.replicate(RegistryCodec.bytes(command));
         done.whenComplete((ordered, failed) -> applied.accept(failed != null ? Optional.empty()
-                : Optional.of(RegisterCodec.reply(ordered.getResult()))));
+                : Optional.of(RegistryCodec.reply(ordered.getResult()))));
     }
 
     private final class Machine implements StateMachine {
@@ -127,12 +127,12 @@
         public Object runOperation(long commitIndex, Object operation) {
             byte[] bytes = (byte[]) operation;
             return bytes.length == 0 ? NEW_TERM
-                    : RegisterCodec.bytes(voter.applied(commitIndex, RegisterCodec.command(bytes)));
+                    : RegistryCodec.bytes(voter.applied(commitIndex, RegistryCodec.command(bytes)));
         }
 
         @Override
         public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
-            chunks.accept(voter.state());
+            chunks.accept(voter.snapshot());
         }
 
         @Override
--- a/voter/src/main/java/pathlane/voter/VoterFile.java
+++ b/voter/src/main/java/pathlane/voter/VoterFile.java
@@ -11,7 +11,7 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
-import pathlane.group.Keys;
+import pathlane.group.KeyRing;
 import pathlane.group.LeaseTerms;
 import pathlane.transport.Addresses;
 
@@ -83,7 +83,7 @@
         Long length = toml.getLong("lease.length-ms");
         Double drift = toml.getDouble("lease.drift");
         Long lag = toml.getLong("lease.write-lag-ms");
-        LeaseTerms usual = LeaseTerms.USUAL;
+        LeaseTerms usual = LeaseTerms.DEFAULT;
         return new LeaseTerms(length == null ? usual.length() : Duration.ofMillis(length),
                 drift == null ? usual.drift() : drift, lag == null ? usual.writeLag() : Duration.ofMillis(lag));
     }
@@ -97,9 +97,9 @@
     }
 
     /** Reads the keys that the file names. */
-    public Keys readKeys() {
+    public KeyRing readKeys() {
         try {
-            return Keys.read(Files.readString(keys));
+            return KeyRing.read(Files.readString(keys));
         } catch (IOException e) {
             throw new IllegalArgumentException("the keys' file " + keys + " can't be read", e);
         }
--- a/voter/src/main/java/pathlane/voter/VoterMain.java
+++ b/voter/src/main/java/pathlane/voter/VoterMain.java
@@ -15,8 +15,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import pathlane.core.CloseReason;
-import pathlane.group.Keys;
-import pathlane.group.SealedLink;
+import pathlane.group.AuthenticatedLink;
+import pathlane.group.KeyRing;
 import pathlane.group.Voter;
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
@@ -39,15 +39,15 @@
     private final Network network = new Network(loop);
     private final RaftCodec codec = new RaftCodec();
     private final Map<String, Away> others = new HashMap<>();
-    private final SealedLink.Common common;
-    private Keys keys;
+    private final AuthenticatedLink.Context common;
+    private KeyRing keys;
     private RaftLog log;
 
     private VoterMain(VoterFile file) {
         this.file = file;
         this.keys = file.readKeys();
         SecureRandom random = new SecureRandom();
-        this.common = new SealedLink.Common(file.name(), () -> keys, () -> {
+        this.common = new AuthenticatedLink.Context(file.name(), () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
@@ -74,7 +74,7 @@
                 new DefaultRaftModelFactory(), codec);
         Voter voter = new Voter(file.lease(), common, System::nanoTime);
         InetSocketAddress own = file.voters().get(file.name());
-        network.listen(own, () -> new SealedLink(common, false, new Incoming()), MOST_VOTERS, MOST_UNWRITTEN);
+        network.listen(own, () -> new AuthenticatedLink(common, false, new Incoming()), MOST_VOTERS, MOST_UNWRITTEN);
         InetSocketAddress bound = network.listen(file.members(), voter::accept, MOST_MEMBERS, MOST_UNWRITTEN);
         loop.execute(() -> {
             file.voters().forEach((name, address) -> {
@@ -92,7 +92,7 @@
 
                         @Override
                         public boolean isReachable(String to) {
-                            return others.get(to).link.isUp();
+                            return others.get(to).link.isAuthenticated();
                         }
                     }, store, store.getRestoredRaftState(true), new SecureRandom());
             log.start();
@@ -111,66 +111,66 @@
         }
     }
 
-    private void received(byte[] payload) {
+    private void handle(byte[] payload) {
         if (log != null) {
             log.received(codec.message(payload));
         }
     }
 
     /** The way to another voter: dialled again for as long as it takes. */
-    private final class Away implements SealedLink.Upper {
+    private final class Away implements AuthenticatedLink.Listener {
 
         private final String name;
         private final InetSocketAddress address;
-        private SealedLink link;
+        private AuthenticatedLink link;
 
         Away(String name, InetSocketAddress address) {
             this.name = name;
             this.address = address;
-            this.link = new SealedLink(common, true, this);
+            this.link = new AuthenticatedLink(common, true, this);
         }
 
         void dial() {
-            link = new SealedLink(common, true, this);
+            link = new AuthenticatedLink(common, true, this);
             network.connect(address, DIAL_TIMEOUT, link);
         }
 
         void send(RaftMessage message) {
-            if (link.isUp()) {
-                link.write(codec.bytes(message));
+            if (link.isAuthenticated()) {
+                link.send(codec.bytes(message));
             }
         }
 
         @Override
-        public void up(SealedLink up, String says) {
+        public void authenticated(AuthenticatedLink up, String says) {
             LOG.log(Level.INFO, "voter {0} is reached", name);
         }
 
         @Override
-        public void message(byte[] payload) {
-            received(payload);
+        public void received(byte[] payload) {
+            handle(payload);
         }
 
         @Override
-        public void down(CloseReason end) {
+        public void closed(CloseReason end) {
             loop.after(REDIAL, this::dial);
         }
     }
 
-    private final class Incoming implements SealedLink.Upper {
+    private final class Incoming implements AuthenticatedLink.Listener {
 
         @Override
-        public void up(SealedLink up, String name) {
+        public void authenticated(AuthenticatedLink up, String name) {
             // Who it is stands in each message.
         }
 
         @Override
-        public void message(byte[] payload) {
-            received(payload);
+        public void received(byte[] payload) {
+            handle(payload);
         }
 
         @Override
-        public void down(CloseReason end) {
+        public void closed(CloseReason end) {
             // It is dialled again from the other side.
         }
     }
