--- a/core/src/main/java/pathlane/core/Call.java
+++ b/core/src/main/java/pathlane/core/Call.java
@@ -14,7 +14,7 @@
     /** A request that was sent to a server. */
     record Attempt(Server server, Instant sentAt) {}
 
-    /** Where the call stands. */
+    /** The state of the call. */
     private sealed interface State {}
 
     /** No attempt is out. */
--- a/core/src/main/java/pathlane/core/ServiceDirectory.java
+++ b/core/src/main/java/pathlane/core/ServiceDirectory.java
@@ -17,7 +17,7 @@
     ServiceDirectory ONE = new ServiceDirectory() {};
 
     /** The service whose servers may take a call; empty where there is none. */
-    default Optional<String> serviceOf(CallRequest setUp) {
+    default Optional<String> serviceOf(CallRequest request) {
         return Optional.of(ONLY_SERVICE);
     }
 
@@ -27,11 +27,11 @@
     }
 
     /**
-     * Has the servers of a service be known that are not.
+     * Waits for the servers of a service that are not known.
      *
      * @param atMost how long the call can wait
      * @param known run once they are known
-     * @param unknown told, where they are not known in time, after how long it makes sense to come back
+     * @param unknown run where they are not known in time, with the wait after which a retry makes sense
      */
     default void awaitService(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
         known.run();
--- a/handover/src/main/java/pathlane/handover/ReplicationLog.java
+++ b/handover/src/main/java/pathlane/handover/ReplicationLog.java
@@ -21,10 +21,11 @@
  * The replication of an owner's records: which members hold a replica of each, what has yet to be sent to them, and which
  * records others may act by. On the loop's thread.
  *
- * <p>Each replica holder is sent the shards that the replicated view and the newest view give it: each shard whole once,
- * then its changes in order. Once all holders of the newest view have all their shards, the registry is told to go by it, so
- * that a claim is never made by one who has less. A record is <em>shared</em> from the moment it may have reached a holder whose
- * claim the registry may take: then this owner acts on the call while its lease is valid, and not otherwise.
+ * <p>Each replica holder is sent the shards that the replicated view and the newest view give it: each shard whole
+ * once, then its changes in order. Once all holders of the newest view have all their shards, the registry is told to
+ * go by it, so that a claim is never made by one who has less. A record is <em>shared</em> from the moment it may
+ * have reached a holder whose claim the registry may take: then this owner acts on the call while its lease is valid,
+ * and not otherwise.
  */
 final class ReplicationLog {
 
