--- a/daemon/src/main/java/pathlane/metrics/CollectdReporter.java
+++ b/daemon/src/main/java/pathlane/metrics/CollectdReporter.java
@@ -3,7 +3,6 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.Locale;
 import pathlane.config.file.CollectdConfig;
 import pathlane.core.Counters;
 import pathlane.core.Scheduler;
--- a/daemon/src/main/java/pathlane/metrics/GraphiteReporter.java
+++ b/daemon/src/main/java/pathlane/metrics/GraphiteReporter.java
@@ -5,7 +5,6 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.Locale;
 import pathlane.config.file.GraphiteConfig;
 import pathlane.core.CloseReason;
 import pathlane.core.Counters;
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -117,10 +117,8 @@
     /** One with nothing out on it may give way to a connection to another server; one with calls last. */
     @Override
     public Optional<Instant> idleSince() {
-        if (!isUp() || isBusy()) {
-            return Optional.empty();
-        }
-        return Optional.of(link.hasStandingCalls() ? lastUsed.plus(GIVES_WAY_LAST) : lastUsed);
+        return !isUp() || isBusy() ? Optional.empty()
+                : Optional.of(link.hasStandingCalls() ? lastUsed.plus(GIVES_WAY_LAST) : lastUsed);
     }
 
     @Override
