--- a/daemon/src/main/java/pathlane/takeover/GroupFile.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupFile.java
@@ -21,57 +21,57 @@
 import pathlane.transport.Addresses;
 
 /**
- * The operator's file that makes a controller a member of a group, in TOML.
+ * The TOML file with which the operator makes a controller a member of a group.
  *
- * @param name this member's, or empty for the controller's own
- * @param listen where other members come
+ * @param name the member's name, or empty for the controller's own name
+ * @param listen where connections of other members are accepted
  * @param address where other members reach that, as {@code host:port}
- * @param voters where the register's voters listen; an odd number of them, from 1 to 7
- * @param keys the file of the group's keys
- * @param copies how many other members keep each record, from 1 to 9
- * @param window how long a change of a record may wait for others, from 0 to 1 s
- * @param waiting classes whose answers wait until their call is kept
- * @param waitMost how long such an answer waits at the most, from 1 ms to 5 s
- * @param pace calls a second that a successor goes on with, from 100 to 1,000,000
- * @param orphans how long an attempt whose controller went is let be; nought for ever
+ * @param voters the addresses of the registry's voters; an odd number of them, from 1 to 7
+ * @param keys the file with the group's keys
+ * @param replicaCount how many other members hold a replica of each record, from 1 to 9
+ * @param batchWindow how long a change of a record may be delayed to be batched with others, from 0 to 1 s
+ * @param synchronousClasses the call classes whose answers wait until their call is replicated
+ * @param maxAnswerDelay how long such an answer waits at most, from 1 ms to 5 s
+ * @param adoptionsPerSecond how many calls a second a successor adopts, from 100 to 1,000,000
+ * @param orphanTimeout how long an attempt that its controller left open is kept; zero for unlimited
  */
 public record GroupFile(String name, InetSocketAddress listen, String address, List<InetSocketAddress> voters, Path keys,
-        int copies, LeaseTerms lease, Duration window, List<String> waiting, Duration waitMost, int pace,
-        Duration orphans) {
+        int replicaCount, LeaseTerms lease, Duration batchWindow, List<String> synchronousClasses,
+        Duration maxAnswerDelay, int adoptionsPerSecond, Duration orphanTimeout) {
 
-    private static final Map<String, Set<String>> KNOWN = Map.of(
+    private static final Map<String, Set<String>> KNOWN_KEYS = Map.of(
             "", Set.of("name", "listen", "address", "voters", "keys", "copies", "lease", "records", "takeover"),
             "lease", Set.of("length-ms", "drift", "write-lag-ms"),
             "records", Set.of("window-ms", "wait-for-cover", "wait-most-ms"),
             "takeover", Set.of("pace", "orphans-s"));
-    private static final int MOST_VOTERS = 7;
-    private static final int MOST_COPIES = 9;
-    private static final int MOST_PACE = 1_000_000;
-    private static final int LEAST_PACE = 100;
-    private static final int USUAL_PACE = 20_000;
-    private static final int SECOND = 1000;
+    private static final int MAX_VOTERS = 7;
+    private static final int MAX_REPLICAS = 9;
+    private static final int MAX_ADOPTIONS_PER_SECOND = 1_000_000;
+    private static final int MIN_ADOPTIONS_PER_SECOND = 100;
+    private static final int DEFAULT_ADOPTIONS_PER_SECOND = 20_000;
+    private static final int MILLIS_PER_SECOND = 1000;
 
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException with one sentence that names file, line and key, and what would be right
+     * @throws IllegalArgumentException with one sentence that gives the file, the line, the key and the valid values
      */
     public static GroupFile read(Path file) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new IllegalArgumentException("the group's file " + file + " can't be read", e);
+            throw new IllegalArgumentException("group file " + file + " can't be read", e);
         }
         return new Reader(file, Toml.parse(text)).read();
     }
 
-    /** Reads the keys that the file names. */
+    /** Reads the key file that this file names. */
     public KeyRing readKeys() {
         try {
             return KeyRing.read(Files.readString(keys));
         } catch (IOException e) {
-            throw new IllegalArgumentException("the keys' file " + keys + " can't be read", e);
+            throw new IllegalArgumentException("key file " + keys + " can't be read", e);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(keys + ": " + e.getMessage(), e);
         }
@@ -92,53 +92,55 @@
                 TomlParseError first = toml.errors().get(0);
                 throw new IllegalArgumentException(file + " line " + first.position().line() + ": " + first.getMessage());
             }
-            unknown("", toml);
-            InetSocketAddress listen = address("listen", text("listen", null));
-            String address = text("address", text("listen", null));
+            checkKeys("", toml);
+            InetSocketAddress listen = address("listen", string("listen", null));
+            String address = string("address", string("listen", null));
             address("address", address);
             List<InetSocketAddress> voters = new ArrayList<>();
-            for (String voter : texts("voters")) {
+            for (String voter : strings("voters")) {
                 voters.add(address("voters", voter));
             }
-            if (voters.isEmpty() || voters.size() > MOST_VOTERS || voters.size() % 2 == 0
+            if (voters.isEmpty() || voters.size() > MAX_VOTERS || voters.size() % 2 == 0
                     || new HashSet<>(voters).size() != voters.size()) {
-                throw wrong("voters", voters.size() + " of them", "an odd number of different addresses from 1 to 7");
+                throw invalid("voters", voters.size() + " addresses", "an odd number of distinct addresses from 1 to 7");
             }
-            return new GroupFile(text("name", ""), listen, address, List.copyOf(voters),
-                    file.toAbsolutePath().resolveSibling(text("keys", null)),
-                    whole("copies", 3, 1, MOST_COPIES), lease(), millis("records.window-ms", 5, 0, SECOND),
-                    texts("records.wait-for-cover"), millis("records.wait-most-ms", 200, 1, 5 * SECOND),
-                    whole("takeover.pace", USUAL_PACE, LEAST_PACE, MOST_PACE),
-                    Duration.ofSeconds(whole("takeover.orphans-s", 600, 0, Integer.MAX_VALUE)));
+            return new GroupFile(string("name", ""), listen, address, List.copyOf(voters),
+                    file.toAbsolutePath().resolveSibling(string("keys", null)),
+                    integer("copies", 3, 1, MAX_REPLICAS), lease(), millis("records.window-ms", 5, 0, MILLIS_PER_SECOND),
+                    strings("records.wait-for-cover"), millis("records.wait-most-ms", 200, 1, 5 * MILLIS_PER_SECOND),
+                    integer("takeover.pace", DEFAULT_ADOPTIONS_PER_SECOND,
+                            MIN_ADOPTIONS_PER_SECOND, MAX_ADOPTIONS_PER_SECOND),
+                    Duration.ofSeconds(integer("takeover.orphans-s", 600, 0, Integer.MAX_VALUE)));
         }
 
         private LeaseTerms lease() {
-            Duration length = millis("lease.length-ms", 3 * SECOND, 1, 600 * SECOND);
-            Duration lag = millis("lease.write-lag-ms", 100, 0, 600 * SECOND);
+            Duration length = millis("lease.length-ms", 3 * MILLIS_PER_SECOND, 1, 600 * MILLIS_PER_SECOND);
+            Duration writeLag = millis("lease.write-lag-ms", 100, 0, 600 * MILLIS_PER_SECOND);
             Object drift = toml.get("lease.drift");
             if (drift != null && !(drift instanceof Number)) {
-                throw wrong("lease.drift", String.valueOf(drift), "a number from 0 to 0.2");
+                throw invalid("lease.drift", String.valueOf(drift), "a number from 0 to 0.2");
             }
             try {
                 return new LeaseTerms(length, drift == null ? LeaseTerms.DEFAULT.drift() : ((Number) drift).doubleValue(),
-                        lag);
+                        writeLag);
             } catch (IllegalArgumentException e) {
-                throw new IllegalArgumentException(file + ", part lease: " + e.getMessage(), e);
+                throw new IllegalArgumentException(file + ", table [lease]: " + e.getMessage(), e);
             }
         }
 
-        private void unknown(String part, TomlTable table) {
+        private void checkKeys(String part, TomlTable table) {
             for (String key : table.keySet()) {
-                String whole = part.isEmpty() ? key : part + "." + key;
-                if (!KNOWN.get(part).contains(key)) {
-                    throw new IllegalArgumentException(file + line(whole) + ": '" + whole + "' is no key; there are "
-                            + String.join(", ", KNOWN.get(part).stream().sorted().toList()));
+                String fullKey = part.isEmpty() ? key : part + "." + key;
+                if (!KNOWN_KEYS.get(part).contains(key)) {
+                    throw new IllegalArgumentException(file + line(fullKey) + ": '" + fullKey
+                            + "' is not a known key; known keys: "
+                            + String.join(", ", KNOWN_KEYS.get(part).stream().sorted().toList()));
                 }
-                if (part.isEmpty() && KNOWN.containsKey(key)) {
+                if (part.isEmpty() && KNOWN_KEYS.containsKey(key)) {
                     if (!(table.get(List.of(key)) instanceof TomlTable inner)) {
-                        throw wrong(key, "no table", "a table, [" + key + "]");
+                        throw invalid(key, "not a table", "a table [" + key + "]");
                     }
-                    unknown(key, inner);
+                    checkKeys(key, inner);
                 }
             }
         }
@@ -148,29 +150,29 @@
             return position == null ? "" : " line " + position.line();
         }
 
-        private IllegalArgumentException wrong(String key, String found, String right) {
-            return new IllegalArgumentException(file + line(key) + ": '" + key + "' is " + found + "; right would be "
-                    + right);
+        private IllegalArgumentException invalid(String key, String found, String expected) {
+            return new IllegalArgumentException(file + line(key) + ": '" + key + "' is " + found + "; expected "
+                    + expected);
         }
 
-        private String text(String key, String usual) {
+        private String string(String key, String defaultValue) {
             Object value = toml.get(key);
-            if (value == null && usual == null) {
+            if (value == null && defaultValue == null) {
                 throw new IllegalArgumentException(file + ": '" + key + "' is missing");
             }
             if (value != null && !(value instanceof String)) {
-                throw wrong(key, value.toString(), "text in quotes");
+                throw invalid(key, value.toString(), "a string");
             }
-            return value == null ? usual : (String) value;
+            return value == null ? defaultValue : (String) value;
         }
 
-        private List<String> texts(String key) {
+        private List<String> strings(String key) {
             Object value = toml.get(key);
             if (value == null) {
                 return List.of();
             }
             if (!(value instanceof TomlArray array) || !array.toList().stream().allMatch(String.class::isInstance)) {
-                throw wrong(key, value.toString(), "a list of texts in quotes");
+                throw invalid(key, value.toString(), "an array of strings");
             }
             return array.toList().stream().map(String.class::cast).toList();
         }
@@ -179,23 +181,23 @@
             try {
                 return Addresses.parse(text);
             } catch (IllegalArgumentException e) {
-                throw wrong(key, "'" + text + "'", "an address with a port");
+                throw invalid(key, "'" + text + "'", "an address with a port");
             }
         }
 
-        private int whole(String key, int usual, int least, int most) {
+        private int integer(String key, int defaultValue, int min, int max) {
             Object value = toml.get(key);
             if (value == null) {
-                return usual;
+                return defaultValue;
             }
-            if (!(value instanceof Long number) || number < least || number > most) {
-                throw wrong(key, value.toString(), "a whole number from " + least + " to " + most);
+            if (!(value instanceof Long number) || number < min || number > max) {
+                throw invalid(key, value.toString(), "an integer from " + min + " to " + max);
             }
             return (int) (long) number;
         }
 
-        private Duration millis(String key, int usual, int least, int most) {
-            return Duration.ofMillis(whole(key, usual, least, most));
+        private Duration millis(String key, int defaultValue, int min, int max) {
+            return Duration.ofMillis(integer(key, defaultValue, min, max));
         }
     }
 }
--- a/daemon/src/main/java/pathlane/takeover/GroupNode.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupNode.java
@@ -18,16 +18,19 @@
 import pathlane.net.Network;
 import pathlane.transport.RateLimitedLog;
 
-/** This process as a member of a group. On the loop's thread, but for what says otherwise. */
+/** This process as a member of a group. Confined to the event loop thread unless stated otherwise. */
 public final class GroupNode {
 
     private static final Logger LOG = System.getLogger("group");
     private static final int NONCE_BYTES = 16;
-    /** Members and voters that may be connected: a group has 120, and each has one connection from each. */
-    private static final int MOST_CONNECTIONS = 1024;
-    /** A slot whole, at hundreds of thousands of calls, to a member that reads slowly. */
-    private static final long MOST_UNWRITTEN = 64L << 20;
-    private static final Duration SAYS = Duration.ofSeconds(1);
+    /**
+     * The limit for connections from members and voters: a group has 120 of them, and each opens one connection to each
+     * other.
+     */
+    private static final int MAX_CONNECTIONS = 1024;
+    /** Room for a snapshot of a shard, at hundreds of thousands of calls, to a member that reads slowly. */
+    private static final long MAX_UNWRITTEN_BYTES = 64L << 20;
+    private static final Duration STATE_LOG_INTERVAL = Duration.ofSeconds(1);
 
     private final GroupFile file;
     private final Network network;
@@ -37,9 +40,9 @@
     private String lastLogged = "";
 
     /**
-     * Starts nothing yet.
+     * Does not start anything yet.
      *
-     * @throws IllegalArgumentException with a sentence where the keys can't be used, or a class is not in the settings
+     * @throws IllegalArgumentException with a sentence if the keys can't be used, or a class is not in the settings
      */
     public GroupNode(GroupFile file, String ownName, Settings settings, Network network, Scheduler scheduler) {
         this.file = file;
@@ -48,68 +51,69 @@
         this.keys = file.readKeys();
         String name = file.name().isEmpty() ? ownName : file.name();
         SecureRandom random = new SecureRandom();
-        AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> keys, () -> {
+        AuthenticatedLink.Context linkContext = new AuthenticatedLink.Context(name, () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
         }, scheduler, new RateLimitedLog("group", scheduler));
-        Set<Integer> waiting = new HashSet<>();
-        for (String one : file.waiting()) {
-            if (settings.indexOfClass(one) < 0) {
-                throw new IllegalArgumentException("'records.wait-for-cover' names the class '" + one
+        Set<Integer> synchronousClasses = new HashSet<>();
+        for (String callClass : file.synchronousClasses()) {
+            if (settings.indexOfClass(callClass) < 0) {
+                throw new IllegalArgumentException("'records.wait-for-cover' names the class '" + callClass
                         + "', which is not in the settings");
             }
-            waiting.add(settings.indexOfClass(one));
+            synchronousClasses.add(settings.indexOfClass(callClass));
         }
         handover = new Handover(
-                new HandoverSettings(name, file.address(), file.copies(), file.lease(), file.window(), waiting,
-                        file.waitMost(), file.pace(), file.orphans(), settings.rules().retryDelay()),
+                new HandoverSettings(name, file.address(), file.replicaCount(), file.lease(), file.batchWindow(),
+                        synchronousClasses, file.maxAnswerDelay(), file.adoptionsPerSecond(), file.orphanTimeout(),
+                        settings.rules().retryDelay()),
                 random.nextLong(),
-                file.voters(), network.dialer(MOST_UNWRITTEN), common, System::nanoTime);
+                file.voters(), network.dialer(MAX_UNWRITTEN_BYTES), linkContext, System::nanoTime);
     }
 
-    /** What the core tells of each call's life. */
+    /** The replication that the core notifies of each call's state. */
     public CallReplication replication() {
         return handover;
     }
 
     /**
-     * Listens for other members, and begins. Off the loop's thread.
+     * Starts to accept connections of other members. Called off the event loop thread.
      *
-     * @throws IllegalArgumentException where the address can't be had
+     * @throws IllegalArgumentException if the address can't be used
      */
     public void listen() {
-        InetSocketAddress bound = network.listen(file.listen(), handover::accept, MOST_CONNECTIONS, MOST_UNWRITTEN);
-        LOG.log(Level.INFO, "members come to {0}", bound);
+        InetSocketAddress bound = network.listen(file.listen(), handover::accept, MAX_CONNECTIONS, MAX_UNWRITTEN_BYTES);
+        LOG.log(Level.INFO, "listening for members on {0}", bound);
     }
 
-    /** Begins, for this controller. */
+    /** Starts the membership for this controller. */
     public void start(CallController controller) {
         handover.start(controller);
-        say();
+        logState();
     }
 
-    /** Says how things stand, whenever that has changed. */
-    private void say() {
-        String line = handover.summary();
-        if (!line.equals(lastLogged)) {
-            lastLogged = line;
-            LOG.log(Level.INFO, "stands at: {0}", line);
+    /** Logs the state whenever it has changed. */
+    private void logState() {
+        String state = handover.summary();
+        if (!state.equals(lastLogged)) {
+            lastLogged = state;
+            LOG.log(Level.INFO, "state: {0}", state);
         }
-        scheduler.after(SAYS, this::say);
+        scheduler.after(STATE_LOG_INTERVAL, this::logState);
     }
 
-    /** Reads the keys again; those that can't be used change nothing. */
+    /** Reads the keys again; if they can't be used, the old ones stay in use. */
     public void reload() {
         try {
             keys = file.readKeys();
-            LOG.log(Level.INFO, "keys read again: {0}", Integer.toString(keys.keys().size()));
+            LOG.log(Level.INFO, "keys reloaded: {0}", Integer.toString(keys.keys().size()));
         } catch (IllegalArgumentException e) {
-            LOG.log(Level.WARNING, "keys not read again, the old ones stay: {0}", e.getMessage());
+            LOG.log(Level.WARNING, "keys not reloaded, the old ones stay: {0}", e.getMessage());
         }
     }
 
-    /** A planned end: hands over what is left, then runs this. */
+    /** Leaves the group gracefully: hands over what is left, then runs {@code done}. */
     public void leave(Runnable done) {
         handover.leave(done);
     }
--- a/daemon/src/main/java/pathlane/takeover/package-info.java
+++ b/daemon/src/main/java/pathlane/takeover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The group's part of the program, where an operator's file switches it on: reads that file, listens for other members,
- * and wires the handover to the one event loop. A driver; it decides nothing about calls.
+ * Group membership of the daemon, enabled by the operator's group file: reads that file, accepts connections of other
+ * members, and connects the handover to the event loop. It makes no decisions about calls.
  */
 package pathlane.takeover;
--- a/handover/src/main/java/pathlane/handover/AdoptedClient.java
+++ b/handover/src/main/java/pathlane/handover/AdoptedClient.java
@@ -4,26 +4,26 @@
 import pathlane.core.ClientPort;
 import pathlane.decision.Outcome;
 
-/** The caller of a call that another member set up: known by name alone, and reached by whichever connection reaches it. */
+/** The client of a call that another member established: known by name only, and reached by any connection to it. */
 record AdoptedClient(String clientKey) implements ClientPort {
 
     @Override
-    public void answer(String call, byte[] description) {
-        throw new IllegalStateException("call " + call + " was answered before");
+    public void answer(String callId, byte[] description) {
+        throw new IllegalStateException("call " + callId + " was already answered");
     }
 
     @Override
-    public void reject(String call, Duration comeBackAfter) {
-        throw new IllegalStateException("call " + call + " was answered before");
+    public void reject(String callId, Duration retryAfter) {
+        throw new IllegalStateException("call " + callId + " was already answered");
     }
 
     @Override
-    public void fail(String call) {
-        throw new IllegalStateException("call " + call + " was answered before");
+    public void fail(String callId) {
+        throw new IllegalStateException("call " + callId + " was already answered");
     }
 
     @Override
-    public void release(String call, Outcome how) {
-        throw new IllegalStateException("call " + call + " has no connection of its own");
+    public void release(String callId, Outcome outcome) {
+        throw new IllegalStateException("call " + callId + " has no connection of its own");
     }
 }
--- a/handover/src/main/java/pathlane/handover/AwaitedReplications.java
+++ b/handover/src/main/java/pathlane/handover/AwaitedReplications.java
@@ -9,7 +9,9 @@
 import java.util.Set;
 import pathlane.core.Scheduler;
 
-/** What waits for a call's record to reach its replica holders, each for a limited time. On the loop's thread. */
+/**
+ * Tasks that wait for a call's record to reach its replica holders, each with a timeout. Confined to the event loop thread.
+ */
 final class AwaitedReplications {
 
     private record Awaited(long change, Set<Long> holders, Runnable task, Scheduler.Timer timer) {}
@@ -21,34 +23,34 @@
         this.scheduler = scheduler;
     }
 
-    /** Runs a task once these holders have the change, or after so long. */
-    void await(String callId, long change, Set<Long> holders, Duration atMost, Runnable task) {
-        Scheduler.Timer timer = scheduler.after(atMost,
+    /** Runs a task once these replica holders have the change, or after the timeout. */
+    void await(String callId, long change, Set<Long> holders, Duration timeout, Runnable task) {
+        Scheduler.Timer timer = scheduler.after(timeout,
                 () -> Optional.ofNullable(byCall.remove(callId)).ifPresent(awaited -> awaited.task.run()));
         byCall.put(callId, new Awaited(change, holders, task, timer));
     }
 
-    /** A holder has all changes up to this one. */
+    /** A replica holder has all changes up to this one. */
     void acknowledged(long holder, long upTo) {
-        for (Iterator<Awaited> each = byCall.values().iterator(); each.hasNext();) {
-            Awaited awaited = each.next();
+        for (Iterator<Awaited> iterator = byCall.values().iterator(); iterator.hasNext();) {
+            Awaited awaited = iterator.next();
             if (awaited.change <= upTo) {
                 awaited.holders.remove(holder);
             }
             if (awaited.holders.isEmpty()) {
-                each.remove();
+                iterator.remove();
                 awaited.timer.cancel();
                 scheduler.after(Duration.ZERO, awaited.task);
             }
         }
     }
 
-    /** Nothing is left of the call: what waits for it runs now. */
+    /** The call's record was dropped: the task that waits for it runs now. */
     void callDropped(String callId) {
         Optional.ofNullable(byCall.remove(callId)).ifPresent(AwaitedReplications::runNow);
     }
 
-    /** Nothing is replicated any more: all that waits runs now. */
+    /** Replication has ended: all waiting tasks run now. */
     void runAll() {
         List.copyOf(byCall.values()).forEach(AwaitedReplications::runNow);
         byCall.clear();
--- a/handover/src/main/java/pathlane/handover/CallRecord.java
+++ b/handover/src/main/java/pathlane/handover/CallRecord.java
@@ -4,31 +4,30 @@
 import pathlane.decision.Outcome;
 
 /**
- * What a successor has to know of one call.
+ * What a successor has to know of a call.
  *
- * @param server where its attempt is in flight, where it is established, or where its release is pending
- * @param clientKey by what name its client is known; empty where any connection reaches it
- * @param outcome the end that its client has yet to be told; COMPLETED in all other kinds
- * @param remaining how long an attempt may be in flight, or nothing may be sent, from when the record was made
- * @param releaseToken what its server needs beside the id to be told its end; empty where it needs nothing, or in other
- *            kinds
+ * @param server the server at which its attempt is in flight, it is established, or its release is pending
+ * @param clientKey the name of its client; empty if any client connection reaches it
+ * @param outcome the outcome of which its client has yet to be notified; COMPLETED in all other kinds
+ * @param remaining how long from the record's creation the attempt may be in flight, or no request may be sent
+ * @param releaseToken what its server needs beside the id to release the call; empty if it needs nothing, or in other kinds
  */
 public record CallRecord(String callId, Kind kind, long server, String clientKey, Outcome outcome, Duration remaining,
         byte[] releaseToken) {
 
-    /** What is left to do. The place in this list is the number in messages. */
+    /** What is left to do for the call. The ordinal is the number used in messages. */
     public enum Kind {
-        /** An attempt is in flight: the call may be established by now, and nothing else may be sent for it. */
+        /** An attempt is in flight: the call may be established by now, and no other request may be sent for it. */
         IN_FLIGHT,
-        /** An attempt was lost or is over, and the call goes on: nothing is sent for it for a while. */
+        /** An attempt was lost or is over and the call continues: no request is sent for it for a while. */
         RETRY_DELAYED,
-        /** It is established. */
+        /** The call is established. */
         ESTABLISHED,
-        /** Its client has yet to be told of its end. */
+        /** The client has yet to be notified of the call's end. */
         CLIENT_RELEASE_PENDING,
-        /** Its server has yet to be told of its release. */
+        /** The server has yet to be notified of the call's release. */
         SERVER_RELEASE_PENDING,
-        /** Nothing is left to do, and whoever looks into older records of it has to know so. */
+        /** Nothing is left to do; the record overrides older records of the call that a successor may look up. */
         COMPLETED
     }
 
--- a/handover/src/main/java/pathlane/handover/GracefulLeave.java
+++ b/handover/src/main/java/pathlane/handover/GracefulLeave.java
@@ -9,66 +9,67 @@
 import pathlane.group.RegistryAccess;
 
 /**
- * A member's planned end: its records are sent, its lease is given up, and once the register has said so what is left is
- * passed on. Each step is waited for only so long. On the loop's thread.
+ * A member's graceful leave: its records are sent and its lease is given up; once the registry has confirmed that, the
+ * remaining work is passed on. Each step has a timeout. Confined to the event loop thread.
  */
 final class GracefulLeave {
 
     private static final Logger LOG = System.getLogger("group");
-    private static final Duration FLUSH_MOST = Duration.ofMillis(500);
-    private static final Duration LEAVE_MOST = Duration.ofSeconds(1);
-    private static final Duration LEAVE_CHECK = Duration.ofMillis(10);
-    /** What was passed on last leaves within this. */
-    private static final Duration LAST_MESSAGES = Duration.ofMillis(100);
+    private static final Duration MAX_FLUSH_WAIT = Duration.ofMillis(500);
+    private static final Duration MAX_LEAVE_WAIT = Duration.ofSeconds(1);
+    private static final Duration LEAVE_POLL_INTERVAL = Duration.ofMillis(10);
+    /** Time for the last messages to be written. */
+    private static final Duration FINAL_SEND_DELAY = Duration.ofMillis(100);
 
     private final Scheduler scheduler;
     private final RegistryAccess registry;
     private final LeaseHolder leaseHolder;
     private final ReplicationLog replicationLog;
-    private final Duration flushCheck;
-    private Runnable passOn;
-    private Runnable done;
+    private final Duration flushPollInterval;
+    private Runnable leftCallback;
+    private Runnable doneCallback;
 
-    /** {@code window} is how long a change of the records may wait for others. */
+    /** {@code batchWindow} is how long a change of the records may be delayed to be batched with others. */
     GracefulLeave(Scheduler scheduler, RegistryAccess registry, LeaseHolder leaseHolder, ReplicationLog replicationLog,
-            Duration window) {
+            Duration batchWindow) {
         this.scheduler = scheduler;
         this.registry = registry;
         this.leaseHolder = leaseHolder;
         this.replicationLog = replicationLog;
-        this.flushCheck = window.plusMillis(1);
+        this.flushPollInterval = batchWindow.plusMillis(1);
     }
 
     /**
-     * Begins.
+     * Starts.
      *
-     * @param onLeft runs once the lease has ended in the register, or could not be given up in time
+     * @param onLeft runs once the lease has ended in the registry, or could not be given up in time
      * @param onDone runs last
      */
     void begin(Runnable onLeft, Runnable onDone) {
-        passOn = onLeft;
-        done = onDone;
+        leftCallback = onLeft;
+        doneCallback = onDone;
         replicationLog.flush();
-        leaveOnceKept(scheduler.now().plus(FLUSH_MOST));
+        leaveOnceReplicated(scheduler.now().plus(MAX_FLUSH_WAIT));
     }
 
-    private void leaveOnceKept(Instant until) {
-        if (leaseHolder.isValid() && !replicationLog.isReplicated() && scheduler.now().isBefore(until)) {
-            scheduler.after(flushCheck, () -> leaveOnceKept(until));
+    private void leaveOnceReplicated(Instant deadline) {
+        if (leaseHolder.isValid() && !replicationLog.isReplicated() && scheduler.now().isBefore(deadline)) {
+            scheduler.after(flushPollInterval, () -> leaveOnceReplicated(deadline));
             return;
         }
         long token = leaseHolder.token();
-        LOG.log(Level.INFO, "leaves the group: {0} calls are handed over", Integer.toString(replicationLog.shared().size()));
+        LOG.log(Level.INFO, "leaves the group: {0} calls are handed over",
+                Integer.toString(replicationLog.sharedRecords().size()));
         leaseHolder.leave();
-        awaitLeft(token, scheduler.now().plus(LEAVE_MOST));
+        awaitLeaseEnd(token, scheduler.now().plus(MAX_LEAVE_WAIT));
     }
 
-    private void awaitLeft(long token, Instant until) {
-        if (token != 0 && registry.registry().isLive(token) && scheduler.now().isBefore(until)) {
-            scheduler.after(LEAVE_CHECK, () -> awaitLeft(token, until));
+    private void awaitLeaseEnd(long token, Instant deadline) {
+        if (token != 0 && registry.registry().isLive(token) && scheduler.now().isBefore(deadline)) {
+            scheduler.after(LEAVE_POLL_INTERVAL, () -> awaitLeaseEnd(token, deadline));
             return;
         }
-        passOn.run();
-        scheduler.after(LAST_MESSAGES, done);
+        leftCallback.run();
+        scheduler.after(FINAL_SEND_DELAY, doneCallback);
     }
 }
--- a/handover/src/main/java/pathlane/handover/Handover.java
+++ b/handover/src/main/java/pathlane/handover/Handover.java
@@ -25,25 +25,28 @@
 import pathlane.transport.RateLimiter;
 
 /**
- * One controller's part in a group whose members go on with each other's calls: its lease, its records at others, what it
- * keeps for others, and what it takes over. On the loop's thread.
+ * A controller's membership in a group whose members adopt each other's calls: its lease, the replication of its call
+ * records, the replicas that it holds for others, and the calls that it adopts. Confined to the event loop thread.
  *
- * <p>Rule: it writes something that concerns a call others may act on only while its lease is valid ({@link #mayAct}).
+ * <p>Invariant: as long as other members may act on a call, this controller writes anything that concerns the call only
+ * while its lease is valid ({@link #mayAct}).
  */
 public final class Handover implements CallReplication, LeaseHolder.Listener {
 
     private static final Logger LOG = System.getLogger("group");
-    private static final Duration TICK = Duration.ofMillis(250);
-    private static final Duration REGISTER_SETTLES = Duration.ofMillis(50);
-    /** Events of calls that are not known here: so many at once, and one more each so often. */
-    private static final int ORPHANED_EVENTS_AT_ONCE = 1_000;
-    private static final Duration ORPHANED_EVENT_EVERY = Duration.ofMillis(2);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
+    private static final Duration REGISTRY_CHANGE_DELAY = Duration.ofMillis(50);
+    /**
+     * Rate limit for reports of events of calls that are not known here: the burst size, and the interval per further event.
+     */
+    private static final int ORPHANED_EVENT_BURST = 1_000;
+    private static final Duration ORPHANED_EVENT_INTERVAL = Duration.ofMillis(2);
 
-    private final HandoverSettings terms;
+    private final HandoverSettings settings;
     private final Scheduler scheduler;
-    private final RegistryClient client;
+    private final RegistryClient registryClient;
     private final LeaseHolder leaseHolder;
-    private final PeerConnections links;
+    private final PeerConnections connections;
     private final ReplicationLog replicationLog;
     private final ReplicaStore replicaStore;
     private final ShardAdoption shardAdoption;
@@ -54,80 +57,87 @@
     private final AdoptedCalls adoptedCalls;
     private final ReplicaRelease replicaRelease;
     private CallController controller;
-    private boolean registerChanged;
-    private boolean leaving;
-    private boolean stopped;
+    private boolean isRegistryChangePending;
+    private boolean isLeaving;
+    private boolean isStopped;
 
     /**
-     * Starts nothing yet.
+     * Does not start anything yet.
      *
      * @param incarnation drawn anew at each start of the process
-     * @param voters where the register's voters are reached
-     * @param nanos the monotonic clock
+     * @param voters the addresses of the registry's voters
+     * @param nanoClock the monotonic clock
      */
-    public Handover(HandoverSettings terms, long incarnation, List<InetSocketAddress> voters, Connector dialer,
-            AuthenticatedLink.Context common, LongSupplier nanos) {
-        this.terms = terms;
-        this.scheduler = common.scheduler();
-        this.client = new RegistryClient(voters, dialer, common, this::registerChanged);
-        this.leaseHolder = new LeaseHolder(terms.name(), incarnation, terms.address(), terms.replicaCount(), terms.lease(),
-                client, scheduler, nanos, this);
-        this.replicaStore = new ReplicaStore(scheduler, terms.retryDelay());
-        this.links = new PeerConnections(dialer, common, client, leaseHolder::token);
-        this.replicationLog = new ReplicationLog(client, scheduler, terms.batchWindow(), links);
+    public Handover(HandoverSettings settings, long incarnation, List<InetSocketAddress> voters, Connector connector,
+            AuthenticatedLink.Context linkContext, LongSupplier nanoClock) {
+        this.settings = settings;
+        this.scheduler = linkContext.scheduler();
+        this.registryClient = new RegistryClient(voters, connector, linkContext, this::registryChanged);
+        this.leaseHolder = new LeaseHolder(settings.name(), incarnation, settings.address(), settings.replicaCount(),
+                settings.lease(), registryClient, scheduler, nanoClock, this);
+        this.replicaStore = new ReplicaStore(scheduler, settings.retryDelay());
+        this.connections = new PeerConnections(connector, linkContext, registryClient, leaseHolder::token);
+        this.replicationLog = new ReplicationLog(registryClient, scheduler, settings.batchWindow(), connections);
         this.adoptedCalls =
-                new AdoptedCalls(terms, scheduler, client, links, replicationLog, replicaStore, this::handleLocally);
+                new AdoptedCalls(settings, scheduler, registryClient, connections, replicationLog, replicaStore,
+                        this::handleLocally);
         this.shardAdoption =
-                new ShardAdoption(client, leaseHolder, scheduler, replicaStore, terms.adoptionsPerSecond(), adoptedCalls);
-        this.orphanedEvents = new OrphanedEvents(client, scheduler, replicaStore, links, leaseHolder::token,
+                new ShardAdoption(registryClient, leaseHolder, scheduler, replicaStore, settings.adoptionsPerSecond(),
+                        adoptedCalls);
+        this.orphanedEvents = new OrphanedEvents(registryClient, scheduler, replicaStore, connections, leaseHolder::token,
                 event -> controller.handleUnowned(event));
-        this.reclaim = new Reclaim(client,
+        this.reclaim = new Reclaim(registryClient,
                 new ReclaimedCalls(leaseHolder, replicationLog, deferredEvents, orphanedEvents, () -> controller));
-        this.replicaRelease = new ReplicaRelease(scheduler, leaseHolder, replicationLog, links, this::replicasReleased);
-        links.setHandler(new IncomingMessages(client, replicaStore, replicationLog, shardAdoption, orphanedEvents,
-                replicaRelease, this::handleReport));
-        this.orphanedEventLimit = new RateLimiter(ORPHANED_EVENTS_AT_ONCE, ORPHANED_EVENT_EVERY, scheduler);
-    }
-
-    /** Begins; the controller is the one that replicates its calls by this. */
-    public void start(CallController of) {
-        controller = of;
-        adoptedCalls.start(of);
-        client.start();
+        this.replicaRelease = 
+                new ReplicaRelease(scheduler, leaseHolder, replicationLog, connections, this::replicasReleased);
+        connections.setHandler(new IncomingMessages(registryClient, replicaStore, replicationLog, shardAdoption,
+                orphanedEvents, replicaRelease, this::handleReport));
+        this.orphanedEventLimit = new RateLimiter(ORPHANED_EVENT_BURST, ORPHANED_EVENT_INTERVAL, scheduler);
+    }
+
+    /** Starts; {@code callController} is the one that replicates its calls through this object. */
+    public void start(CallController callController) {
+        controller = callController;
+        adoptedCalls.start(callController);
+        registryClient.start();
         leaseHolder.start();
         tick();
     }
 
-    /** The state machine for a connection that another member has opened. */
+    /** Returns the protocol state machine for a connection that another member has opened. */
     public Protocol accept() {
-        return links.accept();
+        return connections.accept();
     }
 
-    /** A planned end: what is left is handed over at once; {@code done} runs when that is said, or can't be. */
+    /**
+     * Leaves the group gracefully: pending work is handed over at once. {@code done} runs once the handover was sent or has
+     * timed out.
+     */
     public void leave(Runnable done) {
-        if (leaving) {
+        if (isLeaving) {
             return;
         }
-        leaving = true;
-        GracefulLeave leave = new GracefulLeave(scheduler, client, leaseHolder, replicationLog, terms.batchWindow());
-        leave.begin(this::passOnParked, () -> {
+        isLeaving = true;
+        GracefulLeave leave =
+                new GracefulLeave(scheduler, registryClient, leaseHolder, replicationLog, settings.batchWindow());
+        leave.begin(this::forwardDeferredEvents, () -> {
             stop();
             done.run();
         });
     }
 
-    /** Ends without a word. */
+    /** Stops at once, without notifying the group. */
     public void stop() {
-        stopped = true;
+        isStopped = true;
         replicaRelease.stop();
-        client.stop();
-        links.stop();
+        registryClient.stop();
+        connections.stop();
     }
 
-    /** What there is to see, as a line for the log. */
+    /** Returns the current state as one log line. */
     public String summary() {
         return "lease=" + leaseHolder.token() + " lease_valid=" + leaseHolder.isValid() + " replicated=" + isReplicated()
-                + " members=" + client.registry().members().size() + " records=" + replicationLog.size()
+                + " members=" + registryClient.registry().members().size() + " records=" + replicationLog.size()
                 + " replicas=" + replicaStore.size() + " adopted=" + adopted() + " deferred=" + deferredEvents.size();
     }
 
@@ -141,78 +151,79 @@
         return leaseHolder.isValid();
     }
 
-    /** Whether all of this controller's records are where the register looks for them. */
+    /** Whether all records of this controller are at the replica holders that the registry's newest view gives. */
     public boolean isReplicated() {
-        LeaseRegistry register = client.registry();
-        return leaseHolder.isValid() && register.replicatedView(leaseHolder.token()) == register.view()
+        LeaseRegistry registry = registryClient.registry();
+        return leaseHolder.isValid() && registry.replicatedView(leaseHolder.token()) == registry.view()
                 && replicationLog.isReplicated();
     }
 
-    /** The register as it was last seen. */
+    /** The last known state of the registry. */
     public LeaseRegistry register() {
-        return client.registry();
+        return registryClient.registry();
     }
 
-    /** What is left to do for a call by what is known here, its own or another's; empty where nothing is. */
-    public Optional<CallRecord.Kind> pendingWork(String call) {
-        return replicationLog.record(call).map(CallRecord::kind).or(() -> replicaStore.kindOf(call));
+    /** What is left to do for a call, by this controller's own record or a replica held here; empty if there is neither. */
+    public Optional<CallRecord.Kind> pendingWork(String callId) {
+        return replicationLog.record(callId).map(CallRecord::kind).or(() -> replicaStore.kindOf(callId));
     }
 
-    /** Calls of others that this one went on with. */
+    /** The number of other members' calls that this controller has adopted. */
     public long adopted() {
-        return shardAdoption.adopted();
+        return shardAdoption.adoptedCount();
     }
 
-    // ---- from the life of a call
+    // ---- call replication
 
     @Override
-    public void attemptStarted(String call, long server, Duration patience, ClientPort caller, Supplier<byte[]> ending) {
-        replicationLog.put(CallRecord.inFlight(call, server, caller.clientKey(), patience, ending.get()));
+    public void attemptStarted(String callId, long serverId, Duration giveUpAfter, ClientPort client,
+            Supplier<byte[]> releaseToken) {
+        replicationLog.put(CallRecord.inFlight(callId, serverId, client.clientKey(), giveUpAfter, releaseToken.get()));
     }
 
     @Override
-    public void attemptEnded(String call, long server, Duration wait, ClientPort caller) {
-        replicationLog.put(CallRecord.retryDelayed(call, server, caller.clientKey(), wait, ending(call)));
+    public void attemptEnded(String callId, long serverId, Duration wait, ClientPort client) {
+        replicationLog.put(CallRecord.retryDelayed(callId, serverId, client.clientKey(), wait, releaseTokenOf(callId)));
     }
 
     @Override
-    public void callEstablished(String call, long server, ClientPort caller) {
-        adoptedCalls.established(call);
-        replicationLog.put(CallRecord.established(call, server, caller.clientKey(), ending(call)));
+    public void callEstablished(String callId, long serverId, ClientPort client) {
+        adoptedCalls.established(callId);
+        replicationLog.put(CallRecord.established(callId, serverId, client.clientKey(), releaseTokenOf(callId)));
     }
 
-    private byte[] ending(String call) {
-        return replicationLog.record(call).map(CallRecord::releaseToken).orElseGet(() -> new byte[0]);
+    private byte[] releaseTokenOf(String callId) {
+        return replicationLog.record(callId).map(CallRecord::releaseToken).orElseGet(() -> new byte[0]);
     }
 
     @Override
-    public void deliverAnswer(String call, int callClass, Runnable write) {
-        if (terms.synchronousClasses().contains(callClass) && leaseHolder.isValid()) {
-            replicationLog.whenReplicated(call, terms.maxAnswerDelay(), write);
+    public void deliverAnswer(String callId, int callClass, Runnable write) {
+        if (settings.synchronousClasses().contains(callClass) && leaseHolder.isValid()) {
+            replicationLog.whenReplicated(callId, settings.maxAnswerDelay(), write);
         } else {
             write.run();
         }
     }
 
     @Override
-    public void clientReleasePending(String call, ClientPort caller, Outcome how) {
-        replicationLog.put(CallRecord.clientReleasePending(call, caller == null ? "" : caller.clientKey(), how));
+    public void clientReleasePending(String callId, ClientPort client, Outcome outcome) {
+        replicationLog.put(CallRecord.clientReleasePending(callId, client == null ? "" : client.clientKey(), outcome));
     }
 
     @Override
-    public void serverReleasePending(String call, long server, byte[] ending) {
-        replicationLog.put(CallRecord.serverReleasePending(call, server, ending));
+    public void serverReleasePending(String callId, long serverId, byte[] releaseToken) {
+        replicationLog.put(CallRecord.serverReleasePending(callId, serverId, releaseToken));
     }
 
     @Override
-    public void callCompleted(String call) {
-        adoptedCalls.completed(call);
+    public void callCompleted(String callId) {
+        adoptedCalls.completed(callId);
     }
 
     @Override
-    public boolean mayAct(String call) {
-        return !reclaim.contains(call)   // else it is not known yet whether the lease that ended left this member the call
-                && (leaseHolder.isValid() || !replicationLog.isShared(call) && !adoptedCalls.isIncomplete(call));
+    public boolean mayAct(String callId) {
+        return !reclaim.contains(callId)   // otherwise the registry has yet to confirm that the call is still this member's
+                && (leaseHolder.isValid() || !replicationLog.isShared(callId) && !adoptedCalls.isIncomplete(callId));
     }
 
     @Override
@@ -225,7 +236,7 @@
         if (adoptedCalls.hasOpenAttempt(event.callId())) {
             return adoptedCalls.resolveAttempt(event);
         }
-        if (client.registry().members().size() < 2 || !orphanedEventLimit.tryAcquire()) {
+        if (registryClient.registry().members().size() < 2 || !orphanedEventLimit.tryAcquire()) {
             return false;
         }
         orphanedEvents.report(event);
@@ -233,49 +244,49 @@
     }
 
     @Override
-    public Duration delayBeforeFirstAttempt(String call) {
-        return replicaStore.retryDelay(call);
+    public Duration delayBeforeFirstAttempt(String callId) {
+        return replicaStore.retryDelay(callId);
     }
 
-    /** Handles an event of a call that does not stand here. */
+    /** Handles an event of a call that is not established here. */
     private void handleLocally(CallEvent event) {
         if (!delegate(event)) {
             controller.handleUnowned(event);
         }
     }
 
-    /** Another member has reported an event: whether it is handled here, or stored until it is. */
+    /** Handles an event that another member has reported; returns whether it is handled here, or stored until it is. */
     private boolean handleReport(CallEvent event) {
-        String call = event.callId();
-        if (controller.isEstablished(call)) {
-            boolean may = mayAct(call);
-            if (may) {
+        String callId = event.callId();
+        if (controller.isEstablished(callId)) {
+            boolean isAllowed = mayAct(callId);
+            if (isAllowed) {
                 controller.handleOwned(event);
             } else {
-                defer(event);   // and the other member keeps it too
+                defer(event);   // the other member keeps the event as well
             }
-            return may;
+            return isAllowed;
         }
-        if (adoptedCalls.hasOpenAttempt(call)) {
+        if (adoptedCalls.hasOpenAttempt(callId)) {
             handleLocally(event);
             return true;
         }
-        if (adoptedCalls.awaitsServer(call)) {
+        if (adoptedCalls.awaitsServer(callId)) {
             replicaStore.storeEvent(event);
             return true;
         }
         return orphanedEvents.store(event);
     }
 
-    // ---- from the lease
+    // ---- lease events
 
     @Override
     public void granted(long token) {
         replicaRelease.clear();
         replicationLog.begin(token);
         shardAdoption.reconcile();
-        reclaim.ask();
-        replayParked();
+        reclaim.requestShards();
+        replayDeferredEvents();
     }
 
     @Override
@@ -284,93 +295,93 @@
         replicaRelease.begin();
     }
 
-    /** All holders have dropped their replicas. */
+    /** All replica holders have dropped their replicas. */
     private void replicasReleased() {
         LOG.log(Level.INFO, "no agreement can be reached; all replica holders have dropped their replicas, and calls are "
                 + "served without replication");
         leaseHolder.replicasDropped();
         replicationLog.replicasDropped();
-        replayParked();
+        replayDeferredEvents();
     }
 
     @Override
     public void validAgain() {
         replicationLog.resume();
-        replayParked();
+        replayDeferredEvents();
     }
 
     @Override
     public void lost(long token) {
-        List<CallRecord> others = replicationLog.shared();
-        Set<String> gone = adoptedCalls.calls();
-        Set<Integer> unsettledSlots = adoptedCalls.incompleteShards();
-        reclaim.begin(token, unsettledSlots);
-        int open = 0;
-        for (CallRecord record : others) {
-            if (unsettledSlots.contains(ShardPlacement.shardOf(record.callId()))) {
-                gone.add(record.callId());
+        List<CallRecord> sharedRecords = replicationLog.sharedRecords();
+        Set<String> lostCalls = adoptedCalls.calls();
+        Set<Integer> incompleteShards = adoptedCalls.incompleteShards();
+        reclaim.begin(token, incompleteShards);
+        int reclaimCount = 0;
+        for (CallRecord record : sharedRecords) {
+            if (incompleteShards.contains(ShardPlacement.shardOf(record.callId()))) {
+                lostCalls.add(record.callId());
             } else {
                 reclaim.add(token, record);
-                replicationLog.forget(record.callId());
+                replicationLog.removeLocally(record.callId());
                 if (record.kind() != CallRecord.Kind.ESTABLISHED) {
-                    controller.disown(record.callId());   // what is owed is not told before it is known whose it is
+                    controller.disown(record.callId());   // a release waits until the call's owner is known
                 }
-                open++;
+                reclaimCount++;
             }
         }
         LOG.log(Level.WARNING, "others act on {0} calls from now on; {1} are reclaimed if nobody has claimed them",
-                Integer.toString(gone.size()), Integer.toString(open));
-        gone.forEach(call -> {
-            controller.disown(call);
-            replicationLog.forget(call);
+                Integer.toString(lostCalls.size()), Integer.toString(reclaimCount));
+        lostCalls.forEach(callId -> {
+            controller.disown(callId);
+            replicationLog.removeLocally(callId);
         });
         replicationLog.end();
         shardAdoption.stop();
         adoptedCalls.clear();
-        passOnParked();
+        forwardDeferredEvents();
     }
 
-    /** Events that arrived while this controller could not act go to whoever can. */
-    private void passOnParked() {
-        deferredEvents.forEachExcept(call -> reclaim.contains(call) && !leaving, orphanedEvents::report);
+    /** Forwards the events that arrived while this controller could not act to the members that can. */
+    private void forwardDeferredEvents() {
+        deferredEvents.drainExcept(callId -> reclaim.contains(callId) && !isLeaving, orphanedEvents::report);
     }
 
-    private void replayParked() {
-        deferredEvents.forEachExcept(call -> false, controller::handleOwned);
+    private void replayDeferredEvents() {
+        deferredEvents.drainExcept(callId -> false, controller::handleOwned);
     }
 
-    // ---- from the register and the clock
+    // ---- registry changes and periodic work
 
-    private void registerChanged() {
-        if (!registerChanged) {
-            registerChanged = true;
-            // Many may come at once; what is in between concerns nobody.
-            scheduler.after(REGISTER_SETTLES, this::lookAtRegister);
+    private void registryChanged() {
+        if (!isRegistryChangePending) {
+            isRegistryChangePending = true;
+            // Many changes may come at once; only the state after the last one matters.
+            scheduler.after(REGISTRY_CHANGE_DELAY, this::reconcileWithRegistry);
         }
-        LeaseRegistry register = client.registry();
-        if (leaseHolder.token() != 0 && !register.isLive(leaseHolder.token())
-                && register.lastToken() >= leaseHolder.token()) {
+        LeaseRegistry registry = registryClient.registry();
+        if (leaseHolder.token() != 0 && !registry.isLive(leaseHolder.token())
+                && registry.lastToken() >= leaseHolder.token()) {
             leaseHolder.observedEnd(leaseHolder.token());
         }
     }
 
-    private void lookAtRegister() {
-        registerChanged = false;
-        // What was kept for whoever would act goes the round again: who acts now is not told by records kept here.
-        List<CallEvent> left = replicaStore.prune(client.registry(), leaseHolder.token());
+    private void reconcileWithRegistry() {
+        isRegistryChangePending = false;
+        // Events that were stored for the acting member are reported anew: the records kept here no longer identify it.
+        List<CallEvent> undelivered = replicaStore.prune(registryClient.registry(), leaseHolder.token());
         replicationLog.registryChanged();
         shardAdoption.reconcile();
         orphanedEvents.deliver();
-        left.forEach(orphanedEvents::report);
+        undelivered.forEach(orphanedEvents::report);
     }
 
     private void tick() {
-        if (stopped) {
+        if (isStopped) {
             return;
         }
         adoptedCalls.tick(leaseHolder.isValid());
         orphanedEvents.deliver();
-        reclaim.ask();
-        scheduler.after(TICK, this::tick);
+        reclaim.requestShards();
+        scheduler.after(TICK_INTERVAL, this::tick);
     }
 }
--- a/handover/src/main/java/pathlane/handover/HandoverSettings.java
+++ b/handover/src/main/java/pathlane/handover/HandoverSettings.java
@@ -5,18 +5,18 @@
 import pathlane.group.LeaseTerms;
 
 /**
- * How a member takes part in handing calls over.
+ * The settings of a member for replication and handover.
  *
- * @param name its name, the same after a restart
+ * @param name the member's name, the same after a restart
  * @param address where other members reach it, as {@code host:port}
- * @param replicaCount how many others hold a replica of each record, from 1
- * @param batchWindow how long a change may wait for others to go with it; what is newer than this is not yet replicated
- * @param synchronousClasses the classes whose answers wait until their call is replicated, by their places in the settings
- * @param maxAnswerDelay how long such an answer waits at the most
- * @param adoptionsPerSecond calls a second that a successor adopts, from 100
- * @param orphanTimeout how long an attempt that its owner left open is let be before its server is told to end it, and its
- *            client that it has ended; nought for never
- * @param retryDelay how long nothing is sent for a call after an attempt was lost
+ * @param replicaCount how many other members hold a replica of each record, at least 1
+ * @param batchWindow how long a change may be delayed to be batched with others; newer changes are not yet replicated
+ * @param synchronousClasses the call classes whose answers wait until their call is replicated, by index in the settings
+ * @param maxAnswerDelay how long such an answer waits at most
+ * @param adoptionsPerSecond how many calls a second a successor adopts, at least 100
+ * @param orphanTimeout how long an attempt that its owner left open is kept before its server is asked to end the call and
+ *            its client is notified that it has ended; zero for unlimited
+ * @param retryDelay how long no request is sent for a call after an attempt was lost
  */
 public record HandoverSettings(String name, String address, int replicaCount, LeaseTerms lease, Duration batchWindow,
         Set<Integer> synchronousClasses, Duration maxAnswerDelay, int adoptionsPerSecond, Duration orphanTimeout,
--- a/handover/src/main/java/pathlane/handover/IncomingMessages.java
+++ b/handover/src/main/java/pathlane/handover/IncomingMessages.java
@@ -6,13 +6,13 @@
 import pathlane.group.LeaseRegistry;
 import pathlane.group.RegistryAccess;
 
-/** Passes each message of another member to the part that it is for, and answers it. On the loop's thread. */
+/** Dispatches the messages of other members, and replies to them. Confined to the event loop thread. */
 final class IncomingMessages implements PeerConnections.Handler {
 
-    /** What is done about an event that another member has reported. */
+    /** Handles the events that other members report. */
     interface EventHandler {
-        /** Whether the event is handled here, or stored until it is. */
-        boolean reported(CallEvent event);
+        /** Returns whether the event is handled here, or stored until it is. */
+        boolean handle(CallEvent event);
     }
 
     private final RegistryAccess registry;
@@ -36,66 +36,69 @@
     }
 
     @Override
-    public void up(long member) {
+    public void connected(long member) {
         replicationLog.connected(member);
     }
 
     @Override
-    public void received(long from, long stream, PeerMessage message, Consumer<PeerMessage> answer) {
-        if (message instanceof PeerMessage.ShardSnapshot shard) {
-            if (mayStillSend(shard.owner())) {
-                replicaStore.storeSnapshot(shard, stream);
+    public void received(long from, long stream, PeerMessage message, Consumer<PeerMessage> reply) {
+        if (message instanceof PeerMessage.ShardSnapshot snapshot) {
+            if (mayBeLive(snapshot.owner())) {
+                replicaStore.storeSnapshot(snapshot, stream);
             }
         } else if (message instanceof PeerMessage.Changes changes) {
-            changes(changes, stream, answer);
-        } else if (message instanceof PeerMessage.ViewReplicated placed) {
-            answer.accept(replicaStore.viewReplicated(placed, stream));
-        } else if (message instanceof PeerMessage.Acknowledged kept) {
-            replicationLog.acknowledged(from, kept);
-        } else if (message instanceof PeerMessage.FetchShard pull) {
-            pull(pull, answer);
-        } else if (message instanceof PeerMessage.ShardFetched pulled) {
-            shardAdoption.fetched(from, pulled);
-        } else if (message instanceof PeerMessage.EventReport told) {
-            answer.accept(new PeerMessage.EventReply(told.requestId(), eventHandler.reported(told.event())));
-        } else if (message instanceof PeerMessage.EventReply known) {
-            orphanedEvents.replied(known);
-        } else if (message instanceof PeerMessage.DropReplicas free) {
-            free(free.owner(), answer);
-        } else if (message instanceof PeerMessage.ReplicasDropped freed) {
-            replicaRelease.answered(from, freed);
+            applyChanges(changes, stream, reply);
+        } else if (message instanceof PeerMessage.ViewReplicated viewReplicated) {
+            reply.accept(replicaStore.viewReplicated(viewReplicated, stream));
+        } else if (message instanceof PeerMessage.Acknowledged acknowledged) {
+            replicationLog.acknowledged(from, acknowledged);
+        } else if (message instanceof PeerMessage.FetchShard fetch) {
+            fetchShard(fetch, reply);
+        } else if (message instanceof PeerMessage.ShardFetched fetched) {
+            shardAdoption.fetched(from, fetched);
+        } else if (message instanceof PeerMessage.EventReport report) {
+            reply.accept(new PeerMessage.EventReply(report.requestId(), eventHandler.handle(report.event())));
+        } else if (message instanceof PeerMessage.EventReply eventReply) {
+            orphanedEvents.replied(eventReply);
+        } else if (message instanceof PeerMessage.DropReplicas drop) {
+            dropReplicas(drop.owner(), reply);
+        } else if (message instanceof PeerMessage.ReplicasDropped dropped) {
+            replicaRelease.replied(from, dropped);
         }
     }
 
-    private void changes(PeerMessage.Changes changes, long stream, Consumer<PeerMessage> answer) {
-        if (mayStillSend(changes.owner())) {
+    private void applyChanges(PeerMessage.Changes changes, long stream, Consumer<PeerMessage> reply) {
+        if (mayBeLive(changes.owner())) {
             replicaStore.applyChanges(changes, stream);
         }
         if (changes.upTo() >= 0) {
-            answer.accept(replicaStore.acknowledgement(changes.owner()));
+            reply.accept(replicaStore.acknowledgement(changes.owner()));
         }
     }
 
-    /** More may come from an owner as long as its end is not known here: a pull is answered after that, and asked again. */
-    private void pull(PeerMessage.FetchShard pull, Consumer<PeerMessage> answer) {
-        if (!registry.registry().isLive(pull.owner())) {
-            answer.accept(replicaStore.copy(pull.owner(), pull.shard())
-                    .map(copy -> new PeerMessage.ShardFetched(pull.owner(), pull.shard(), copy.upTo(), copy.records()))
-                    .orElse(new PeerMessage.ShardFetched(pull.owner(), pull.shard(), -1, List.of())));
+    /**
+     * Replies with the replica of a shard. As long as the end of the owner's lease is not known here, more of its changes
+     * may arrive: the request is ignored then, and the sender retries it.
+     */
+    private void fetchShard(PeerMessage.FetchShard fetch, Consumer<PeerMessage> reply) {
+        if (!registry.registry().isLive(fetch.owner())) {
+            reply.accept(replicaStore.copy(fetch.owner(), fetch.shard())
+                    .map(copy -> new PeerMessage.ShardFetched(fetch.owner(), fetch.shard(), copy.upTo(), copy.records()))
+                    .orElse(new PeerMessage.ShardFetched(fetch.owner(), fetch.shard(), -1, List.of())));
         }
     }
 
-    /** An owner whose lease has lapsed asks that nobody acts by its records from here. */
-    private void free(long owner, Consumer<PeerMessage> answer) {
-        boolean mayFree = !shardAdoption.hasClaimed(owner);
-        List<CallEvent> events = mayFree ? replicaStore.dropReplicas(owner) : List.of();
+    /** Drops the replicas of an owner whose lease has lapsed, unless this member may already act on them. */
+    private void dropReplicas(long owner, Consumer<PeerMessage> reply) {
+        boolean mayDrop = !shardAdoption.hasClaimed(owner);
+        List<CallEvent> events = mayDrop ? replicaStore.dropReplicas(owner) : List.of();
         events.forEach(event -> orphanedEvents.reportToOwner(event, owner));
-        answer.accept(new PeerMessage.ReplicasDropped(owner, mayFree));
+        reply.accept(new PeerMessage.ReplicasDropped(owner, mayDrop));
     }
 
-    /** Guards what was sent by a lease that has ended: what its owner sent then and arrives now was never kept. */
-    private boolean mayStillSend(long owner) {
-        LeaseRegistry register = registry.registry();
-        return owner > register.lastToken() || register.isLive(owner);
+    /** Guards against late messages of a lease that has ended: what arrives of them now was never acknowledged. */
+    private boolean mayBeLive(long owner) {
+        LeaseRegistry current = registry.registry();
+        return owner > current.lastToken() || current.isLive(owner);
     }
 }
--- a/handover/src/main/java/pathlane/handover/OrphanedEvents.java
+++ b/handover/src/main/java/pathlane/handover/OrphanedEvents.java
@@ -16,24 +16,25 @@
 import pathlane.group.ShardPlacement;
 
 /**
- * Forwards events of calls to the member that acts on the call, where they arrived at another one: a release on any
- * connection from callers, an end on any connection to the server. An event is stored beside the call's record, at all its
- * holders, until the acting member has acknowledged it, since nobody may act for a while. On the loop's thread.
+ * Forwards call events that arrived at another member to the member that acts on the call: a release may arrive on any
+ * client connection, the end of a call on any connection to its server. Since there may be no acting member for a while, an
+ * event is stored beside the call's record, at all its replica holders, until the acting member has acknowledged it.
+ * Confined to the event loop thread.
  */
 final class OrphanedEvents {
 
-    private static final Duration ANSWER_MOST = Duration.ofMillis(400);
+    private static final Duration REPLY_TIMEOUT = Duration.ofMillis(400);
 
-    /** An event that was sent to others and awaits their acknowledgement. */
-    private static final class Open {
+    /** An event that was sent to other members and awaits their replies. */
+    private static final class PendingReport {
         final CallEvent event;
-        final boolean kept;
-        int awaited;
+        final boolean isStored;
+        int awaitedReplies;
 
-        Open(CallEvent event, boolean kept, int awaited) {
+        PendingReport(CallEvent event, boolean isStored, int awaitedReplies) {
             this.event = event;
-            this.kept = kept;
-            this.awaited = awaited;
+            this.isStored = isStored;
+            this.awaitedReplies = awaitedReplies;
         }
     }
 
@@ -41,85 +42,85 @@
     private final Scheduler scheduler;
     private final ReplicaStore replicaStore;
     private final ReplicationLog.Transport transport;
-    private final LongSupplier self;
-    private final Consumer<CallEvent> unowned;
-    private final Map<Long, Open> open = new HashMap<>();
-    private long asks;
+    private final LongSupplier ownToken;
+    private final Consumer<CallEvent> unownedHandler;
+    private final Map<Long, PendingReport> pendingReports = new HashMap<>();
+    private long lastRequestId;
 
     /**
-     * Sends nothing yet.
+     * Does not send anything yet.
      *
-     * @param self the token of the present lease
-     * @param unowned receives events of calls that no member knows
+     * @param ownToken the token of the current lease
+     * @param unownedHandler receives events of calls that no member knows
      */
     OrphanedEvents(RegistryAccess registry, Scheduler scheduler, ReplicaStore replicaStore,
             ReplicationLog.Transport transport,
-            LongSupplier self, Consumer<CallEvent> unowned) {
+            LongSupplier ownToken, Consumer<CallEvent> unownedHandler) {
         this.registry = registry;
         this.scheduler = scheduler;
         this.replicaStore = replicaStore;
         this.transport = transport;
-        this.self = self;
-        this.unowned = unowned;
+        this.ownToken = ownToken;
+        this.unownedHandler = unownedHandler;
     }
 
-    /** An event of a call that another member owns, or nobody, has arrived here. */
+    /** Reports an event that has arrived here, of a call that another member owns or none does. */
     void report(CallEvent event) {
         if (store(event)) {
             return;
         }
-        LeaseRegistry register = registry.registry();
-        // Whoever it belongs to, its holders are among the first of its shard.
-        List<Member> asked =
-                ShardPlacement.replicaHolders(ShardPlacement.shardOf(event.callId()), register.members(), self.getAsLong(),
-                        register.replicaCount() + 1);
-        if (asked.isEmpty()) {
-            scheduler.after(Duration.ZERO, () -> unowned.accept(event));
+        LeaseRegistry current = registry.registry();
+        // Whoever owns the call, its replica holders are among the first members for its shard.
+        List<Member> holders =
+                ShardPlacement.replicaHolders(ShardPlacement.shardOf(event.callId()), current.members(),
+                        ownToken.getAsLong(), current.replicaCount() + 1);
+        if (holders.isEmpty()) {
+            scheduler.after(Duration.ZERO, () -> unownedHandler.accept(event));
         } else {
-            ask(event, false, asked);
+            sendReport(event, false, holders);
         }
     }
 
-    /** An event of a call whose records were just dropped here for its owner: that one is notified. */
+    /** Reports an event of a call to its owner, for which the replica here was just dropped. */
     void reportToOwner(CallEvent event, long owner) {
         if (registry.registry().isLive(owner)) {
-            ask(event, false, List.of(registry.registry().member(owner).orElseThrow()));
+            sendReport(event, false, List.of(registry.registry().member(owner).orElseThrow()));
         } else {
             report(event);
         }
     }
 
-    private void ask(CallEvent event, boolean kept, List<Member> members) {
-        long ask = ++asks;
-        open.put(ask, new Open(event, kept, members.size()));
-        members.forEach(member -> transport.send(member.token(), new PeerMessage.EventReport(ask, event)));
-        scheduler.after(ANSWER_MOST, () -> close(ask));
+    private void sendReport(CallEvent event, boolean isStored, List<Member> members) {
+        long requestId = ++lastRequestId;
+        pendingReports.put(requestId, new PendingReport(event, isStored, members.size()));
+        members.forEach(member -> transport.send(member.token(), new PeerMessage.EventReport(requestId, event)));
+        scheduler.after(REPLY_TIMEOUT, () -> expire(requestId));
     }
 
-    /** A member's answer whether the event is handled. */
-    void replied(PeerMessage.EventReply known) {
-        Open one = open.get(known.requestId());
-        if (one == null) {
+    /** A member has replied whether the event is handled. */
+    void replied(PeerMessage.EventReply reply) {
+        PendingReport pending = pendingReports.get(reply.requestId());
+        if (pending == null) {
             return;
         }
-        if (known.isHandled()) {
-            open.remove(known.requestId());
-            if (one.kept) {
-                replicaStore.removeEvent(one.event);
+        if (reply.isHandled()) {
+            pendingReports.remove(reply.requestId());
+            if (pending.isStored) {
+                replicaStore.removeEvent(pending.event);
             }
-        } else if (--one.awaited == 0) {
-            close(known.requestId());
+        } else if (--pending.awaitedReplies == 0) {
+            expire(reply.requestId());
         }
     }
 
-    private void close(long ask) {
-        Open one = open.remove(ask);
-        if (one != null && !one.kept) {
-            unowned.accept(one.event);
+    private void expire(long requestId) {
+        PendingReport pending = pendingReports.remove(requestId);
+        if (pending != null && !pending.isStored) {
+            unownedHandler.accept(pending.event);
         }
     }
 
-    /** Stores an event of a call whose record is kept here, and forwards it; false where no record is. */
+    /** Stores and forwards an event of a call whose replica is held here; returns false if there is no replica. */
     boolean store(CallEvent event) {
         Optional<Long> owner = replicaStore.ownerOf(event.callId());
         if (owner.isEmpty()) {
@@ -127,26 +128,27 @@
         }
         if (replicaStore.storeEvent(event)) {
             deliver(event.callId(), owner.get());
-            LeaseRegistry register = registry.registry();
+            LeaseRegistry current = registry.registry();
             int shard = ShardPlacement.shardOf(event.callId());
-            List<Member> others = new ArrayList<>(register.orphan(owner.get())
-                    .map(orphan -> register.successors(orphan, shard))
-                    .orElseGet(() -> register.replicaHolders(owner.get(), shard, register.replicatedView(owner.get()))));
-            others.removeIf(member -> member.token() == self.getAsLong() || !register.isLive(member.token()));
-            others.forEach(member -> transport.send(member.token(), new PeerMessage.EventReport(0, event)));
+            List<Member> otherHolders = new ArrayList<>(current.orphan(owner.get())
+                    .map(orphan -> current.successors(orphan, shard))
+                    .orElseGet(() -> current.replicaHolders(owner.get(), shard, current.replicatedView(owner.get()))));
+            otherHolders.removeIf(member -> member.token() == ownToken.getAsLong() || !current.isLive(member.token()));
+            otherHolders.forEach(member -> transport.send(member.token(), new PeerMessage.EventReport(0, event)));
         }
         return true;
     }
 
-    /** Forwards the stored events to the members that act by now. */
+    /** Forwards the stored events to the members that now act on their calls. */
     void deliver() {
-        replicaStore.callsWithEvents().forEach(call -> replicaStore.ownerOf(call).ifPresent(owner -> deliver(call, owner)));
+        replicaStore.callsWithEvents().forEach(
+                callId -> replicaStore.ownerOf(callId).ifPresent(owner -> deliver(callId, owner)));
     }
 
-    private void deliver(String call, long owner) {
-        Optional<Member> acting = registry.registry().currentOwner(owner, ShardPlacement.shardOf(call));
-        if (acting.isPresent() && acting.get().token() != self.getAsLong()) {
-            replicaStore.storeEvent(call).forEach(event -> ask(event, true, List.of(acting.get())));
+    private void deliver(String callId, long owner) {
+        Optional<Member> actingMember = registry.registry().currentOwner(owner, ShardPlacement.shardOf(callId));
+        if (actingMember.isPresent() && actingMember.get().token() != ownToken.getAsLong()) {
+            replicaStore.storeEvent(callId).forEach(event -> sendReport(event, true, List.of(actingMember.get())));
         }
     }
 }
--- a/handover/src/main/java/pathlane/handover/PeerCodec.java
+++ b/handover/src/main/java/pathlane/handover/PeerCodec.java
@@ -15,103 +15,108 @@
 import pathlane.handover.CallRecord.Kind;
 import pathlane.wire.BadInput;
 
-/** The messages between members as MessagePack: a kind, then the fields. An id of 16 hex digits takes nine bytes. */
+/**
+ * Encodes the messages between members as MessagePack: a type number, then the fields. A call id of 16 hex digits takes nine
+ * bytes.
+ */
 final class PeerCodec {
 
-    private static final int SLOT = 1;
+    private static final int SHARD_SNAPSHOT = 1;
     private static final int CHANGES = 2;
-    private static final int PLACED = 3;
-    private static final int KEPT = 4;
-    private static final int PULL = 5;
-    private static final int PULLED = 6;
-    private static final int TOLD = 7;
-    private static final int KNOWN = 8;
-    private static final int FREE = 9;
-    private static final int FREED = 10;
+    private static final int VIEW_REPLICATED = 3;
+    private static final int ACKNOWLEDGED = 4;
+    private static final int FETCH_SHARD = 5;
+    private static final int SHARD_FETCHED = 6;
+    private static final int EVENT_REPORT = 7;
+    private static final int EVENT_REPLY = 8;
+    private static final int DROP_REPLICAS = 9;
+    private static final int REPLICAS_DROPPED = 10;
 
-    private static final int DROPPED = -1;
-    private static final int HEX = 16;
+    private static final int RECORD_DROPPED = -1;
+    private static final int HEX_RADIX = 16;
     private static final int ID_DIGITS = 16;
-    private static final int MOST_ITEMS = 1 << 20;
-    private static final Kind[] KINDS = Kind.values();
-    private static final Outcome[] ENDINGS = Outcome.values();
+    private static final int MAX_ITEMS = 1 << 20;
+    private static final Kind[] RECORD_KINDS = Kind.values();
+    private static final Outcome[] OUTCOMES = Outcome.values();
 
     private PeerCodec() {}
 
-    static byte[] bytes(PeerMessage message) {
+    static byte[] encode(PeerMessage message) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             write(packer, message);
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new UncheckedIOException(e);   // a buffer in memory has none
+            throw new UncheckedIOException(e);   // never thrown: the buffer is in memory
         }
     }
 
-    /** @throws BadInput where it is none */
-    static PeerMessage read(byte[] bytes) {
+    /** @throws BadInput if the bytes are not a message */
+    static PeerMessage decode(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
-            return read(unpacker);
+            return decode(unpacker);
         } catch (IOException | MessagePackException e) {
-            throw new BadInput("not a message of a member: " + e.getMessage());
+            throw new BadInput("malformed message from a member: " + e.getMessage());
         }
     }
 
     private static void write(MessageBufferPacker packer, PeerMessage message) throws IOException {
-        if (message instanceof PeerMessage.ShardSnapshot shard) {
-            packer.packInt(SLOT).packLong(shard.owner()).packLong(shard.view()).packInt(shard.shard())
-                    .packLong(shard.upTo());
-            write(packer, shard.records());
+        if (message instanceof PeerMessage.ShardSnapshot snapshot) {
+            packer.packInt(SHARD_SNAPSHOT).packLong(snapshot.owner()).packLong(snapshot.view()).packInt(snapshot.shard())
+                    .packLong(snapshot.upTo());
+            write(packer, snapshot.records());
         } else if (message instanceof PeerMessage.Changes changes) {
             packer.packInt(CHANGES).packLong(changes.owner()).packLong(changes.upTo())
                     .packArrayHeader(changes.changes().size());
             for (PeerMessage.Change change : changes.changes()) {
                 if (change.record() == null) {
-                    packer.packInt(DROPPED);
+                    packer.packInt(RECORD_DROPPED);
                     writeId(packer, change.callId());
                 } else {
                     write(packer, change.record());
                 }
             }
-        } else if (message instanceof PeerMessage.ViewReplicated placed) {
-            packer.packInt(PLACED).packLong(placed.owner()).packLong(placed.view()).packLong(placed.upTo());
-        } else if (message instanceof PeerMessage.Acknowledged kept) {
-            packer.packInt(KEPT).packLong(kept.owner()).packLong(kept.upTo()).packLong(kept.view());
-        } else if (message instanceof PeerMessage.FetchShard pull) {
-            packer.packInt(PULL).packLong(pull.owner()).packInt(pull.shard());
-        } else if (message instanceof PeerMessage.ShardFetched pulled) {
-            packer.packInt(PULLED).packLong(pulled.owner()).packInt(pulled.shard()).packLong(pulled.upTo());
-            write(packer, pulled.records());
-        } else if (message instanceof PeerMessage.EventReport told) {
-            packer.packInt(TOLD).packLong(told.requestId());
-            write(packer, told.event());
-        } else if (message instanceof PeerMessage.EventReply known) {
-            packer.packInt(KNOWN).packLong(known.requestId()).packBoolean(known.isHandled());
-        } else if (message instanceof PeerMessage.DropReplicas free) {
-            packer.packInt(FREE).packLong(free.owner());
+        } else if (message instanceof PeerMessage.ViewReplicated viewReplicated) {
+            packer.packInt(VIEW_REPLICATED).packLong(viewReplicated.owner()).packLong(viewReplicated.view())
+                    .packLong(viewReplicated.upTo());
+        } else if (message instanceof PeerMessage.Acknowledged acknowledged) {
+            packer.packInt(ACKNOWLEDGED).packLong(acknowledged.owner()).packLong(acknowledged.upTo())
+                    .packLong(acknowledged.view());
+        } else if (message instanceof PeerMessage.FetchShard fetch) {
+            packer.packInt(FETCH_SHARD).packLong(fetch.owner()).packInt(fetch.shard());
+        } else if (message instanceof PeerMessage.ShardFetched fetched) {
+            packer.packInt(SHARD_FETCHED).packLong(fetched.owner()).packInt(fetched.shard()).packLong(fetched.upTo());
+            write(packer, fetched.records());
+        } else if (message instanceof PeerMessage.EventReport report) {
+            packer.packInt(EVENT_REPORT).packLong(report.requestId());
+            write(packer, report.event());
+        } else if (message instanceof PeerMessage.EventReply reply) {
+            packer.packInt(EVENT_REPLY).packLong(reply.requestId()).packBoolean(reply.isHandled());
+        } else if (message instanceof PeerMessage.DropReplicas drop) {
+            packer.packInt(DROP_REPLICAS).packLong(drop.owner());
         } else {
-            PeerMessage.ReplicasDropped freed = (PeerMessage.ReplicasDropped) message;
-            packer.packInt(FREED).packLong(freed.owner()).packBoolean(freed.isDropped());
+            PeerMessage.ReplicasDropped dropped = (PeerMessage.ReplicasDropped) message;
+            packer.packInt(REPLICAS_DROPPED).packLong(dropped.owner()).packBoolean(dropped.isDropped());
         }
     }
 
-    private static PeerMessage read(MessageUnpacker unpacker) throws IOException {
+    private static PeerMessage decode(MessageUnpacker unpacker) throws IOException {
         int kind = unpacker.unpackInt();
         return switch (kind) {
-            case SLOT -> new PeerMessage.ShardSnapshot(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackInt(),
-                    unpacker.unpackLong(),
-                    records(unpacker));
+            case SHARD_SNAPSHOT -> new PeerMessage.ShardSnapshot(unpacker.unpackLong(), unpacker.unpackLong(),
+                    unpacker.unpackInt(), unpacker.unpackLong(), records(unpacker));
             case CHANGES -> new PeerMessage.Changes(unpacker.unpackLong(), unpacker.unpackLong(), changes(unpacker));
-            case PLACED ->
+            case VIEW_REPLICATED ->
                 new PeerMessage.ViewReplicated(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
-            case KEPT -> new PeerMessage.Acknowledged(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
-            case PULL -> new PeerMessage.FetchShard(unpacker.unpackLong(), unpacker.unpackInt());
-            case PULLED -> new PeerMessage.ShardFetched(unpacker.unpackLong(), unpacker.unpackInt(), unpacker.unpackLong(),
-                    records(unpacker));
-            case TOLD -> new PeerMessage.EventReport(unpacker.unpackLong(), event(unpacker));
-            case KNOWN -> new PeerMessage.EventReply(unpacker.unpackLong(), unpacker.unpackBoolean());
-            case FREE -> new PeerMessage.DropReplicas(unpacker.unpackLong());
-            case FREED -> new PeerMessage.ReplicasDropped(unpacker.unpackLong(), unpacker.unpackBoolean());
-            default -> throw new BadInput("a message of kind " + kind + " from a member");
+            case ACKNOWLEDGED ->
+                new PeerMessage.Acknowledged(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
+            case FETCH_SHARD -> new PeerMessage.FetchShard(unpacker.unpackLong(), unpacker.unpackInt());
+            case SHARD_FETCHED -> new PeerMessage.ShardFetched(unpacker.unpackLong(), unpacker.unpackInt(),
+                    unpacker.unpackLong(), records(unpacker));
+            case EVENT_REPORT -> new PeerMessage.EventReport(unpacker.unpackLong(), event(unpacker));
+            case EVENT_REPLY -> new PeerMessage.EventReply(unpacker.unpackLong(), unpacker.unpackBoolean());
+            case DROP_REPLICAS -> new PeerMessage.DropReplicas(unpacker.unpackLong());
+            case REPLICAS_DROPPED -> new PeerMessage.ReplicasDropped(unpacker.unpackLong(), unpacker.unpackBoolean());
+            default -> throw new BadInput("unknown message type " + kind + " from a member");
         };
     }
 
@@ -144,7 +149,7 @@
     }
 
     private static List<CallRecord> records(MessageUnpacker unpacker) throws IOException {
-        int items = items(unpacker);
+        int items = readItemCount(unpacker);
         List<CallRecord> records = new ArrayList<>(Math.min(items, 1024));
         for (int i = 0; i < items; i++) {
             records.add(record(unpacker, unpacker.unpackInt()));
@@ -153,11 +158,11 @@
     }
 
     private static List<PeerMessage.Change> changes(MessageUnpacker unpacker) throws IOException {
-        int items = items(unpacker);
+        int items = readItemCount(unpacker);
         List<PeerMessage.Change> changes = new ArrayList<>(Math.min(items, 1024));
         for (int i = 0; i < items; i++) {
             int kind = unpacker.unpackInt();
-            if (kind == DROPPED) {
+            if (kind == RECORD_DROPPED) {
                 changes.add(new PeerMessage.Change(readId(unpacker), null));
             } else {
                 CallRecord record = record(unpacker, kind);
@@ -168,29 +173,30 @@
     }
 
     private static CallRecord record(MessageUnpacker unpacker, int kind) throws IOException {
-        if (kind < 0 || kind >= KINDS.length) {
-            throw new BadInput("a record of kind " + kind);
+        if (kind < 0 || kind >= RECORD_KINDS.length) {
+            throw new BadInput("unknown record kind " + kind);
         }
-        String call = readId(unpacker);
-        return switch (KINDS[kind]) {
-            case IN_FLIGHT -> CallRecord.inFlight(call, unpacker.unpackLong(), unpacker.unpackString(),
+        String callId = readId(unpacker);
+        return switch (RECORD_KINDS[kind]) {
+            case IN_FLIGHT -> CallRecord.inFlight(callId, unpacker.unpackLong(), unpacker.unpackString(),
                     Duration.ofMillis(unpacker.unpackLong()), binary(unpacker));
-            case RETRY_DELAYED -> CallRecord.retryDelayed(call, unpacker.unpackLong(), unpacker.unpackString(),
+            case RETRY_DELAYED -> CallRecord.retryDelayed(callId, unpacker.unpackLong(), unpacker.unpackString(),
                     Duration.ofMillis(unpacker.unpackLong()), binary(unpacker));
             case ESTABLISHED ->
-                CallRecord.established(call, unpacker.unpackLong(), unpacker.unpackString(), binary(unpacker));
-            case CLIENT_RELEASE_PENDING -> CallRecord.clientReleasePending(call, unpacker.unpackString(), ending(unpacker));
-            case SERVER_RELEASE_PENDING -> CallRecord.serverReleasePending(call, unpacker.unpackLong(), binary(unpacker));
-            case COMPLETED -> CallRecord.completed(call);
+                CallRecord.established(callId, unpacker.unpackLong(), unpacker.unpackString(), binary(unpacker));
+            case CLIENT_RELEASE_PENDING ->
+                CallRecord.clientReleasePending(callId, unpacker.unpackString(), outcome(unpacker));
+            case SERVER_RELEASE_PENDING -> CallRecord.serverReleasePending(callId, unpacker.unpackLong(), binary(unpacker));
+            case COMPLETED -> CallRecord.completed(callId);
         };
     }
 
-    private static Outcome ending(MessageUnpacker unpacker) throws IOException {
-        int place = unpacker.unpackInt();
-        if (place < 0 || place >= ENDINGS.length) {
-            throw new BadInput("an end of kind " + place);
+    private static Outcome outcome(MessageUnpacker unpacker) throws IOException {
+        int ordinal = unpacker.unpackInt();
+        if (ordinal < 0 || ordinal >= OUTCOMES.length) {
+            throw new BadInput("unknown outcome " + ordinal);
         }
-        return ENDINGS[place];
+        return OUTCOMES[ordinal];
     }
 
     private static void write(MessageBufferPacker packer, CallEvent event) throws IOException {
@@ -208,10 +214,10 @@
 
     private static CallEvent event(MessageUnpacker unpacker) throws IOException {
         if (unpacker.unpackBoolean()) {
-            String call = readId(unpacker);
-            return new CallEvent.Released(call, binary(unpacker));
+            String callId = readId(unpacker);
+            return new CallEvent.Released(callId, binary(unpacker));
         }
-        return new CallEvent.Ended(readId(unpacker), ending(unpacker));
+        return new CallEvent.Ended(readId(unpacker), outcome(unpacker));
     }
 
     private static void binary(MessageBufferPacker packer, byte[] bytes) throws IOException {
@@ -223,29 +229,29 @@
         return unpacker.readPayload(unpacker.unpackBinaryHeader());
     }
 
-    private static int items(MessageUnpacker unpacker) throws IOException {
+    private static int readItemCount(MessageUnpacker unpacker) throws IOException {
         int items = unpacker.unpackArrayHeader();
-        if (items > MOST_ITEMS) {
-            throw new BadInput(items + " items");
+        if (items > MAX_ITEMS) {
+            throw new BadInput(items + " items exceed the limit");
         }
         return items;
     }
 
-    private static void writeId(MessageBufferPacker packer, String call) throws IOException {
-        if (isHex(call)) {
-            packer.packLong(Long.parseUnsignedLong(call, HEX));
+    private static void writeId(MessageBufferPacker packer, String callId) throws IOException {
+        if (isHex(callId)) {
+            packer.packLong(Long.parseUnsignedLong(callId, HEX_RADIX));
         } else {
-            packer.packString(call);
+            packer.packString(callId);
         }
     }
 
-    /** Whether the id is just as it would be read back from its number. */
-    private static boolean isHex(String call) {
-        if (call.length() != ID_DIGITS) {
+    /** Whether decoding the id's number gives exactly this id. */
+    private static boolean isHex(String callId) {
+        if (callId.length() != ID_DIGITS) {
             return false;
         }
         for (int i = 0; i < ID_DIGITS; i++) {
-            char c = call.charAt(i);
+            char c = callId.charAt(i);
             if ((c < '0' || c > '9') && (c < 'a' || c > 'f')) {
                 return false;
             }
--- a/handover/src/main/java/pathlane/handover/PeerConnections.java
+++ b/handover/src/main/java/pathlane/handover/PeerConnections.java
@@ -30,115 +30,116 @@
 import pathlane.wire.BadInput;
 
 /**
- * The connections between members: one from each to each that it sends to, dialled on demand. Every message says from
- * which lease to which it goes; one to a lease that the receiver does not have is dropped, so that nothing meant for a
- * process is taken by the one that was started in its place. On the loop's thread.
+ * The connections between members, opened on demand: one from each member to each that it sends to. Each message names the
+ * leases of its sender and of its receiver. A receiver that does not hold that lease drops the message, so that a restarted
+ * process does not act on messages for its predecessor. Confined to the event loop thread.
  */
 final class PeerConnections implements ReplicationLog.Transport {
 
     private static final Logger LOG = System.getLogger("group");
-    private static final Duration DIAL_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration REDIAL = Duration.ofMillis(200);
-    private static final Duration UNWANTED = Duration.ofSeconds(10);
-    /** What waits for a link to come up, at most, and for how long. */
-    private static final int MOST_WAITING = 2_000;
-    private static final Duration WAITS = Duration.ofSeconds(1);
-
-    /** What comes in. */
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration RECONNECT_DELAY = Duration.ofMillis(200);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(10);
+    /** Limits for messages that are queued until a connection is up: their number, and how long each is kept. */
+    private static final int MAX_QUEUED_MESSAGES = 2_000;
+    private static final Duration QUEUE_TIMEOUT = Duration.ofSeconds(1);
+
+    /** Receives connection events and messages. */
     interface Handler {
-        /** A link to this member is up, and nothing was sent on it. */
-        void up(long member);
+        /** A connection to this member is up; nothing was sent on it yet. */
+        void connected(long member);
 
-        /** {@code stream} numbers the connection; {@code answer} goes back on it. */
-        void received(long from, long stream, PeerMessage message, Consumer<PeerMessage> answer);
+        /** {@code stream} numbers the connection; {@code reply} sends an answer on it. */
+        void received(long from, long stream, PeerMessage message, Consumer<PeerMessage> reply);
     }
 
-    private record Waiting(byte[] message, Instant until) {}
+    private record QueuedMessage(byte[] message, Instant expiresAt) {}
 
-    private final Connector dialer;
-    private final AuthenticatedLink.Context common;
+    private final Connector connector;
+    private final AuthenticatedLink.Context linkContext;
     private final Scheduler scheduler;
     private final RegistryAccess registry;
-    private final LongSupplier self;
+    private final LongSupplier ownToken;
     private Handler handler;
-    private final Map<Long, Outgoing> outgoing = new HashMap<>();
-    private Set<Long> wanted = Set.of();
-    private long streams;
-    private boolean stopped;
-
-    /** {@code self} is the token of the present lease, 0 while there is none. */
-    PeerConnections(Connector dialer, AuthenticatedLink.Context common, RegistryAccess registry, LongSupplier self) {
-        this.dialer = dialer;
-        this.common = common;
-        this.scheduler = common.scheduler();
+    private final Map<Long, OutgoingConnection> outgoing = new HashMap<>();
+    private Set<Long> requiredMembers = Set.of();
+    private long lastStream;
+    private boolean isStopped;
+
+    /** {@code ownToken} is the token of the current lease, 0 while there is none. */
+    PeerConnections(Connector connector, AuthenticatedLink.Context linkContext, RegistryAccess registry,
+            LongSupplier ownToken) {
+        this.connector = connector;
+        this.linkContext = linkContext;
+        this.scheduler = linkContext.scheduler();
         this.registry = registry;
-        this.self = self;
+        this.ownToken = ownToken;
     }
 
-    /** What receives the messages from now on; called before any link is opened. */
+    /** Sets the receiver of messages; called before any connection is opened. */
     void setHandler(Handler receiver) {
         handler = receiver;
     }
 
     @Override
-    public boolean isUp(long member) {
-        Outgoing link = outgoing.get(member);
-        return link != null && link.link.isAuthenticated();
+    public boolean isConnected(long member) {
+        OutgoingConnection connection = outgoing.get(member);
+        return connection != null && connection.link.isAuthenticated();
     }
 
-    /** Links to these are held up from now on; those to others end once nothing was sent on them for a while. */
+    /** Keeps connections to these members open from now on; others are closed once nothing was sent on them for a while. */
     @Override
     public void keepConnectedTo(Set<Long> members) {
-        wanted = new HashSet<>(members);
-        wanted.forEach(this::open);
-        outgoing.forEach((member, link) -> {
-            if (!wanted.contains(member)) {
-                link.endIfUnused();
+        requiredMembers = new HashSet<>(members);
+        requiredMembers.forEach(this::openConnection);
+        outgoing.forEach((member, connection) -> {
+            if (!requiredMembers.contains(member)) {
+                connection.closeIfUnused();
             }
         });
     }
 
-    private Optional<Outgoing> open(long member) {
-        Outgoing there = outgoing.get(member);
-        if (there != null || stopped) {
-            return Optional.ofNullable(there);
+    private Optional<OutgoingConnection> openConnection(long member) {
+        OutgoingConnection existing = outgoing.get(member);
+        if (existing != null || isStopped) {
+            return Optional.ofNullable(existing);
         }
-        Optional<Member> known = registry.registry().member(member);
-        if (known.isEmpty()) {
+        Optional<Member> peer = registry.registry().member(member);
+        if (peer.isEmpty()) {
             return Optional.empty();
         }
-        Outgoing fresh = new Outgoing(known.get());
-        outgoing.put(member, fresh);
-        fresh.dial();
-        return Optional.of(fresh);
+        OutgoingConnection connection = new OutgoingConnection(peer.get());
+        outgoing.put(member, connection);
+        connection.connect();
+        return Optional.of(connection);
     }
 
-    /** Sends now, or once the link is up, if that is soon. */
+    /** Sends at once, or once the connection is up, if that is soon enough. */
     @Override
     public void send(long member, PeerMessage message) {
-        open(member).ifPresent(link -> link.send(envelope(member, message)));
+        openConnection(member).ifPresent(connection -> connection.send(envelope(member, message)));
     }
 
     private byte[] envelope(long to, PeerMessage message) {
-        byte[] bytes = PeerCodec.bytes(message);
+        byte[] bytes = PeerCodec.encode(message);
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packLong(self.getAsLong()).packLong(to).packBinaryHeader(bytes.length);
+            packer.packLong(ownToken.getAsLong()).packLong(to).packBinaryHeader(bytes.length);
             packer.writePayload(bytes);
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new UncheckedIOException(e);   // a buffer in memory has none
+            throw new UncheckedIOException(e);   // never thrown: the buffer is in memory
         }
     }
 
-    /** The state machine for a connection that another member has opened. */
+    /** Returns the protocol state machine for a connection that another member has opened. */
     Protocol accept() {
-        return new Incoming().link;
+        return new IncomingConnection().link;
     }
 
-    /** Ends all. */
+    /** Closes all connections. */
     void stop() {
-        stopped = true;
-        List.copyOf(outgoing.values()).forEach(link -> link.link.close(CloseReason.DISCONNECTED));
+        isStopped = true;
+        List.copyOf(outgoing.values()).forEach(connection -> connection.link.close(CloseReason.DISCONNECTED));
     }
 
     private void dispatch(byte[] payload, long stream, AuthenticatedLink link) {
@@ -147,56 +148,56 @@
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(payload)) {
             from = unpacker.unpackLong();
             long to = unpacker.unpackLong();
-            if (to != self.getAsLong()) {
-                return;   // for a lease that was
+            if (to != ownToken.getAsLong()) {
+                return;   // addressed to an earlier lease
             }
-            message = PeerCodec.read(unpacker.readPayload(unpacker.unpackBinaryHeader()));
+            message = PeerCodec.decode(unpacker.readPayload(unpacker.unpackBinaryHeader()));
         } catch (IOException | MessagePackException e) {
-            throw new BadInput("not a message of a member: " + e.getMessage());
+            throw new BadInput("malformed message from a member: " + e.getMessage());
         }
-        handler.received(from, stream, message, answer -> link.send(envelope(from, answer)));
+        handler.received(from, stream, message, reply -> link.send(envelope(from, reply)));
     }
 
-    private final class Outgoing implements AuthenticatedLink.Listener {
+    private final class OutgoingConnection implements AuthenticatedLink.Listener {
 
         private final Member member;
-        private final List<Waiting> waiting = new ArrayList<>();
-        private final long stream = ++streams;
-        private AuthenticatedLink link = new AuthenticatedLink(common, true, this);
-        private Instant used = scheduler.now();
+        private final List<QueuedMessage> queued = new ArrayList<>();
+        private final long stream = ++lastStream;
+        private AuthenticatedLink link = new AuthenticatedLink(linkContext, true, this);
+        private Instant lastUsedAt = scheduler.now();
 
-        Outgoing(Member member) {
+        OutgoingConnection(Member member) {
             this.member = member;
         }
 
-        void dial() {
-            if (!registry.registry().isLive(member.token()) || stopped) {
+        void connect() {
+            if (!registry.registry().isLive(member.token()) || isStopped) {
                 outgoing.remove(member.token(), this);
                 return;
             }
-            link = new AuthenticatedLink(common, true, this);
+            link = new AuthenticatedLink(linkContext, true, this);
             int colon = member.address().lastIndexOf(':');
-            dialer.connect(new InetSocketAddress(member.address().substring(0, colon),
-                    Integer.parseInt(member.address().substring(colon + 1))), DIAL_TIMEOUT, link);
+            connector.connect(new InetSocketAddress(member.address().substring(0, colon),
+                    Integer.parseInt(member.address().substring(colon + 1))), CONNECT_TIMEOUT, link);
         }
 
         void send(byte[] message) {
-            used = scheduler.now();
+            lastUsedAt = scheduler.now();
             if (link.isAuthenticated()) {
                 link.send(message);
             } else {
-                waiting.removeIf(one -> one.until.isBefore(used));
-                if (waiting.size() < MOST_WAITING) {
-                    waiting.add(new Waiting(message, used.plus(WAITS)));
+                queued.removeIf(entry -> entry.expiresAt.isBefore(lastUsedAt));
+                if (queued.size() < MAX_QUEUED_MESSAGES) {
+                    queued.add(new QueuedMessage(message, lastUsedAt.plus(QUEUE_TIMEOUT)));
                 }
             }
         }
 
-        void endIfUnused() {
-            scheduler.after(UNWANTED, () -> {
-                if (!wanted.contains(member.token()) && outgoing.get(member.token()) == this) {
-                    if (used.plus(UNWANTED).isAfter(scheduler.now())) {
-                        endIfUnused();
+        void closeIfUnused() {
+            scheduler.after(IDLE_TIMEOUT, () -> {
+                if (!requiredMembers.contains(member.token()) && outgoing.get(member.token()) == this) {
+                    if (lastUsedAt.plus(IDLE_TIMEOUT).isAfter(scheduler.now())) {
+                        closeIfUnused();
                     } else {
                         outgoing.remove(member.token(), this);
                         link.close(CloseReason.IDLE);
@@ -206,14 +207,14 @@
         }
 
         @Override
-        public void authenticated(AuthenticatedLink up, String name) {
+        public void authenticated(AuthenticatedLink authenticatedLink, String name) {
             if (!name.equals(member.name())) {
-                throw new BadInput("it says that it is " + name + ", not " + member.name());
+                throw new BadInput("peer authenticated as " + name + ", expected " + member.name());
             }
-            handler.up(member.token());
+            handler.connected(member.token());
             Instant now = scheduler.now();
-            waiting.stream().filter(one -> !one.until.isBefore(now)).forEach(one -> link.send(one.message));
-            waiting.clear();
+            queued.stream().filter(entry -> !entry.expiresAt.isBefore(now)).forEach(entry -> link.send(entry.message));
+            queued.clear();
         }
 
         @Override
@@ -222,23 +223,23 @@
         }
 
         @Override
-        public void closed(CloseReason end) {
+        public void closed(CloseReason reason) {
             if (outgoing.get(member.token()) != this) {
                 return;
             }
-            LOG.log(Level.DEBUG, "link to {0} is down: {1}", member.name(), end);
-            scheduler.after(REDIAL, this::dial);
+            LOG.log(Level.DEBUG, "connection to {0} closed: {1}", member.name(), reason);
+            scheduler.after(RECONNECT_DELAY, this::connect);
         }
     }
 
-    private final class Incoming implements AuthenticatedLink.Listener {
+    private final class IncomingConnection implements AuthenticatedLink.Listener {
 
-        private final long stream = ++streams;
-        private final AuthenticatedLink link = new AuthenticatedLink(common, false, this);
+        private final long stream = ++lastStream;
+        private final AuthenticatedLink link = new AuthenticatedLink(linkContext, false, this);
 
         @Override
-        public void authenticated(AuthenticatedLink up, String name) {
-            // Whose it is stands in each message.
+        public void authenticated(AuthenticatedLink authenticatedLink, String name) {
+            // Nothing to do: each message names its sender.
         }
 
         @Override
@@ -247,8 +248,8 @@
         }
 
         @Override
-        public void closed(CloseReason end) {
-            // It is dialled again from the other side.
+        public void closed(CloseReason reason) {
+            // The other side reconnects.
         }
     }
 }
--- a/handover/src/main/java/pathlane/handover/Reclaim.java
+++ b/handover/src/main/java/pathlane/handover/Reclaim.java
@@ -13,99 +13,101 @@
 import pathlane.group.ShardPlacement;
 
 /**
- * Reclaims the calls of a lease that has ended while its process goes on: by its next lease it is granted, through the
- * register, the shards that nobody has claimed; those that somebody has are that one's. Until the register has answered,
- * nothing is done about their calls here. On the loop's thread.
+ * Reclaims the calls of a lease that has ended while its process continues: the process asks the registry, under its next
+ * lease, for the shards that no other member has claimed; claimed shards belong to their claimer. Until the registry has
+ * replied, nothing is done here for the calls of these shards. Confined to the event loop thread.
  */
 final class Reclaim {
 
-    /** Receives the outcome for each call. */
+    /** Receives the result for each call. */
     interface Listener {
-        /** The present lease's token, if it is valid; else 0. */
+        /** The token of the current lease if it is valid, else 0. */
         long validToken();
 
-        /** Nobody has claimed it, and nobody can: it is this member's own. */
-        void own(CallRecord record);
+        /** No other member has claimed the call or can claim it: it is this member's own. */
+        void reclaimed(CallRecord record);
 
-        /** Somebody has claimed it. */
-        void others(String call);
+        /** Another member has claimed the call. */
+        void claimedElsewhere(String callId);
     }
 
     private final RegistryAccess registry;
     private final Listener listener;
-    private final Map<Long, Map<Integer, List<CallRecord>>> open = new TreeMap<>();
-    private final Set<String> calls = new HashSet<>();
-    private boolean asking;
+    private final Map<Long, Map<Integer, List<CallRecord>>> pendingShards = new TreeMap<>();
+    private final Set<String> pendingCalls = new HashSet<>();
+    private boolean isRequestPending;
 
     Reclaim(RegistryAccess registry, Listener listener) {
         this.registry = registry;
         this.listener = listener;
     }
 
-    /** A lease has ended: its shards are to be taken back, whether there are calls in them or not, but for some. */
-    void begin(long former, Set<Integer> without) {
+    /**
+     * A lease has ended: all its shards but the excluded ones are to be reclaimed, whether there are calls in them or not.
+     */
+    void begin(long formerToken, Set<Integer> excluded) {
         Map<Integer, List<CallRecord>> shards = new TreeMap<>();
         for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
-            if (!without.contains(shard)) {
+            if (!excluded.contains(shard)) {
                 shards.put(shard, new ArrayList<>());
             }
         }
         if (!shards.isEmpty()) {
-            open.put(former, shards);
+            pendingShards.put(formerToken, shards);
         }
     }
 
-    /** A call of this lease, in one of the shards that are to be taken back. */
-    void add(long former, CallRecord record) {
-        calls.add(record.callId());
-        open.get(former).get(ShardPlacement.shardOf(record.callId())).add(record);
+    /** Adds a call of this lease, in one of the shards that are to be reclaimed. */
+    void add(long formerToken, CallRecord record) {
+        pendingCalls.add(record.callId());
+        pendingShards.get(formerToken).get(ShardPlacement.shardOf(record.callId())).add(record);
     }
 
-    boolean contains(String call) {
-        return calls.contains(call);
+    boolean contains(String callId) {
+        return pendingCalls.contains(callId);
     }
 
-    /** Asks the register for what is open, if the present lease is valid and nothing is asked. */
-    void ask() {
+    /** Requests the pending shards from the registry, if the current lease is valid and no request is pending. */
+    void requestShards() {
         long token = listener.validToken();
-        if (token == 0 || asking || open.isEmpty()) {
+        if (token == 0 || isRequestPending || pendingShards.isEmpty()) {
             return;
         }
-        asking = true;
-        List<Long> formers = List.copyOf(open.keySet());
-        ask(token, formers.iterator());
+        isRequestPending = true;
+        List<Long> formerTokens = List.copyOf(pendingShards.keySet());
+        requestShards(token, formerTokens.iterator());
     }
 
-    private void ask(long token, Iterator<Long> formers) {
-        if (!formers.hasNext()) {
-            asking = false;
+    private void requestShards(long token, Iterator<Long> formerTokens) {
+        if (!formerTokens.hasNext()) {
+            isRequestPending = false;
             return;
         }
-        long former = formers.next();
-        List<Integer> shards = List.copyOf(open.get(former).keySet());
-        registry.submit(new Command.Reclaim(token, former, shards), answered -> {
-            if (answered.isPresent() && answered.get() instanceof Reply.Owned held) {
-                shards.forEach(shard -> resolve(former, shard, held.shards().contains(shard)));
+        long formerToken = formerTokens.next();
+        List<Integer> shards = List.copyOf(pendingShards.get(formerToken).keySet());
+        registry.submit(new Command.Reclaim(token, formerToken, shards), reply -> {
+            if (reply.isPresent() && reply.get() instanceof Reply.Owned owned) {
+                shards.forEach(shard -> resolve(formerToken, shard, owned.shards().contains(shard)));
             }
-            ask(token, formers);
+            requestShards(token, formerTokens);
         });
     }
 
-    private void resolve(long former, int shard, boolean back) {
-        if (!back && registry.registry().isReclaimable(former, shard)) {
-            return;   // its records are looked up still by who goes on with others' calls: asked again
+    private void resolve(long formerToken, int shard, boolean isReclaimed) {
+        if (!isReclaimed && registry.registry().isReclaimable(formerToken, shard)) {
+            return;   // the adopter of others' calls still looks up the shard's records: requested again later
         }
-        Map<Integer, List<CallRecord>> left = open.get(former);
-        List<CallRecord> records = left.remove(shard);
-        if (left.isEmpty()) {
-            open.remove(former);
+        Map<Integer, List<CallRecord>> remaining = pendingShards.get(formerToken);
+        List<CallRecord> records = remaining.remove(shard);
+        if (remaining.isEmpty()) {
+            pendingShards.remove(formerToken);
         }
         for (CallRecord record : records) {
-            calls.remove(record.callId());
-            if (back) {
-                listener.own(record);
+            pendingCalls.remove(record.callId());
+            if (isReclaimed) {
+                listener.reclaimed(record);
             } else {
-                listener.others(record.callId());
+                listener.claimedElsewhere(record.callId());
             }
         }
     }
--- a/handover/src/main/java/pathlane/handover/ReclaimedCalls.java
+++ b/handover/src/main/java/pathlane/handover/ReclaimedCalls.java
@@ -4,7 +4,7 @@
 import pathlane.core.CallController;
 import pathlane.group.LeaseHolder;
 
-/** Acts on what became known of the calls of a lease that ended: whether they are still this member's. */
+/** Acts on the calls of an ended lease once the registry has decided whether they are still this member's. */
 final class ReclaimedCalls implements Reclaim.Listener {
 
     private final LeaseHolder leaseHolder;
@@ -13,7 +13,7 @@
     private final OrphanedEvents orphanedEvents;
     private final Supplier<CallController> controller;
 
-    /** {@code controller} is asked once calls are known; it is set before that. */
+    /** {@code controller} is used only once there are calls; it is set by then. */
     ReclaimedCalls(LeaseHolder leaseHolder, ReplicationLog replicationLog, DeferredEvents deferredEvents,
             OrphanedEvents orphanedEvents, Supplier<CallController> controller) {
         this.leaseHolder = leaseHolder;
@@ -29,20 +29,20 @@
     }
 
     @Override
-    public void own(CallRecord record) {
-        CallController calls = controller.get();
+    public void reclaimed(CallRecord record) {
+        CallController callController = controller.get();
         if (record.kind() == CallRecord.Kind.CLIENT_RELEASE_PENDING) {
-            calls.deliverRelease(record.callId(), new AdoptedClient(record.clientKey()), record.outcome());
+            callController.deliverRelease(record.callId(), new AdoptedClient(record.clientKey()), record.outcome());
         } else if (record.kind() == CallRecord.Kind.SERVER_RELEASE_PENDING) {
-            calls.deliverServerRelease(record.callId(), record.server(), record.releaseToken());
-        } else if (calls.isEstablished(record.callId())) {
+            callController.deliverServerRelease(record.callId(), record.server(), record.releaseToken());
+        } else if (callController.isEstablished(record.callId())) {
             replicationLog.put(record);
-            deferredEvents.take(record.callId()).forEach(calls::handleOwned);
+            deferredEvents.take(record.callId()).forEach(callController::handleOwned);
         }
     }
 
     @Override
-    public void others(String callId) {
+    public void claimedElsewhere(String callId) {
         controller.get().disown(callId);
         deferredEvents.take(callId).forEach(orphanedEvents::report);
     }
--- a/handover/src/main/java/pathlane/handover/RecordTable.java
+++ b/handover/src/main/java/pathlane/handover/RecordTable.java
@@ -9,7 +9,10 @@
 import java.util.Optional;
 import pathlane.group.ShardPlacement;
 
-/** An owner's records of its calls, by call and by shard, and as what each was last sent. On the loop's thread. */
+/**
+ * An owner's records of its calls, by call and by shard, and the kind as which each was last sent. Confined to the event
+ * loop thread.
+ */
 final class RecordTable {
 
     /** A call's record. */
@@ -22,17 +25,17 @@
             return record;
         }
 
-        /** The number of its last change. */
+        /** The number of the record's last change. */
         long lastChange() {
             return lastChange;
         }
 
-        /** Its present state is sent to a replica holder. */
+        /** The record's current state is sent to a replica holder. */
         void markSent() {
             sentAs = Optional.of(record.kind());
         }
 
-        /** Whether a successor would act on the call: one of which it knows an attempt alone is left to its owner. */
+        /** Whether a successor would act on the call. It leaves a call of which it knows just an attempt to the owner. */
         boolean isShared() {
             return sentAs.filter(kind -> kind != CallRecord.Kind.IN_FLIGHT && kind != CallRecord.Kind.RETRY_DELAYED)
                     .isPresent();
@@ -52,7 +55,7 @@
         return Optional.ofNullable(entries.get(callId));
     }
 
-    /** The call's record from now on, by the change of this number. */
+    /** Sets the call's record, by the change of this number. */
     void put(CallRecord record, long change) {
         Entry entry = entries.computeIfAbsent(record.callId(), id -> new Entry());
         entry.record = record;
@@ -60,7 +63,7 @@
         shards.get(ShardPlacement.shardOf(record.callId())).put(record.callId(), entry);
     }
 
-    /** Removes a call's record; false where there is none. */
+    /** Removes a call's record; returns false if there is none. */
     boolean remove(String callId) {
         boolean isKnown = entries.remove(callId) != null;
         if (isKnown) {
@@ -73,11 +76,11 @@
         return entries.values();
     }
 
-    Collection<Entry> ofShard(int shard) {
+    Collection<Entry> inShard(int shard) {
         return shards.get(shard).values();
     }
 
-    /** No replica holder has any of the records. */
+    /** Marks all records as not sent: no replica holder has any of them. */
     void clearSent() {
         entries.values().forEach(entry -> entry.sentAs = Optional.empty());
     }
--- a/handover/src/main/java/pathlane/handover/ReplicaFeed.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaFeed.java
@@ -4,40 +4,43 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** What one replica holder is sent of an owner's records, and how much of it it has acknowledged. On the loop's thread. */
+/**
+ * What one replica holder is sent of an owner's records, and how much of it it has acknowledged. Confined to the event loop
+ * thread.
+ */
 final class ReplicaFeed {
 
-    private static final long NOTHING = -1;
+    private static final long NO_CHANGE = -1;
 
-    private BitSet shards = new BitSet();
-    /** Shards that were sent whole on the connection that is up. */
+    private BitSet assignedShards = new BitSet();
+    /** Shards of which a snapshot was sent on the current connection. */
     private final BitSet sentShards = new BitSet();
     private final List<PeerMessage.Change> unsentChanges = new ArrayList<>();
-    private long acknowledgedUpTo = NOTHING;
-    /** The last change that concerned this holder. */
+    private long acknowledgedUpTo = NO_CHANGE;
+    /** The number of the last change that concerned this replica holder. */
     private long lastChange;
     private long acknowledgedView;
     private long announcedView;
 
-    /** The holder is wanted for these shards from now on. */
-    void place(BitSet wanted) {
-        shards = wanted;
-        sentShards.and(wanted);
+    /** Assigns the shards that the replica holder is to have. */
+    void assignShards(BitSet newShards) {
+        assignedShards = newShards;
+        sentShards.and(newShards);
     }
 
-    boolean isFor(int shard) {
-        return shards.get(shard);
+    boolean isAssigned(int shard) {
+        return assignedShards.get(shard);
     }
 
     boolean hasSent(int shard) {
         return sentShards.get(shard);
     }
 
-    /** The shards that have not been sent on this connection; they count as sent from now on. */
+    /** Returns the shards that were not sent on this connection; they count as sent from now on. */
     BitSet takeUnsentShards() {
-        BitSet unsent = (BitSet) shards.clone();
+        BitSet unsent = (BitSet) assignedShards.clone();
         unsent.andNot(sentShards);
-        sentShards.or(shards);
+        sentShards.or(assignedShards);
         return unsent;
     }
 
@@ -46,14 +49,14 @@
         lastChange = number;
     }
 
-    /** The changes that wait to be sent; they count as sent from now on. */
+    /** Returns the changes that wait to be sent; they count as sent from now on. */
     List<PeerMessage.Change> takeUnsentChanges() {
         List<PeerMessage.Change> changes = new ArrayList<>(unsentChanges);
         unsentChanges.clear();
         return changes;
     }
 
-    /** Whether the holder has yet to be told that it has all of a view; it counts as told from now on. */
+    /** Whether a view has yet to be announced as complete to the replica holder; it counts as announced from now on. */
     boolean announce(long view, long upTo) {
         boolean isNew = announcedView != view;
         if (isNew) {
@@ -63,16 +66,16 @@
         return isNew;
     }
 
-    /** Nothing was sent on the connection, or the holder has dropped what was. */
+    /** Nothing was sent on the connection, or the replica holder has dropped what was. */
     void restart() {
         sentShards.clear();
         unsentChanges.clear();
         announcedView = 0;
     }
 
-    /** The holder has dropped what it had acknowledged. */
+    /** The replica holder has dropped what it had acknowledged. */
     void clearAcknowledged() {
-        acknowledgedUpTo = NOTHING;
+        acknowledgedUpTo = NO_CHANGE;
         acknowledgedView = 0;
     }
 
@@ -81,18 +84,18 @@
         acknowledgedView = Math.max(acknowledgedView, view);
     }
 
-    /** Whether the holder has said that it has all of a view, or a later one. */
+    /** Whether the replica holder has acknowledged this view or a later one. */
     boolean hasView(long view) {
         return acknowledgedView >= view;
     }
 
-    /** Whether the holder has all changes up to this one. */
-    boolean has(long change) {
+    /** Whether the replica holder has acknowledged all changes up to this one. */
+    boolean hasChange(long change) {
         return acknowledgedUpTo >= change;
     }
 
-    /** Whether the holder has all that concerns it. */
+    /** Whether the replica holder has acknowledged all changes that concern it. */
     boolean isUpToDate() {
-        return unsentChanges.isEmpty() && has(lastChange);
+        return unsentChanges.isEmpty() && hasChange(lastChange);
     }
 }
--- a/handover/src/main/java/pathlane/handover/ReplicaRelease.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaRelease.java
@@ -7,70 +7,72 @@
 import pathlane.group.LeaseHolder;
 
 /**
- * Guards calls against a group that can't agree: while the own lease has lapsed, all holders are asked to drop their
- * replicas and not to act by them. Once all have, the calls are this controller's alone. On the loop's thread.
+ * Keeps calls served while the group can't reach agreement: once this controller's lease has lapsed, all replica holders are
+ * asked to drop their replicas and not to act on them. When all have done so, no other member can act on the calls. Confined
+ * to the event loop thread.
  */
 final class ReplicaRelease {
 
-    private static final Duration ASK_EVERY = Duration.ofMillis(250);
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(250);
 
     private final Scheduler scheduler;
     private final LeaseHolder leaseHolder;
     private final ReplicationLog replicationLog;
-    private final PeerConnections links;
-    private final Runnable released;
-    /** Keepers that have dropped their replicas since the lease lapsed. */
-    private final Set<Long> releasedBy = new HashSet<>();
-    private boolean stopped;
+    private final PeerConnections connections;
+    private final Runnable onReleased;
+    /** Replica holders that have dropped their replicas since the lease lapsed. */
+    private final Set<Long> releasedHolders = new HashSet<>();
+    private boolean isStopped;
 
-    /** {@code released} runs once all holders have dropped their replicas. */
-    ReplicaRelease(Scheduler scheduler, LeaseHolder leaseHolder, ReplicationLog replicationLog, PeerConnections links,
-            Runnable released) {
+    /** {@code onReleased} runs once all replica holders have dropped their replicas. */
+    ReplicaRelease(Scheduler scheduler, LeaseHolder leaseHolder, ReplicationLog replicationLog, PeerConnections connections,
+            Runnable onReleased) {
         this.scheduler = scheduler;
         this.leaseHolder = leaseHolder;
         this.replicationLog = replicationLog;
-        this.links = links;
-        this.released = released;
+        this.connections = connections;
+        this.onReleased = onReleased;
     }
 
-    /** The lease has lapsed: asks, and goes on asking while it has. */
+    /** The lease has lapsed: sends requests, and repeats them as long as it has. */
     void begin() {
-        releasedBy.clear();
-        ask();
+        releasedHolders.clear();
+        sendRequests();
     }
 
-    private void ask() {
-        if (!leaseHolder.hasLapsed() || stopped) {
+    private void sendRequests() {
+        if (!leaseHolder.hasLapsed() || isStopped) {
             return;
         }
-        PeerMessage question = new PeerMessage.DropReplicas(leaseHolder.token());
-        replicationLog.replicaHolders().stream().filter(holder -> !releasedBy.contains(holder))
-                .forEach(holder -> links.send(holder, question));
-        scheduler.after(ASK_EVERY, this::ask);
+        PeerMessage request = new PeerMessage.DropReplicas(leaseHolder.token());
+        replicationLog.replicaHolders().stream().filter(holder -> !releasedHolders.contains(holder))
+                .forEach(holder -> connections.send(holder, request));
+        scheduler.after(REQUEST_INTERVAL, this::sendRequests);
     }
 
-    /** A holder has answered. */
-    void answered(long holder, PeerMessage.ReplicasDropped answer) {
-        if (!answer.isDropped() || answer.owner() != leaseHolder.token()) {
+    /** A replica holder has replied. */
+    void replied(long holder, PeerMessage.ReplicasDropped reply) {
+        if (!reply.isDropped() || reply.owner() != leaseHolder.token()) {
             return;
         }
-        // Also where the lease is valid again by now: what the holder dropped is not replicated before it has it anew.
+        // Done even if the lease is valid again by now: what the replica holder dropped is not replicated until it is sent
+        // anew.
         replicationLog.replicasDroppedAt(holder);
         if (!leaseHolder.hasLapsed()) {
             return;
         }
-        releasedBy.add(holder);
-        if (releasedBy.containsAll(replicationLog.replicaHolders())) {
-            released.run();
+        releasedHolders.add(holder);
+        if (releasedHolders.containsAll(replicationLog.replicaHolders())) {
+            onReleased.run();
         }
     }
 
-    /** A lease was granted: answers to earlier questions count no more. */
+    /** A lease was granted: replies to earlier requests no longer count. */
     void clear() {
-        releasedBy.clear();
+        releasedHolders.clear();
     }
 
     void stop() {
-        stopped = true;
+        isStopped = true;
     }
 }
--- a/handover/src/main/java/pathlane/handover/ReplicaStore.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaStore.java
@@ -19,275 +19,282 @@
 import pathlane.group.ShardPlacement;
 
 /**
- * The replicas that a member holds of other owners' records, by owner and shard, as far as each owner's changes have come.
- * A shard is as its owner had it at one moment, never half of one state and half of another. On the loop's thread.
+ * The replicas that a member holds of other owners' records, by owner and shard, up to the last change received from each
+ * owner. A replica always shows its shard as it was at its owner at one moment, never a mixture of two states. Confined to
+ * the event loop thread.
  */
 final class ReplicaStore {
 
-    /** A shard as it was kept: how far it goes, in the owner's count of its changes. */
+    /** The replica of a shard, with the owner's changes up to {@code upTo}. */
     record ShardCopy(long upTo, List<CallRecord> records) {}
 
-    private static final class KeptSlot {
+    private static final class ShardReplica {
         long stream;
         long upTo;
         Map<String, CallRecord> records = new LinkedHashMap<>();
     }
 
-    private static final class Kept {
-        final Map<Integer, KeptSlot> shards = new HashMap<>();
-        /** The connection on which it last sent, and how far what came there goes. */
+    private static final class OwnerReplicas {
+        final Map<Integer, ShardReplica> shards = new HashMap<>();
+        /** The owner's latest connection, and the last of its changes that was received there. */
         long stream;
         long upTo = -1;
         long view;
-        /** The newest view by which the owner placed anything here. */
-        long newest;
+        /** The newest view by which the owner placed any records here. */
+        long newestView;
     }
 
     private final Scheduler scheduler;
-    /** What is added to an attempt's own time: nothing is sent for its call for so long after it was lost. */
-    private final Duration clearWait;
-    private final Map<Long, Kept> owners = new HashMap<>();
-    /** Until when nothing may be sent for a call, as counted from here: later than its owner counts. */
-    private final Map<String, Instant> heldBack = new LinkedHashMap<>();
-    private final Map<String, Long> ownerOf = new HashMap<>();
-    /** What happened to calls while nobody acted on them. */
-    private final Map<String, List<CallEvent>> events = new HashMap<>();
-    /** Owners that were promised that nobody acts by their records from here. */
-    private final Set<Long> freed = new HashSet<>();
+    /** Added to an attempt's own timeout: no request is sent for its call for so long after the attempt was lost. */
+    private final Duration lostAttemptDelay;
+    private final Map<Long, OwnerReplicas> owners = new HashMap<>();
+    /**
+     * Until when no request may be sent for a call. Counted from the arrival here, so it is later than the owner's own time.
+     */
+    private final Map<String, Instant> retryNotBefore = new LinkedHashMap<>();
+    private final Map<String, Long> ownerByCall = new HashMap<>();
+    /** Events of calls that arrived while no member acted on the call. */
+    private final Map<String, List<CallEvent>> eventsByCall = new HashMap<>();
+    /** Owners that were assured that this member never acts on their replicas. */
+    private final Set<Long> droppedOwners = new HashSet<>();
 
-    ReplicaStore(Scheduler scheduler, Duration clearWait) {
+    ReplicaStore(Scheduler scheduler, Duration lostAttemptDelay) {
         this.scheduler = scheduler;
-        this.clearWait = clearWait;
+        this.lostAttemptDelay = lostAttemptDelay;
     }
 
-    private void note(CallRecord record) {
-        boolean sent = record.kind() == CallRecord.Kind.IN_FLIGHT;
-        if (sent || record.kind() == CallRecord.Kind.RETRY_DELAYED) {
-            heldBack.put(record.callId(), scheduler.now().plus(record.remaining()).plus(sent ? clearWait : Duration.ZERO));
+    private void updateRetryDelay(CallRecord record) {
+        boolean isInFlight = record.kind() == CallRecord.Kind.IN_FLIGHT;
+        if (isInFlight || record.kind() == CallRecord.Kind.RETRY_DELAYED) {
+            retryNotBefore.put(record.callId(),
+                    scheduler.now().plus(record.remaining()).plus(isInFlight ? lostAttemptDelay : Duration.ZERO));
         } else {
-            heldBack.remove(record.callId());
+            retryNotBefore.remove(record.callId());
         }
     }
 
-    /** How long nothing may be sent for a call. */
-    Duration retryDelay(String call) {
-        Instant until = heldBack.get(call);
-        Duration left = until == null ? Duration.ZERO : Duration.between(scheduler.now(), until);
-        return left.isNegative() ? Duration.ZERO : left;
+    /** How long no request may be sent for a call. */
+    Duration retryDelay(String callId) {
+        Instant notBefore = retryNotBefore.get(callId);
+        Duration remaining = notBefore == null ? Duration.ZERO : Duration.between(scheduler.now(), notBefore);
+        return remaining.isNegative() ? Duration.ZERO : remaining;
     }
 
-    /** A shard whole; {@code stream} numbers the connection it came on. */
-    void storeSnapshot(PeerMessage.ShardSnapshot shard, long stream) {
-        freed.remove(shard.owner());
-        Kept kept = owners.computeIfAbsent(shard.owner(), owner -> new Kept());
-        if (!isCurrent(kept, stream)) {
+    /** Stores a snapshot of a shard; {@code stream} numbers the connection on which it arrived. */
+    void storeSnapshot(PeerMessage.ShardSnapshot snapshot, long stream) {
+        droppedOwners.remove(snapshot.owner());
+        OwnerReplicas replicas = owners.computeIfAbsent(snapshot.owner(), owner -> new OwnerReplicas());
+        if (!isCurrent(replicas, stream)) {
             return;
         }
-        kept.newest = Math.max(kept.newest, shard.view());
-        KeptSlot fresh = new KeptSlot();
-        fresh.stream = stream;
-        fresh.upTo = shard.upTo();
-        for (CallRecord record : shard.records()) {
-            fresh.records.put(record.callId(), record);
-            ownerOf.put(record.callId(), shard.owner());
-            note(record);
+        replicas.newestView = Math.max(replicas.newestView, snapshot.view());
+        ShardReplica replica = new ShardReplica();
+        replica.stream = stream;
+        replica.upTo = snapshot.upTo();
+        for (CallRecord record : snapshot.records()) {
+            replica.records.put(record.callId(), record);
+            ownerByCall.put(record.callId(), snapshot.owner());
+            updateRetryDelay(record);
         }
-        KeptSlot before = kept.shards.put(shard.shard(), fresh);
-        if (before != null) {
-            before.records.keySet().forEach(call -> forgetUnless(call, shard.owner(), fresh));
+        ShardReplica previous = replicas.shards.put(snapshot.shard(), replica);
+        if (previous != null) {
+            previous.records.keySet().forEach(callId -> removeOwnerUnless(callId, snapshot.owner(), replica));
         }
     }
 
-    private void forgetUnless(String call, long owner, KeptSlot fresh) {
-        if (!fresh.records.containsKey(call)) {
-            ownerOf.remove(call, owner);
+    private void removeOwnerUnless(String callId, long owner, ShardReplica replica) {
+        if (!replica.records.containsKey(callId)) {
+            ownerByCall.remove(callId, owner);
         }
     }
 
-    /** Whether this is the owner's latest connection: what comes on an older one is older than what is kept. */
-    private static boolean isCurrent(Kept kept, long stream) {
-        if (stream > kept.stream) {
-            kept.stream = stream;
-            kept.upTo = -1;
+    /** Whether this is the owner's latest connection: messages on an earlier one are older than what is stored. */
+    private static boolean isCurrent(OwnerReplicas replicas, long stream) {
+        if (stream > replicas.stream) {
+            replicas.stream = stream;
+            replicas.upTo = -1;
         }
-        return stream == kept.stream;
+        return stream == replicas.stream;
     }
 
-    /** Changes, in the order in which they were made. What is not kept on this connection is passed over. */
+    /** Applies changes in the order in which they were made, and skips those of shards not received on this connection. */
     void applyChanges(PeerMessage.Changes changes, long stream) {
-        Kept kept = owners.get(changes.owner());
-        if (kept == null || kept.stream != stream) {
+        OwnerReplicas replicas = owners.get(changes.owner());
+        if (replicas == null || replicas.stream != stream) {
             return;
         }
         for (PeerMessage.Change change : changes.changes()) {
-            KeptSlot shard = kept.shards.get(ShardPlacement.shardOf(change.callId()));
+            ShardReplica shard = replicas.shards.get(ShardPlacement.shardOf(change.callId()));
             if (shard == null || shard.stream != stream) {
                 continue;
             }
             if (change.record() == null) {
                 shard.records.remove(change.callId());
-                ownerOf.remove(change.callId(), changes.owner());
-                events.remove(change.callId());
+                ownerByCall.remove(change.callId(), changes.owner());
+                eventsByCall.remove(change.callId());
             } else {
                 shard.records.put(change.callId(), change.record());
-                ownerOf.put(change.callId(), changes.owner());
-                note(change.record());
+                ownerByCall.put(change.callId(), changes.owner());
+                updateRetryDelay(change.record());
             }
         }
         if (changes.upTo() >= 0) {
-            kept.upTo = changes.upTo();
+            replicas.upTo = changes.upTo();
         }
     }
 
-    /** The owner has sent all shards of a view; returns what to answer. */
-    PeerMessage.Acknowledged viewReplicated(PeerMessage.ViewReplicated placed, long stream) {
-        Kept kept = owners.computeIfAbsent(placed.owner(), owner -> new Kept());
-        if (isCurrent(kept, stream)) {
-            kept.view = placed.view();
-            kept.upTo = placed.upTo();
-            kept.newest = Math.max(kept.newest, placed.view());
+    /** The owner has sent all shards of a view; returns the acknowledgement to send. */
+    PeerMessage.Acknowledged viewReplicated(PeerMessage.ViewReplicated message, long stream) {
+        OwnerReplicas replicas = owners.computeIfAbsent(message.owner(), owner -> new OwnerReplicas());
+        if (isCurrent(replicas, stream)) {
+            replicas.view = message.view();
+            replicas.upTo = message.upTo();
+            replicas.newestView = Math.max(replicas.newestView, message.view());
         }
-        return acknowledgement(placed.owner());
+        return acknowledgement(message.owner());
     }
 
-    /** How much is kept of an owner's. */
+    /** How much of an owner's records is stored here. */
     PeerMessage.Acknowledged acknowledgement(long owner) {
-        Kept kept = owners.get(owner);
-        return new PeerMessage.Acknowledged(owner, kept == null ? -1 : kept.upTo, kept == null ? 0 : kept.view);
+        OwnerReplicas replicas = owners.get(owner);
+        return new PeerMessage.Acknowledged(owner, replicas == null ? -1 : replicas.upTo,
+                replicas == null ? 0 : replicas.view);
     }
 
-    /** What is kept of a shard, or nothing. */
+    /** The replica of a shard; empty if there is none, or if the owner was assured that it is not used. */
     Optional<ReplicaStore.ShardCopy> copy(long owner, int shard) {
-        Kept kept = owners.get(owner);
-        KeptSlot one = kept == null ? null : kept.shards.get(shard);
-        if (one == null || freed.contains(owner)) {
+        OwnerReplicas replicas = owners.get(owner);
+        ShardReplica replica = replicas == null ? null : replicas.shards.get(shard);
+        if (replica == null || droppedOwners.contains(owner)) {
             return Optional.empty();
         }
-        long upTo = one.stream == kept.stream ? Math.max(one.upTo, kept.upTo) : one.upTo;
-        return Optional.of(new ReplicaStore.ShardCopy(upTo, new ArrayList<>(one.records.values())));
+        long upTo = replica.stream == replicas.stream ? Math.max(replica.upTo, replicas.upTo) : replica.upTo;
+        return Optional.of(new ReplicaStore.ShardCopy(upTo, new ArrayList<>(replica.records.values())));
     }
 
-    /** Calls to which something happened that nobody has acted on. */
+    /** The calls that have stored events. */
     List<String> callsWithEvents() {
-        return List.copyOf(events.keySet());
+        return List.copyOf(eventsByCall.keySet());
     }
 
-    /** Whose call this is by the records that are kept here. */
-    Optional<Long> ownerOf(String call) {
-        return Optional.ofNullable(ownerOf.get(call)).filter(owner -> !freed.contains(owner));
+    /** The owner of a call by the replicas that are stored here. */
+    Optional<Long> ownerOf(String callId) {
+        return Optional.ofNullable(ownerByCall.get(callId)).filter(owner -> !droppedOwners.contains(owner));
     }
 
-    /** What is left to do for a call by the records that are kept here. */
-    Optional<CallRecord.Kind> kindOf(String call) {
-        return ownerOf(call).map(owners::get).map(kept -> kept.shards.get(ShardPlacement.shardOf(call)))
-                .map(shard -> shard.records.get(call)).map(CallRecord::kind);
+    /** What is left to do for a call by the replicas that are stored here. */
+    Optional<CallRecord.Kind> kindOf(String callId) {
+        return ownerOf(callId).map(owners::get).map(replicas -> replicas.shards.get(ShardPlacement.shardOf(callId)))
+                .map(shard -> shard.records.get(callId)).map(CallRecord::kind);
     }
 
-    /** Keeps what happened for whoever goes on with the call; false where it is kept already. */
+    /** Stores an event for the member that adopts the call; returns false if one of its kind is already stored. */
     boolean storeEvent(CallEvent event) {
-        List<CallEvent> all = events.computeIfAbsent(event.callId(), call -> new ArrayList<>());
-        if (all.stream().anyMatch(one -> one.getClass() == event.getClass())) {
+        List<CallEvent> callEvents = eventsByCall.computeIfAbsent(event.callId(), callId -> new ArrayList<>());
+        if (callEvents.stream().anyMatch(stored -> stored.getClass() == event.getClass())) {
             return false;
         }
-        return all.add(event);
+        return callEvents.add(event);
     }
 
-    /** What happened to a call and is kept. */
-    List<CallEvent> storeEvent(String call) {
-        return List.copyOf(events.getOrDefault(call, List.of()));
+    /** Returns the stored events of a call; they stay stored. */
+    List<CallEvent> storeEvent(String callId) {
+        return List.copyOf(eventsByCall.getOrDefault(callId, List.of()));
     }
 
-    /** Whoever acts on the call knows of it. */
+    /** Removes an event of which the acting member has been notified. */
     void removeEvent(CallEvent event) {
-        events.computeIfPresent(event.callId(), (call, all) -> {
-            all.removeIf(one -> one.getClass() == event.getClass());
-            return all.isEmpty() ? null : all;
+        eventsByCall.computeIfPresent(event.callId(), (callId, callEvents) -> {
+            callEvents.removeIf(stored -> stored.getClass() == event.getClass());
+            return callEvents.isEmpty() ? null : callEvents;
         });
     }
 
-    /** What happened to a call; it is handed out once. */
-    List<CallEvent> takeEvents(String call) {
-        List<CallEvent> happened = events.remove(call);
-        return happened == null ? List.of() : happened;
+    /** Removes the stored events of a call and returns them. */
+    List<CallEvent> takeEvents(String callId) {
+        List<CallEvent> callEvents = eventsByCall.remove(callId);
+        return callEvents == null ? List.of() : callEvents;
     }
 
-    /** Drops an owner's records and will not act by them, until it sends some anew; returns what is the owner's to know. */
+    /**
+     * Drops an owner's replicas and will not act on them until it sends new ones; returns the events to report to the owner.
+     */
     List<CallEvent> dropReplicas(long owner) {
-        List<CallEvent> happened = new ArrayList<>();
-        events.forEach((call, all) -> {
-            if (ownerOf.getOrDefault(call, 0L) == owner) {
-                happened.addAll(all);
+        List<CallEvent> ownerEvents = new ArrayList<>();
+        eventsByCall.forEach((callId, callEvents) -> {
+            if (ownerByCall.getOrDefault(callId, 0L) == owner) {
+                ownerEvents.addAll(callEvents);
             }
         });
-        freed.add(owner);
+        droppedOwners.add(owner);
         drop(owner);
-        return happened;
+        return ownerEvents;
     }
 
     boolean isDropped(long owner) {
-        return freed.contains(owner);
+        return droppedOwners.contains(owner);
     }
 
     private void drop(long owner) {
-        Kept kept = owners.remove(owner);
-        if (kept != null) {
-            kept.shards.values().forEach(shard -> drop(owner, shard, new ArrayList<>()));
+        OwnerReplicas replicas = owners.remove(owner);
+        if (replicas != null) {
+            replicas.shards.values().forEach(shard -> drop(owner, shard, new ArrayList<>()));
         }
     }
 
-    private void drop(long owner, KeptSlot shard, List<CallEvent> left) {
-        shard.records.keySet().forEach(call -> {
-            if (ownerOf.remove(call, owner)) {
-                left.addAll(takeEvents(call));
+    private void drop(long owner, ShardReplica shard, List<CallEvent> undelivered) {
+        shard.records.keySet().forEach(callId -> {
+            if (ownerByCall.remove(callId, owner)) {
+                undelivered.addAll(takeEvents(callId));
             }
         });
     }
 
     /**
-     * Lets go of what the register no longer places here, and of owners whose work is settled; returns what had happened to
-     * their calls and was not taken by whoever acts.
+     * Drops replicas that the registry no longer places here, and those of owners all of whose shards are completed; returns
+     * the stored events of their calls that no acting member has taken.
      */
-    List<CallEvent> prune(LeaseRegistry register, long self) {
-        List<CallEvent> left = new ArrayList<>();
+    List<CallEvent> prune(LeaseRegistry registry, long ownToken) {
+        List<CallEvent> undelivered = new ArrayList<>();
         Instant now = scheduler.now();
-        heldBack.values().removeIf(until -> until.isBefore(now));
-        freed.removeIf(owner -> owner <= register.lastToken() && !register.isLive(owner)
-                && register.orphan(owner).isEmpty());
-        for (Iterator<Map.Entry<Long, Kept>> each = owners.entrySet().iterator(); each.hasNext();) {
-            Map.Entry<Long, Kept> one = each.next();
-            long owner = one.getKey();
-            if (owner > register.lastToken() || one.getValue().newest > register.view()) {
-                continue;   // its owner has seen more of the register
+        retryNotBefore.values().removeIf(notBefore -> notBefore.isBefore(now));
+        droppedOwners.removeIf(owner -> owner <= registry.lastToken() && !registry.isLive(owner)
+                && registry.orphan(owner).isEmpty());
+        for (Iterator<Map.Entry<Long, OwnerReplicas>> iterator = owners.entrySet().iterator(); iterator.hasNext();) {
+            Map.Entry<Long, OwnerReplicas> entry = iterator.next();
+            long owner = entry.getKey();
+            if (owner > registry.lastToken() || entry.getValue().newestView > registry.view()) {
+                continue;   // the owner has seen a later state of the registry
             }
-            Optional<OrphanedShards> orphan = register.orphan(owner);
-            if (!register.isLive(owner) && orphan.isEmpty()) {
-                one.getValue().shards.values().forEach(shard -> drop(owner, shard, left));
-                each.remove();
+            Optional<OrphanedShards> orphan = registry.orphan(owner);
+            if (!registry.isLive(owner) && orphan.isEmpty()) {
+                entry.getValue().shards.values().forEach(shard -> drop(owner, shard, undelivered));
+                iterator.remove();
             } else {
-                one.getValue().shards.entrySet().removeIf(shard -> {
-                    boolean stays = orphan.isPresent() ? orphan.get().owners().containsKey(shard.getKey())
-                            : keeps(register, owner, shard.getKey(), self);
-                    if (!stays) {
-                        drop(owner, shard.getValue(), left);
+                entry.getValue().shards.entrySet().removeIf(shard -> {
+                    boolean isPlacedHere = orphan.isPresent() ? orphan.get().owners().containsKey(shard.getKey())
+                            : isReplicaHolder(registry, owner, shard.getKey(), ownToken);
+                    if (!isPlacedHere) {
+                        drop(owner, shard.getValue(), undelivered);
                     }
-                    return !stays;
+                    return !isPlacedHere;
                 });
             }
         }
-        return left;
+        return undelivered;
     }
 
-    private static boolean keeps(LeaseRegistry register, long owner, int shard, long self) {
-        return isAmong(register.replicaHolders(owner, shard, register.replicatedView(owner)), self)
-                || isAmong(register.replicaHolders(owner, shard, register.view()), self);
+    private static boolean isReplicaHolder(LeaseRegistry registry, long owner, int shard, long ownToken) {
+        return isAmong(registry.replicaHolders(owner, shard, registry.replicatedView(owner)), ownToken)
+                || isAmong(registry.replicaHolders(owner, shard, registry.view()), ownToken);
     }
 
     private static boolean isAmong(List<Member> members, long token) {
         return members.stream().anyMatch(member -> member.token() == token);
     }
 
-    /** Records that are kept for others. */
+    /** The number of calls with a replica here. */
     int size() {
-        return ownerOf.size();
+        return ownerByCall.size();
     }
 }
--- a/handover/src/main/java/pathlane/handover/ReplicationLog.java
+++ b/handover/src/main/java/pathlane/handover/ReplicationLog.java
@@ -19,32 +19,32 @@
 
 /**
  * The replication of an owner's records: which members hold a replica of each, what has yet to be sent to them, and which
- * records others may act by. On the loop's thread.
+ * records others may act on. Confined to the event loop thread.
  *
- * <p>Each replica holder is sent the shards that the replicated view and the newest view give it: each shard whole
- * once, then its changes in order. Once all holders of the newest view have all their shards, the registry is told to
- * go by it, so that a claim is never made by one who has less. A record is <em>shared</em> from the moment it may
- * have reached a holder whose claim the registry may take: then this owner acts on the call while its lease is valid,
- * and not otherwise.
+ * <p>Each replica holder is sent the shards that the replicated view and the newest view assign to it: first a snapshot of
+ * each shard, then its changes in order. Once all replica holders of the newest view have all their shards, the registry is
+ * asked to switch to that view, so that no member with incomplete replicas can claim a shard. A record is <em>shared</em>
+ * from the moment it may have reached a replica holder whose claim the registry may accept; from then on this owner acts on
+ * the call only while its lease is valid.
  */
 final class ReplicationLog {
 
-    /** Sends messages; what is sent to a holder that is not up is lost. */
+    /** Sends messages; a message to a replica holder that is not connected is lost. */
     interface Transport {
-        boolean isUp(long holder);
+        boolean isConnected(long holder);
 
         void send(long holder, PeerMessage message);
 
-        /** Connections to these are kept up from now on; those to others may go. */
+        /** Keeps connections to these members open from now on; connections to others may be closed. */
         void keepConnectedTo(Set<Long> holders);
     }
 
-    private static final Duration REPORT_AGAIN = Duration.ofMillis(250);
-    /** Changes in one message, at most. */
-    private static final int MOST_CHANGES = 500;
+    private static final Duration REPORT_RETRY_INTERVAL = Duration.ofMillis(250);
+    /** The maximum number of changes in one message. */
+    private static final int MAX_CHANGES_PER_MESSAGE = 500;
     private static final long NO_TOKEN = 0;
     private static final long NO_VIEW = -1;
-    /** A part of the changes says nothing of how far it goes: what a holder has of the others may lack the rest. */
+    /** The {@code upTo} of all messages of a batch but the last: a replica holder that has such a one may lack the rest. */
     private static final long PARTIAL = -1;
 
     private final RegistryAccess registry;
@@ -55,16 +55,16 @@
     private final Map<Long, ReplicaFeed> feeds = new LinkedHashMap<>();
     private final AwaitedReplications awaited;
     private long token = NO_TOKEN;
-    private long changes;
+    private long lastChange;
     private long targetView = NO_VIEW;
     private long replicatedView;
-    /** Whether the registry was ever asked to go by this lease's records. */
+    /** Whether the registry was ever asked to switch to a view for this lease's records. */
     private boolean isReplicationReported;
     private boolean isReportPending;
     private boolean isFlushScheduled;
     private boolean isPaused;
 
-    /** {@code batchWindow} is how long a change may wait for others to go with it. */
+    /** {@code batchWindow} is how long a change may be delayed to be batched with others. */
     ReplicationLog(RegistryAccess registry, Scheduler scheduler, Duration batchWindow, Transport transport) {
         this.registry = registry;
         this.scheduler = scheduler;
@@ -73,25 +73,25 @@
         this.awaited = new AwaitedReplications(scheduler);
     }
 
-    // ---- the calls
+    // ---- call records
 
-    /** The call's record from now on. */
+    /** Sets the call's record. */
     void put(CallRecord record) {
-        records.put(record, ++changes);
+        records.put(record, ++lastChange);
         replicate(new PeerMessage.Change(record.callId(), record));
     }
 
-    /** Nothing is left of the call. */
+    /** Drops the record of a call for which no work is left. */
     void drop(String callId) {
         if (records.remove(callId)) {
-            changes++;
+            lastChange++;
             replicate(new PeerMessage.Change(callId, null));
         }
         awaited.callDropped(callId);
     }
 
-    /** Removes a call without telling the replica holders: others act on it. */
-    void forget(String callId) {
+    /** Removes a call's record without notifying the replica holders, because other members act on the call. */
+    void removeLocally(String callId) {
         records.remove(callId);
     }
 
@@ -101,8 +101,8 @@
         }
         int shard = ShardPlacement.shardOf(change.callId());
         feeds.forEach((holder, feed) -> {
-            if (feed.hasSent(shard) && transport.isUp(holder)) {
-                feed.addChange(change, changes);
+            if (feed.hasSent(shard) && transport.isConnected(holder)) {
+                feed.addChange(change, lastChange);
                 scheduleFlush();
             }
         });
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Sends what waits, at once. */
+    /** Sends all pending changes at once. */
     void flush() {
         isFlushScheduled = false;
         feeds.forEach(this::flush);
@@ -127,20 +127,20 @@
         }
         List<PeerMessage.Change> unsent = feed.takeUnsentChanges();
         unsent.forEach(change -> records.find(change.callId()).ifPresent(RecordTable.Entry::markSent));
-        for (int from = 0; from < unsent.size(); from += MOST_CHANGES) {
-            int to = Math.min(unsent.size(), from + MOST_CHANGES);
-            long upTo = to == unsent.size() ? changes : PARTIAL;
+        for (int from = 0; from < unsent.size(); from += MAX_CHANGES_PER_MESSAGE) {
+            int to = Math.min(unsent.size(), from + MAX_CHANGES_PER_MESSAGE);
+            long upTo = to == unsent.size() ? lastChange : PARTIAL;
             transport.send(holder, new PeerMessage.Changes(token, upTo, unsent.subList(from, to)));
         }
     }
 
-    /** Whether others may act on this call by its record, should the lease have ended. */
+    /** Whether others may act on this call by its record once the lease has ended. */
     boolean isShared(String callId) {
         return isReplicationReported && records.find(callId).filter(RecordTable.Entry::isShared).isPresent();
     }
 
-    /** The records of calls that others may act on. */
-    List<CallRecord> shared() {
+    /** The records of the calls that others may act on. */
+    List<CallRecord> sharedRecords() {
         return records.all().stream().filter(entry -> isReplicationReported && entry.isShared())
                 .map(RecordTable.Entry::record).toList();
     }
@@ -150,28 +150,28 @@
         return records.find(callId).map(RecordTable.Entry::record);
     }
 
-    /** Runs a task once the call's record is at all its replica holders that are up, or after so long. */
-    void whenReplicated(String callId, Duration atMost, Runnable task) {
+    /** Runs a task once the call's record is at all its connected replica holders, or after the timeout. */
+    void whenReplicated(String callId, Duration timeout, Runnable task) {
         Optional<RecordTable.Entry> entry = records.find(callId);
         Set<Long> holders = new HashSet<>();
         int shard = ShardPlacement.shardOf(callId);
         feeds.forEach((holder, feed) -> {
-            if (feed.hasSent(shard) && transport.isUp(holder)) {
+            if (feed.hasSent(shard) && transport.isConnected(holder)) {
                 holders.add(holder);
             }
         });
         if (entry.isEmpty() || token == NO_TOKEN || isPaused || holders.isEmpty()) {
             task.run();
         } else {
-            awaited.await(callId, entry.get().lastChange(), holders, atMost, task);
+            awaited.await(callId, entry.get().lastChange(), holders, timeout, task);
         }
     }
 
-    // ---- the lease
+    // ---- lease
 
-    /** A lease begins: nobody has any records by it yet. */
-    void begin(long granted) {
-        token = granted;
+    /** A lease begins: no member has any records under it yet. */
+    void begin(long newToken) {
+        token = newToken;
         feeds.clear();
         records.clearSent();
         isPaused = false;
@@ -182,7 +182,7 @@
         registryChanged();
     }
 
-    /** There is no lease: nothing is sent. */
+    /** The lease has ended: nothing is sent. */
     void end() {
         token = NO_TOKEN;
         feeds.clear();
@@ -190,25 +190,27 @@
         awaited.runAll();
     }
 
-    /** The lease is not valid: what changes from now on is this owner's alone, until {@link #resume} or {@link #begin}. */
+    /** The lease is not valid: changes stay local to this owner until {@link #resume} or {@link #begin}. */
     void pause() {
         isPaused = true;
     }
 
-    /** The lease is valid again, and the replica holders have what they had: they are sent what they missed. */
+    /**
+     * The lease is valid again and the replica holders still have their replicas: they are sent the changes they missed.
+     */
     void resume() {
         isPaused = false;
         sendToAll();
         registryChanged();
     }
 
-    /** The replica holders have dropped all records and will not act by them: they are this owner's alone. */
+    /** All replica holders have dropped all records and will not act on them: the calls are this owner's alone. */
     void replicasDropped() {
         records.clearSent();
         feeds.values().forEach(ReplicaFeed::restart);
     }
 
-    /** A replica holder has dropped its records: it is sent them anew, once the lease is valid. */
+    /** A replica holder has dropped its replicas: it is sent them anew once the lease is valid. */
     void replicasDroppedAt(long holder) {
         ReplicaFeed feed = feeds.get(holder);
         if (feed != null) {
@@ -217,38 +219,38 @@
         }
     }
 
-    // ---- the views
+    // ---- views
 
-    /** The registry was seen to change: its newest view, or the one that it goes by for this owner. */
+    /** The registry's newest view, or the view that it uses for this owner's records, may have changed. */
     void registryChanged() {
-        LeaseRegistry known = registry.registry();
-        if (token == NO_TOKEN || isPaused || !known.isLive(token)) {
+        LeaseRegistry current = registry.registry();
+        if (token == NO_TOKEN || isPaused || !current.isLive(token)) {
             return;
         }
-        if (known.view() != targetView || known.replicatedView(token) != replicatedView) {
-            targetView = known.view();
-            replicatedView = known.replicatedView(token);
-            place(known);
+        if (current.view() != targetView || current.replicatedView(token) != replicatedView) {
+            targetView = current.view();
+            replicatedView = current.replicatedView(token);
+            assignShards(current);
         }
         reportIfReplicated();
     }
 
-    private void place(LeaseRegistry known) {
-        Map<Long, BitSet> wanted = wantedShards(known);
+    private void assignShards(LeaseRegistry current) {
+        Map<Long, BitSet> wanted = wantedShards(current);
         feeds.keySet().retainAll(wanted.keySet());
-        wanted.forEach((holder, shards) -> feeds.computeIfAbsent(holder, any -> new ReplicaFeed()).place(shards));
+        wanted.forEach((holder, shards) -> feeds.computeIfAbsent(holder, any -> new ReplicaFeed()).assignShards(shards));
         transport.keepConnectedTo(wanted.keySet());
         sendToAll();
     }
 
     /** The shards that each live replica holder is to have, by the replicated view and the newest one. */
-    private Map<Long, BitSet> wantedShards(LeaseRegistry known) {
+    private Map<Long, BitSet> wantedShards(LeaseRegistry current) {
         Map<Long, BitSet> wanted = new HashMap<>();
         List<Long> views = replicatedView == 0 ? List.of(targetView) : List.of(replicatedView, targetView);
         for (long view : views) {
             for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
-                for (Member holder : known.replicaHolders(token, shard, view)) {
-                    if (known.isLive(holder.token())) {
+                for (Member holder : current.replicaHolders(token, shard, view)) {
+                    if (current.isLive(holder.token())) {
                         wanted.computeIfAbsent(holder.token(), any -> new BitSet()).set(shard);
                     }
                 }
@@ -259,34 +261,34 @@
 
     private void sendToAll() {
         feeds.forEach((holder, feed) -> {
-            if (transport.isUp(holder)) {
+            if (transport.isConnected(holder)) {
                 send(holder, feed);
             }
         });
     }
 
-    /** Sends the shards that the holder has not had on this connection, then says which view they make up. */
+    /** Sends the shards that were not yet sent on this connection, then announces the view that they complete. */
     private void send(long holder, ReplicaFeed feed) {
         if (isPaused) {
             return;
         }
         flush(holder, feed);
         feed.takeUnsentShards().stream().forEach(shard -> sendShard(holder, shard));
-        if (feed.announce(targetView, changes)) {
-            transport.send(holder, new PeerMessage.ViewReplicated(token, targetView, changes));
+        if (feed.announce(targetView, lastChange)) {
+            transport.send(holder, new PeerMessage.ViewReplicated(token, targetView, lastChange));
         }
     }
 
     private void sendShard(long holder, int shard) {
-        List<CallRecord> ofShard = new ArrayList<>();
-        for (RecordTable.Entry entry : records.ofShard(shard)) {
+        List<CallRecord> shardRecords = new ArrayList<>();
+        for (RecordTable.Entry entry : records.inShard(shard)) {
             entry.markSent();
-            ofShard.add(entry.record());
+            shardRecords.add(entry.record());
         }
-        transport.send(holder, new PeerMessage.ShardSnapshot(token, targetView, shard, changes, ofShard));
+        transport.send(holder, new PeerMessage.ShardSnapshot(token, targetView, shard, lastChange, shardRecords));
     }
 
-    /** A connection to a replica holder is up, and nothing was sent on it. */
+    /** A connection to a replica holder was opened; nothing was sent on it yet. */
     void connected(long holder) {
         ReplicaFeed feed = feeds.get(holder);
         if (feed != null && token != NO_TOKEN) {
@@ -295,7 +297,7 @@
         }
     }
 
-    /** A replica holder says how much it has. */
+    /** A replica holder has acknowledged changes and a view. */
     void acknowledged(long holder, PeerMessage.Acknowledged message) {
         ReplicaFeed feed = feeds.get(holder);
         if (feed != null && message.owner() == token) {
@@ -305,19 +307,19 @@
         }
     }
 
-    /** Tells the registry once all holders of the newest view have what it gives them. */
+    /** Notifies the registry once all replica holders of the newest view have the shards that it assigns to them. */
     private void reportIfReplicated() {
         if (isReportPending || token == NO_TOKEN || feeds.isEmpty() || replicatedView >= targetView
                 || !isTargetReplicated()) {
             return;
         }
-        long reportedFor = token;
+        long reportedToken = token;
         isReportPending = true;
         isReplicationReported = true;
-        registry.submit(new Command.Replicated(reportedFor, targetView), reply -> {
-            if (reportedFor == token) {
+        registry.submit(new Command.Replicated(reportedToken, targetView), reply -> {
+            if (reportedToken == token) {
                 isReportPending = false;
-                scheduler.after(REPORT_AGAIN, this::registryChanged);
+                scheduler.after(REPORT_RETRY_INTERVAL, this::registryChanged);
             }
         });
     }
@@ -329,31 +331,31 @@
                 .allMatch(feed -> !members.contains(feed.getKey()) || feed.getValue().hasView(targetView));
     }
 
-    // ---- what is known of it
+    // ---- replication state
 
-    /** Whether all that this owner has is where the registry looks for it. */
+    /** Whether all connected replica holders have all changes that concern them. */
     boolean isReplicated() {
         return feeds.entrySet().stream()
-                .allMatch(feed -> !transport.isUp(feed.getKey()) || feed.getValue().isUpToDate());
+                .allMatch(feed -> !transport.isConnected(feed.getKey()) || feed.getValue().isUpToDate());
     }
 
-    /** Whether a shard's changes up to this one have reached all its replica holders that are up. */
+    /** Whether a shard's changes up to this one have reached all its connected replica holders. */
     boolean isReplicatedUpTo(long change, int shard) {
-        return feeds.entrySet().stream().allMatch(feed -> !feed.getValue().isFor(shard)
-                || !transport.isUp(feed.getKey()) || feed.getValue().has(change));
+        return feeds.entrySet().stream().allMatch(feed -> !feed.getValue().isAssigned(shard)
+                || !transport.isConnected(feed.getKey()) || feed.getValue().hasChange(change));
     }
 
-    /** The members to which anything was sent by this lease, and that may act by it. */
+    /** The members that were sent anything under this lease, and that may act on it. */
     Set<Long> replicaHolders() {
         return Set.copyOf(feeds.keySet());
     }
 
     /** The number of the last change. */
-    long changes() {
-        return changes;
+    long lastChange() {
+        return lastChange;
     }
 
-    /** How many records there are, shared or not. */
+    /** The number of records, shared or not. */
     int size() {
         return records.size();
     }
