--- a/handover/src/main/java/pathlane/handover/ShardAdoption.java
+++ b/handover/src/main/java/pathlane/handover/ShardAdoption.java
@@ -24,373 +24,375 @@
 import pathlane.group.RegistryAccess;
 
 /**
- * What a successor does with the work of a member that has gone: claims the shards that fall to it, looks up which holder
- * has the freshest records, goes on with the calls at a bounded pace, and settles each shard once its calls stand in its
- * own records at its own holders. On the loop's thread.
+ * Adopts the calls of members whose leases have ended: claims the shards for which this member is the successor, finds the
+ * replica holder with the freshest records, adopts the calls at a limited rate, and completes each shard once this member's
+ * own records of its calls are replicated. Confined to the event loop thread.
  *
- * <p>The first live holder of a shard claims at once, the next one a step later, and so on: a claimer that is slow is
- * passed over, and the register lets only one have it.
+ * <p>The first live successor of a shard claims it at once, the next one after one {@link #SUCCESSOR_CLAIM_DELAY}, and so
+ * on: this passes over a successor that is slow, and the registry grants a shard to one member only.
  */
 final class ShardAdoption {
 
     private static final Logger LOG = System.getLogger("group");
-    private static final Duration STEP = Duration.ofMillis(500);
-    private static final Duration CLAIM_AGAIN = Duration.ofMillis(300);
-    /** How long the other holders' word is waited for. */
-    private static final Duration PULL_MOST = Duration.ofMillis(500);
-    private static final Duration ASK_AGAIN = Duration.ofMillis(300);
-    private static final Duration SAY_LATE = Duration.ofSeconds(10);
-    private static final Duration LOOK = Duration.ofMillis(100);
-    private static final Duration ADOPT_EVERY = Duration.ofMillis(10);
-
-    /** What is done with what is taken over. */
+    private static final Duration SUCCESSOR_CLAIM_DELAY = Duration.ofMillis(500);
+    private static final Duration REGISTRY_RETRY_INTERVAL = Duration.ofMillis(300);
+    /** How long the replicas of the other replica holders are waited for. */
+    private static final Duration MAX_FETCH_WAIT = Duration.ofMillis(500);
+    private static final Duration FETCH_RETRY_INTERVAL = Duration.ofMillis(300);
+    private static final Duration LATE_WARNING_DELAY = Duration.ofSeconds(10);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
+    private static final Duration ADOPTION_INTERVAL = Duration.ofMillis(10);
+
+    /** Acts on the calls of the claimed shards. */
     interface Listener {
-        /** Goes on with a call. Whoever {@code from} was, its records of the shard are dropped once this is settled. */
-        void adopt(CallRecord record, long from, int shard);
+        /** Adopts a call. The former owner's records of the shard are dropped once the shard is completed. */
+        void adopt(CallRecord record, long formerOwner, int shard);
 
-        /** A call that was gone on with was over by its former owner's freshest records. */
-        void complete(String call, long from, int shard);
+        /** An adopted call turns out to be over by its former owner's freshest records. */
+        void complete(String callId, long formerOwner, int shard);
 
-        /** Whether all of a shard's calls stand in this member's own records, at all its holders that are up. */
-        boolean isReplicated(long from, int shard);
+        /** Whether this member's own records of all calls of a shard are at all its connected replica holders. */
+        boolean isReplicated(long formerOwner, int shard);
 
-        /** A shard is settled: what was noted for its sake can go. */
-        void shardCompleted(long from, int shard);
+        /** A shard is completed or lost: what was recorded for its adoption can be dropped. */
+        void shardCompleted(long formerOwner, int shard);
 
         void send(long member, PeerMessage message);
     }
 
-    private record Place(long owner, int shard) {}
-
-    /** A shard that this member has claimed. */
-    private static final class Task {
-        final Place place;
-        final List<Long> past;
-        final Instant since;
-        /** Copies that are still waited for. */
-        final Set<Ask> awaited = new HashSet<>();
-        final Map<Long, ReplicaStore.ShardCopy> freshest = new HashMap<>();
-        /** Calls that one that had gone on with the shard had noted. */
-        final Set<String> elsewhere = new HashSet<>();
-        Instant askedAt;
-        boolean gathered;
-        boolean reportedLate;
-        boolean adopted;
-        Instant settleAskedAt = Instant.MIN;
-
-        Task(Place place, List<Long> past, Instant since) {
-            this.place = place;
-            this.past = past;
-            this.since = since;
-            this.askedAt = since;
+    private record ShardKey(long owner, int shard) {}
+
+    /** The adoption of a shard that this member has claimed. */
+    private static final class Adoption {
+        final ShardKey key;
+        final List<Long> previousOwners;
+        final Instant startedAt;
+        /** Requests without a reply so far. */
+        final Set<ReplicaRequest> unanswered = new HashSet<>();
+        final Map<Long, ReplicaStore.ShardCopy> freshestCopies = new HashMap<>();
+        /** Calls of the shard that a previous owner has adopted, by its own records. */
+        final Set<String> adoptedBefore = new HashSet<>();
+        Instant requestedAt;
+        boolean isEnqueued;
+        boolean isLateReported;
+        boolean isAdopted;
+        Instant nextCompletionAt = Instant.MIN;
+
+        Adoption(ShardKey key, List<Long> previousOwners, Instant startedAt) {
+            this.key = key;
+            this.previousOwners = previousOwners;
+            this.startedAt = startedAt;
+            this.requestedAt = startedAt;
         }
     }
 
-    /** A copy of one's records of a shard that a member may have. */
-    private record Ask(long owner, long successor) {}
+    /** A request to a successor for its replica of an owner's records of the shard. */
+    private record ReplicaRequest(long owner, long successor) {}
 
     private final RegistryAccess registry;
     private final LeaseHolder leaseHolder;
     private final Scheduler scheduler;
     private final ReplicaStore replicaStore;
-    private final ShardAdoption.Listener work;
-    private final int callsEach;
-    private final Map<Place, Task> tasks = new TreeMap<>(java.util.Comparator.comparingLong(Place::owner)
-            .thenComparingInt(Place::shard));
-    private final Map<Place, Instant> openSince = new HashMap<>();
-    private final Map<Place, Instant> claimedAt = new HashMap<>();
+    private final ShardAdoption.Listener listener;
+    private final int callsPerBatch;
+    private final Map<ShardKey, Adoption> adoptions = new TreeMap<>(java.util.Comparator.comparingLong(ShardKey::owner)
+            .thenComparingInt(ShardKey::shard));
+    private final Map<ShardKey, Instant> unclaimedSince = new HashMap<>();
+    private final Map<ShardKey, Instant> claimedAt = new HashMap<>();
     private final Deque<Runnable> queue = new ArrayDeque<>();
-    /** Owners any of whose shards this lease ever asked for: a claim may be on its way still. */
-    private final Set<Long> everClaimed = new HashSet<>();
-    /** Calls gone on with, by whose they were, that the log does not have yet. */
-    private final Map<Long, Integer> unsaid = new HashMap<>();
-    private boolean adopting;
-    private boolean looking;
-    private long adopted;
-
-    /** {@code pace} is how many calls a second are gone on with. */
+    /** Owners of which this lease has ever requested a shard: a claim may still be in flight. */
+    private final Set<Long> claimedOwners = new HashSet<>();
+    /** The number of adopted calls that are not logged yet, by former owner. */
+    private final Map<Long, Integer> unloggedAdoptions = new HashMap<>();
+    private boolean isAdopting;
+    private boolean isPollScheduled;
+    private long adoptedCount;
+
+    /** {@code callsPerSecond} limits the rate at which calls are adopted. */
     ShardAdoption(RegistryAccess registry, LeaseHolder leaseHolder, Scheduler scheduler, ReplicaStore replicaStore,
-            int pace,
-            ShardAdoption.Listener work) {
+            int callsPerSecond, ShardAdoption.Listener listener) {
         this.registry = registry;
         this.leaseHolder = leaseHolder;
         this.scheduler = scheduler;
         this.replicaStore = replicaStore;
-        this.work = work;
-        this.callsEach = Math.max(1, (int) (pace * ADOPT_EVERY.toMillis() / 1000));
+        this.listener = listener;
+        this.callsPerBatch = Math.max(1, (int) (callsPerSecond * ADOPTION_INTERVAL.toMillis() / 1000));
     }
 
-    /** Calls that were gone on with since the start. */
-    long adopted() {
-        return adopted;
+    /** The number of calls adopted since the start. */
+    long adoptedCount() {
+        return adoptedCount;
     }
 
-    /** Whether a call of this owner's shard is still to be gone on with here. */
+    /** Whether calls of this owner's shard are still to be adopted here. */
     boolean isPending(long owner, int shard) {
-        Task task = tasks.get(new Place(owner, shard));
-        return task != null && !task.adopted;
+        Adoption adoption = adoptions.get(new ShardKey(owner, shard));
+        return adoption != null && !adoption.isAdopted;
     }
 
-    /** Whether anything of this owner's was ever claimed from here by this lease. */
+    /** Whether this lease has ever claimed a shard of this owner. */
     boolean hasClaimed(long owner) {
-        return everClaimed.contains(owner);
+        return claimedOwners.contains(owner);
     }
 
-    /** This member's lease has ended: others go on with what it had claimed. */
+    /** This member's lease has ended: others adopt what it had claimed. */
     void stop() {
-        tasks.clear();
+        adoptions.clear();
         queue.clear();
-        openSince.clear();
+        unclaimedSince.clear();
         claimedAt.clear();
-        everClaimed.clear();
-        unsaid.clear();
+        claimedOwners.clear();
+        unloggedAdoptions.clear();
     }
 
-    /** The register has changed, or time has passed. */
+    /** Compares the claims with the registry; runs after each registry change and periodically. */
     void reconcile() {
-        LeaseRegistry register = registry.registry();
-        long self = leaseHolder.token();
-        Set<Place> open = new HashSet<>();
+        LeaseRegistry current = registry.registry();
+        long ownToken = leaseHolder.token();
+        Set<ShardKey> unclaimed = new HashSet<>();
         if (leaseHolder.isValid()) {
-            for (OrphanedShards orphan : List.copyOf(register.orphans())) {
+            for (OrphanedShards orphan : List.copyOf(current.orphans())) {
                 if (!replicaStore.isDropped(orphan.former().token())) {
-                    reconcile(register, orphan, self, open);
+                    reconcile(current, orphan, ownToken, unclaimed);
                 }
             }
         }
-        openSince.keySet().retainAll(open);
-        claimedAt.keySet().retainAll(open);
-        for (Iterator<Task> each = tasks.values().iterator(); each.hasNext();) {
-            Task task = each.next();
-            Optional<OrphanedShards> orphan = register.orphan(task.place.owner());
-            Long holder = orphan.isEmpty() ? null : orphan.get().owners().get(task.place.shard());
-            if (holder == null || holder != self) {
-                each.remove();   // settled, or lost to another
-                work.shardCompleted(task.place.owner(), task.place.shard());
+        unclaimedSince.keySet().retainAll(unclaimed);
+        claimedAt.keySet().retainAll(unclaimed);
+        for (Iterator<Adoption> iterator = adoptions.values().iterator(); iterator.hasNext();) {
+            Adoption adoption = iterator.next();
+            Optional<OrphanedShards> orphan = current.orphan(adoption.key.owner());
+            Long claimer = orphan.isEmpty() ? null : orphan.get().owners().get(adoption.key.shard());
+            if (claimer == null || claimer != ownToken) {
+                iterator.remove();   // completed, or claimed by another member
+                listener.shardCompleted(adoption.key.owner(), adoption.key.shard());
             } else {
-                reconcile(register, task);
+                reconcile(current, adoption);
             }
         }
-        if ((!open.isEmpty() || !tasks.isEmpty() || !register.orphans().isEmpty()) && !looking) {
-            looking = true;
-            scheduler.after(LOOK, () -> {
-                looking = false;
+        if ((!unclaimed.isEmpty() || !adoptions.isEmpty() || !current.orphans().isEmpty()) && !isPollScheduled) {
+            isPollScheduled = true;
+            scheduler.after(POLL_INTERVAL, () -> {
+                isPollScheduled = false;
                 reconcile();
             });
         }
     }
 
-    private void reconcile(LeaseRegistry register, OrphanedShards orphan, long self, Set<Place> open) {
+    private void reconcile(LeaseRegistry current, OrphanedShards orphan, long ownToken, Set<ShardKey> unclaimed) {
         long owner = orphan.former().token();
         Instant now = scheduler.now();
-        List<Integer> due = new ArrayList<>();
-        orphan.owners().forEach((shard, holder) -> {
-            Place place = new Place(owner, shard);
-            if (holder == self) {
-                tasks.computeIfAbsent(place, any -> begin(register, orphan, place));
-            } else if (holder == 0 || !register.isLive(holder)) {
-                open.add(place);
-                Instant since = openSince.computeIfAbsent(place, any -> now);
-                int turn = turn(register.successors(orphan, shard), self);
-                Instant asked = claimedAt.get(place);
-                if (turn >= 0 && !now.isBefore(since.plus(STEP.multipliedBy(turn)))
-                        && (asked == null || now.isAfter(asked.plus(CLAIM_AGAIN)))) {
-                    due.add(shard);
-                    claimedAt.put(place, now);
+        List<Integer> shardsToClaim = new ArrayList<>();
+        orphan.owners().forEach((shard, claimer) -> {
+            ShardKey key = new ShardKey(owner, shard);
+            if (claimer == ownToken) {
+                adoptions.computeIfAbsent(key, any -> startAdoption(current, orphan, key));
+            } else if (claimer == 0 || !current.isLive(claimer)) {
+                unclaimed.add(key);
+                Instant openedAt = unclaimedSince.computeIfAbsent(key, any -> now);
+                int rank = successorRank(current.successors(orphan, shard), ownToken);
+                Instant lastClaimAt = claimedAt.get(key);
+                if (rank >= 0 && !now.isBefore(openedAt.plus(SUCCESSOR_CLAIM_DELAY.multipliedBy(rank)))
+                        && (lastClaimAt == null || now.isAfter(lastClaimAt.plus(REGISTRY_RETRY_INTERVAL)))) {
+                    shardsToClaim.add(shard);
+                    claimedAt.put(key, now);
                 }
             }
         });
-        if (!due.isEmpty()) {
-            LOG.log(Level.INFO, "{0} shards of {1}, lease {2}, are claimed", Integer.toString(due.size()),
+        if (!shardsToClaim.isEmpty()) {
+            LOG.log(Level.INFO, "{0} shards of {1}, lease {2}, are claimed", Integer.toString(shardsToClaim.size()),
                     orphan.former().name(), Long.toString(owner));
-            everClaimed.add(owner);
-            registry.submit(new Command.Claim(self, owner, due), answered -> reconcile());
+            claimedOwners.add(owner);
+            registry.submit(new Command.Claim(ownToken, owner, shardsToClaim), reply -> reconcile());
         }
     }
 
-    private static int turn(List<Member> successors, long self) {
+    private static int successorRank(List<Member> successors, long ownToken) {
         for (int i = 0; i < successors.size(); i++) {
-            if (successors.get(i).token() == self) {
+            if (successors.get(i).token() == ownToken) {
                 return i;
             }
         }
         return -1;
     }
 
-    // ---- the freshest records
+    // ---- freshest records
 
-    private Task begin(LeaseRegistry register, OrphanedShards orphan, Place place) {
-        Task task = new Task(place, orphan.previousOwners(place.shard()), scheduler.now());
-        await(register, task, orphan);
-        for (long former : task.past) {
-            register.orphan(former).ifPresent(past -> await(register, task, past));
+    private Adoption startAdoption(LeaseRegistry current, OrphanedShards orphan, ShardKey key) {
+        Adoption adoption = new Adoption(key, orphan.previousOwners(key.shard()), scheduler.now());
+        awaitReplicas(current, adoption, orphan);
+        for (long previousOwner : adoption.previousOwners) {
+            current.orphan(previousOwner).ifPresent(previous -> awaitReplicas(current, adoption, previous));
         }
-        ask(task);
-        return task;
+        fetchReplicas(adoption);
+        return adoption;
     }
 
-    private void await(LeaseRegistry register, Task task, OrphanedShards orphan) {
+    private void awaitReplicas(LeaseRegistry current, Adoption adoption, OrphanedShards orphan) {
         long owner = orphan.former().token();
-        int shard = task.place.shard();
-        replicaStore.copy(owner, shard).ifPresent(copy -> take(task, owner, copy));
-        for (Member successor : register.successors(orphan, shard)) {
+        int shard = adoption.key.shard();
+        replicaStore.copy(owner, shard).ifPresent(copy -> keepFreshest(adoption, owner, copy));
+        for (Member successor : current.successors(orphan, shard)) {
             if (successor.token() != leaseHolder.token()) {
-                task.awaited.add(new Ask(owner, successor.token()));
+                adoption.unanswered.add(new ReplicaRequest(owner, successor.token()));
             }
         }
     }
 
-    private void ask(Task task) {
-        task.askedAt = scheduler.now();
-        task.awaited.forEach(ask -> work.send(ask.successor, new PeerMessage.FetchShard(ask.owner, task.place.shard())));
+    private void fetchReplicas(Adoption adoption) {
+        adoption.requestedAt = scheduler.now();
+        adoption.unanswered.forEach(request -> listener.send(request.successor,
+                new PeerMessage.FetchShard(request.owner, adoption.key.shard())));
     }
 
-    private void reconcile(LeaseRegistry register, Task task) {
+    private void reconcile(LeaseRegistry current, Adoption adoption) {
         Instant now = scheduler.now();
-        task.awaited.removeIf(ask -> !register.isLive(ask.successor));   // its copy went with it
-        if (!task.awaited.isEmpty() && !now.isBefore(task.askedAt.plus(ASK_AGAIN))) {
-            ask(task);
+        adoption.unanswered.removeIf(request -> !current.isLive(request.successor));   // its replica is lost with it
+        if (!adoption.unanswered.isEmpty() && !now.isBefore(adoption.requestedAt.plus(FETCH_RETRY_INTERVAL))) {
+            fetchReplicas(adoption);
         }
-        gatherIfReady(task);
-        if (task.adopted && task.awaited.isEmpty()) {
-            settle(task);
-        } else if (!task.awaited.isEmpty() && !task.reportedLate && now.isAfter(task.since.plus(SAY_LATE))) {
-            task.reportedLate = true;
-            LOG.log(Level.WARNING, "shard {0} of lease {1} waits for the replicas of {2}",
-                    Integer.toString(task.place.shard()),
-                    Long.toString(task.place.owner()), task.awaited);
+        enqueueIfReady(adoption);
+        if (adoption.isAdopted && adoption.unanswered.isEmpty()) {
+            completeShards(adoption);
+        } else if (!adoption.unanswered.isEmpty() && !adoption.isLateReported
+                && now.isAfter(adoption.startedAt.plus(LATE_WARNING_DELAY))) {
+            adoption.isLateReported = true;
+            LOG.log(Level.WARNING, "shard {0} of lease {1} is still waiting for replicas: {2}",
+                    Integer.toString(adoption.key.shard()), Long.toString(adoption.key.owner()), adoption.unanswered);
         }
     }
 
     /**
-     * Begins once all have been heard, or after a while with what is there. What one that had gone on with the shard had
-     * noted has to be heard of from all who may know: its calls are gone on with by its own records.
+     * Starts the adoption once all replicas have arrived, or after a timeout with those that have. The replicas of previous
+     * owners' own records are all waited for without a timeout: the calls in them are adopted by those records.
      */
-    private void gatherIfReady(Task task) {
-        boolean allOfPast = task.awaited.stream().noneMatch(ask -> ask.owner != task.place.owner());
-        if (!task.gathered && allOfPast
-                && (task.awaited.isEmpty() || !scheduler.now().isBefore(task.since.plus(PULL_MOST)))) {
-            gathered(task);
+    private void enqueueIfReady(Adoption adoption) {
+        boolean hasAllOfPrevious = adoption.unanswered.stream().noneMatch(request -> request.owner != adoption.key.owner());
+        if (!adoption.isEnqueued && hasAllOfPrevious
+                && (adoption.unanswered.isEmpty() || !scheduler.now().isBefore(adoption.startedAt.plus(MAX_FETCH_WAIT)))) {
+            enqueueAdoptions(adoption);
         }
     }
 
-    private static void take(Task task, long owner, ReplicaStore.ShardCopy copy) {
-        ReplicaStore.ShardCopy before = task.freshest.get(owner);
-        if (before == null || before.upTo() < copy.upTo()) {
-            task.freshest.put(owner, copy);
+    private static void keepFreshest(Adoption adoption, long owner, ReplicaStore.ShardCopy copy) {
+        ReplicaStore.ShardCopy previous = adoption.freshestCopies.get(owner);
+        if (previous == null || previous.upTo() < copy.upTo()) {
+            adoption.freshestCopies.put(owner, copy);
         }
     }
 
-    /** A holder's word of what it has. */
-    void fetched(long holder, PeerMessage.ShardFetched pulled) {
-        for (Task task : List.copyOf(tasks.values())) {
-            if (task.place.shard() == pulled.shard() && task.awaited.remove(new Ask(pulled.owner(), holder))) {
-                ReplicaStore.ShardCopy before = task.freshest.get(pulled.owner());
-                if (pulled.upTo() >= 0) {
-                    take(task, pulled.owner(), new ReplicaStore.ShardCopy(pulled.upTo(), pulled.records()));
+    /** A replica holder has sent its replica of a shard. */
+    void fetched(long replicaHolder, PeerMessage.ShardFetched message) {
+        for (Adoption adoption : List.copyOf(adoptions.values())) {
+            if (adoption.key.shard() == message.shard()
+                    && adoption.unanswered.remove(new ReplicaRequest(message.owner(), replicaHolder))) {
+                ReplicaStore.ShardCopy previous = adoption.freshestCopies.get(message.owner());
+                if (message.upTo() >= 0) {
+                    keepFreshest(adoption, message.owner(), new ReplicaStore.ShardCopy(message.upTo(), message.records()));
                 }
-                ReplicaStore.ShardCopy after = task.freshest.get(pulled.owner());
-                if (task.gathered && after != before) {
-                    mend(task, before, after);
+                ReplicaStore.ShardCopy fresher = adoption.freshestCopies.get(message.owner());
+                if (adoption.isEnqueued && fresher != previous) {
+                    applyFresherCopy(adoption, previous, fresher);
                 }
-                gatherIfReady(task);
+                enqueueIfReady(adoption);
             }
         }
     }
 
-    /** A fresher copy came after the shard was gone on with: what it knows otherwise is put right. */
-    private void mend(Task task, ReplicaStore.ShardCopy before, ReplicaStore.ShardCopy after) {
-        Map<String, CallRecord.Kind> had = new HashMap<>();
-        if (before != null) {
-            before.records().forEach(record -> had.put(record.callId(), record.kind()));
+    /** A fresher replica arrived after the adoption had started: adopts and completes the calls on which it differs. */
+    private void applyFresherCopy(Adoption adoption, ReplicaStore.ShardCopy previous, ReplicaStore.ShardCopy fresher) {
+        Map<String, CallRecord.Kind> previousKinds = new HashMap<>();
+        if (previous != null) {
+            previous.records().forEach(record -> previousKinds.put(record.callId(), record.kind()));
         }
-        for (CallRecord record : after.records()) {
-            if (record.kind() != CallRecord.Kind.COMPLETED && had.remove(record.callId()) != record.kind()
-                    && !task.elsewhere.contains(record.callId())) {
-                queue.add(() -> adopt(task, record));
+        for (CallRecord record : fresher.records()) {
+            if (record.kind() != CallRecord.Kind.COMPLETED && previousKinds.remove(record.callId()) != record.kind()
+                    && !adoption.adoptedBefore.contains(record.callId())) {
+                queue.add(() -> adopt(adoption, record));
             }
         }
-        had.keySet().forEach(call -> queue.add(() -> work.complete(call, task.place.owner(), task.place.shard())));
-        adoptSoon();
+        previousKinds.keySet().forEach(
+                callId -> queue.add(() -> listener.complete(callId, adoption.key.owner(), adoption.key.shard())));
+        scheduleAdoption();
     }
 
-    private void gathered(Task task) {
-        task.gathered = true;
-        for (long former : task.past) {
-            // What one that had gone on with them noted itself goes by its own records, to whoever claims those.
-            ReplicaStore.ShardCopy copy = task.freshest.get(former);
+    private void enqueueAdoptions(Adoption adoption) {
+        adoption.isEnqueued = true;
+        for (long previousOwner : adoption.previousOwners) {
+            // Calls that a previous owner had adopted are left to the member that claims that owner's own records.
+            ReplicaStore.ShardCopy copy = adoption.freshestCopies.get(previousOwner);
             if (copy != null) {
-                copy.records().forEach(record -> task.elsewhere.add(record.callId()));
+                copy.records().forEach(record -> adoption.adoptedBefore.add(record.callId()));
             }
         }
-        ReplicaStore.ShardCopy copy = task.freshest.get(task.place.owner());
+        ReplicaStore.ShardCopy copy = adoption.freshestCopies.get(adoption.key.owner());
         if (copy != null) {
             for (CallRecord record : copy.records()) {
-                if (record.kind() != CallRecord.Kind.COMPLETED && !task.elsewhere.contains(record.callId())) {
-                    queue.add(() -> adopt(task, record));
+                if (record.kind() != CallRecord.Kind.COMPLETED && !adoption.adoptedBefore.contains(record.callId())) {
+                    queue.add(() -> adopt(adoption, record));
                 }
             }
         }
         queue.add(() -> {
-            task.adopted = true;
-            sayIfDone(task.place.owner());
+            adoption.isAdopted = true;
+            logIfAdopted(adoption.key.owner());
             reconcile();
         });
-        adoptSoon();
+        scheduleAdoption();
     }
 
-    private void adopt(Task task, CallRecord record) {
-        if (tasks.get(task.place) == task) {
-            adopted++;
-            unsaid.merge(task.place.owner(), 1, Integer::sum);
-            work.adopt(record, task.place.owner(), task.place.shard());
+    private void adopt(Adoption adoption, CallRecord record) {
+        if (adoptions.get(adoption.key) == adoption) {
+            adoptedCount++;
+            unloggedAdoptions.merge(adoption.key.owner(), 1, Integer::sum);
+            listener.adopt(record, adoption.key.owner(), adoption.key.shard());
         }
     }
 
-    private void sayIfDone(long owner) {
-        if (tasks.values().stream().allMatch(task -> task.adopted || task.place.owner() != owner)) {
-            Integer calls = unsaid.remove(owner);
+    private void logIfAdopted(long owner) {
+        if (adoptions.values().stream().allMatch(adoption -> adoption.isAdopted || adoption.key.owner() != owner)) {
+            Integer calls = unloggedAdoptions.remove(owner);
             LOG.log(Level.INFO, "{0} calls of lease {1} are adopted", Integer.toString(calls == null ? 0 : calls),
                     Long.toString(owner));
         }
     }
 
-    private void adoptSoon() {
-        if (!adopting && !queue.isEmpty()) {
-            adopting = true;
-            scheduler.after(Duration.ZERO, this::adoptSome);
+    private void scheduleAdoption() {
+        if (!isAdopting && !queue.isEmpty()) {
+            isAdopting = true;
+            scheduler.after(Duration.ZERO, this::adoptBatch);
         }
     }
 
-    private void adoptSome() {
+    private void adoptBatch() {
         if (!leaseHolder.isValid()) {
-            scheduler.after(LOOK, this::adoptSome);   // it goes on if the lease is valid again, and is cleared if it is lost
+            scheduler.after(POLL_INTERVAL, this::adoptBatch);   // resumed when the lease is valid again, cleared when lost
             return;
         }
-        for (int i = 0; i < callsEach && !queue.isEmpty(); i++) {
+        for (int i = 0; i < callsPerBatch && !queue.isEmpty(); i++) {
             queue.poll().run();
         }
-        adopting = !queue.isEmpty();
-        if (adopting) {
-            scheduler.after(ADOPT_EVERY, this::adoptSome);
+        isAdopting = !queue.isEmpty();
+        if (isAdopting) {
+            scheduler.after(ADOPTION_INTERVAL, this::adoptBatch);
         }
     }
 
-    private void settle(Task task) {
+    private void completeShards(Adoption adoption) {
         Instant now = scheduler.now();
-        if (now.isBefore(task.settleAskedAt) || !work.isReplicated(task.place.owner(), task.place.shard())
+        if (now.isBefore(adoption.nextCompletionAt) || !listener.isReplicated(adoption.key.owner(), adoption.key.shard())
                 || !leaseHolder.isValid()) {
             return;
         }
-        task.settleAskedAt = now.plus(CLAIM_AGAIN);
+        adoption.nextCompletionAt = now.plus(REGISTRY_RETRY_INTERVAL);
         List<Integer> shards = new ArrayList<>();
-        for (Task other : tasks.values()) {
-            if (other.place.owner() == task.place.owner() && other.adopted
-                    && work.isReplicated(other.place.owner(), other.place.shard())) {
-                other.settleAskedAt = task.settleAskedAt;
-                shards.add(other.place.shard());
+        for (Adoption other : adoptions.values()) {
+            if (other.key.owner() == adoption.key.owner() && other.isAdopted
+                    && listener.isReplicated(other.key.owner(), other.key.shard())) {
+                other.nextCompletionAt = adoption.nextCompletionAt;
+                shards.add(other.key.shard());
             }
         }
-        registry.submit(new Command.Complete(leaseHolder.token(), task.place.owner(), shards), answered -> reconcile());
+        registry.submit(new Command.Complete(leaseHolder.token(), adoption.key.owner(), shards), reply -> reconcile());
     }
 }
--- a/handover/src/main/java/pathlane/handover/package-info.java
+++ b/handover/src/main/java/pathlane/handover/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What is kept of each call at other members of the group, and what a successor does with it. Decisions and state
- * machines on the event loop's thread; it knows the group's register and the core, and no socket, file or clock.
+ * Replication of call records to other members of the group, and adoption of the calls of ended leases. Holds decisions and
+ * state machines only, on the event loop thread: it depends on the group's registry and the core, and on no socket, file or
+ * clock.
  */
 package pathlane.handover;
