--- a/handover/src/main/java/pathlane/handover/Handover.java
+++ b/handover/src/main/java/pathlane/handover/Handover.java
@@ -88,7 +88,7 @@
                 event -> controller.handleUnowned(event));
         this.reclaim = new Reclaim(registryClient,
                 new ReclaimedCalls(leaseHolder, replicationLog, deferredEvents, orphanedEvents, () -> controller));
-        this.replicaRelease = 
+        this.replicaRelease =
                 new ReplicaRelease(scheduler, leaseHolder, replicationLog, connections, this::replicasReleased);
         connections.setHandler(new IncomingMessages(registryClient, replicaStore, replicationLog, shardAdoption,
                 orphanedEvents, replicaRelease, this::handleReport));
