--- a/handover/src/main/java/pathlane/handover/ReplicaFeed.java
+++ b/handover/src/main/java/pathlane/handover/ReplicaFeed.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * What one replica holder is sent of an owner's records, and how much of it it has acknowledged. Confined to the event loop
+ * What one replica holder is sent of an owner's records, and how much it has acknowledged. Confined to the event loop
  * thread.
  */
 final class ReplicaFeed {
