--- a/core/src/main/java/pathlane/decision/Outcome.java
+++ b/core/src/main/java/pathlane/decision/Outcome.java
@@ -1,37 +1,40 @@
 package pathlane.decision;
 
 /**
- * How an attempt, or an established call, ended. The order is that of the numbers under which outcomes go between call
- * controllers of a group: a new one goes last.
+ * How an attempt, or an established call, ended. Call controllers of a group exchange outcomes by ordinal, so new constants
+ * are only appended.
  */
 public enum Outcome {
     /** The call was established and has ended. */
     COMPLETED,
-    /** An error on the way. */
+    /** The server or the transport reported an error. */
     ERROR,
-    /** The destination is busy, whichever server asks it. */
+    /** The destination is busy; any other server would get the same answer. */
     BUSY,
-    /** The server rejected the request; it never ran. */
+    /** The server rejected the request without running it. */
     REJECTED,
     /** The server had no free slot; the request never ran. */
     NO_CAPACITY,
-    /** No answer came in time. */
+    /** No answer arrived in time. */
     TIMED_OUT,
     /** The server could not be reached; the request never ran. */
     UNREACHABLE,
-    /** The attempt or the established call was cut. */
+    /** The connection that carried the attempt or the established call was lost. */
     RESET,
-    /** The attempt was cancelled by this side. */
+    /** This controller cancelled the attempt. */
     CANCELLED,
     /** Nothing was sent. */
     NOT_SENT;
 
-    /** Whether the server turned the request away: it is there, and the request never ran. */
+    /** Whether the server is reachable but rejected the request, so that it never ran. */
     public boolean isRejection() {
         return this == REJECTED || this == NO_CAPACITY;
     }
 
-    /** Whether the attempt's end was not heard from its server: its release is awaited before the next attempt. */
+    /**
+     * Whether the attempt ended without an answer from its server, which may therefore still hold it: the next attempt waits
+     * until the server has released this one.
+     */
     public boolean isLost() {
         return this == TIMED_OUT || this == RESET || this == CANCELLED;
     }
--- a/core/src/main/java/pathlane/decision/ServerStatus.java
+++ b/core/src/main/java/pathlane/decision/ServerStatus.java
@@ -1,11 +1,11 @@
 package pathlane.decision;
 
-/** Whether a session server takes new requests. */
+/** Whether a session server accepts new requests. */
 public enum ServerStatus {
-    /** It takes new requests. */
+    /** The server accepts new requests. */
     RUNNING,
-    /** It goes on with what it has and takes nothing new. */
+    /** The server completes its established calls and accepts no new requests. */
     DRAINING,
-    /** It has gone. */
+    /** The server has left the server list. */
     GONE
 }
--- a/core/src/main/java/pathlane/decision/package-info.java
+++ b/core/src/main/java/pathlane/decision/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The interface of the routing policy: its events and actions, and the terms in which they speak of servers and attempts.
- * {@code decision.policy} has the policy itself. Knows no wire, no clock and no thread.
+ * The interface of the routing policy: its input events, its output actions, and the types that describe servers and
+ * attempts. The implementation is in {@code decision.policy}. This package depends on no wire protocol, clock or thread.
  */
 package pathlane.decision;
--- a/core/src/main/java/pathlane/decision/policy/AdaptiveRoutingPolicy.java
+++ b/core/src/main/java/pathlane/decision/policy/AdaptiveRoutingPolicy.java
@@ -14,99 +14,104 @@
 import pathlane.decision.support.RequestedTimer;
 
 /**
- * All decisions of a call controller: events in, actions out. For each server it tests conditions (4) and (6) of Andersson
- * et al. 2003 on each send and answer, from own unanswered requests and inferred service time; under overload that server's
- * gate sheds classes, the lowest utility first, to their guaranteed rates. One thread, events in order of time.
+ * Makes all decisions of a call controller: events in, actions out. On each send and answer it tests conditions (4) and (6)
+ * of Andersson et al. 2003 for the server concerned, using this controller's own unanswered requests and an inferred service
+ * time. While a server is overloaded, its rate gate sheds call classes, lowest utility first, down to guaranteed rates.
+ * Single-threaded; events are passed in time order.
  */
 public final class AdaptiveRoutingPolicy implements RoutingPolicy {
 
-    /** The part of a tick within which nothing new can have come, with room for rounding. */
-    private static final double TICK_PART = 0.9;
-    /** How often calls are looked at, in shortest limits, while some wait and while none do. */
-    private static final double WAITING_PERIOD = 0.02;
-    private static final double IDLE_PERIOD = 0.1;
+    /** Dispatches closer together than this fraction of a tick are in the same tick; below 1 to allow for rounding. */
+    private static final double SAME_TICK_FRACTION = 0.9;
+    /** Timer interval as a fraction of the shortest latency limit, while calls wait and while none do. */
+    private static final double WAITING_TIMER_FRACTION = 0.02;
+    private static final double IDLE_TIMER_FRACTION = 0.1;
 
     private final Settings settings;
     private final Actions actions;
     final ClusterState cluster;
     private final DestinationBackoff destinations;
     private final Map<String, PendingCall> calls = new LinkedHashMap<>();
-    private final List<PendingCall> waiting = new ArrayList<>();
-    /** The routing keys that found no room at the last pass, and when that was. */
-    private final Set<Long> keysWithoutRoom = new HashSet<>();
-    private double passAt = Double.NEGATIVE_INFINITY;
-    private boolean hasList;
-    /** By class, the time that a request had left which this process did not hold up. */
-    private final double[] usualRemaining;
+    private final List<PendingCall> waitingCalls = new ArrayList<>();
+    /** The routing keys for which the last dispatch found no server with capacity. */
+    private final Set<Long> keysWithoutCapacity = new HashSet<>();
+    private double lastDispatchAt = Double.NEGATIVE_INFINITY;
+    private boolean hasServerList;
+    /** By class: the remaining deadline of a request on arrival, when no stall of this process delayed it. */
+    private final double[] typicalRemaining;
     private final RequestedTimer timer = new RequestedTimer();
-    private double requestListAt = Double.NaN;
+    private double nextListRequestAt = Double.NaN;
 
-    /** Starts without calls and servers; the seed is the only source of chance. */
+    /** Creates a policy without calls and servers; the seed is its only source of randomness. */
     public AdaptiveRoutingPolicy(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         cluster = new ClusterState(settings, new SplittableRandom(seed));
         destinations = new DestinationBackoff(cluster.classes.shortestLimit());
-        usualRemaining = new double[settings.classes().size()];
+        typicalRemaining = new double[settings.classes().size()];
         if (settings.mustRequestServerList()) {
             actions.requestServerList();
         }
     }
 
     @Override
-    public void serversListed(double now, boolean isWhole, List<ListedServer> entries) {
+    public void serversListed(double now, boolean isComplete, List<ListedServer> entries) {
         detectStall(now);
-        if (isWhole) {
+        if (isComplete) {
             cluster.servers.values().forEach(server -> server.listing.remove());
         }
         for (ListedServer entry : entries) {
-            boolean isNew = hasList && !cluster.servers.containsKey(entry.serverId());
-            cluster.servers.computeIfAbsent(entry.serverId(), id -> new ServerState(id, cluster)).listed(now, entry, isNew);
+            boolean isNew = hasServerList && !cluster.servers.containsKey(entry.serverId());
+            cluster.servers.computeIfAbsent(entry.serverId(), id -> new ServerState(id, cluster))
+                    .updateListing(now, entry, isNew);
         }
-        // Servers come under new ids, and each event looks at all that are kept.
+        // Restarted servers get new ids, and every event iterates over all servers kept: old ones must be removed.
         cluster.servers.values().removeIf(server -> server.listing.isGoneFor(now, settings.rules().slowStartMs()));
-        hasList = true;
-        requestListAt = Double.NaN;
+        hasServerList = true;
+        nextListRequestAt = Double.NaN;
         dispatch(now, true);
     }
 
     @Override
     public void serverListFailed(double now) {
         detectStall(now);
-        requestListAt = now + cluster.classes.longestLimit();
+        nextListRequestAt = now + cluster.classes.longestLimit();
         dispatch(now, true);
     }
 
     @Override
     public void requestArrived(double now, Request request) {
         detectStall(now);
-        boolean mayHaveRoom = true;
+        boolean mayHaveCapacity = true;
         if (request.callClass() < 0 || request.callClass() >= cluster.classes.size()) {
             actions.reject(request.id(), 0);
         } else if (!calls.containsKey(request.id())) {
-            cluster.arrivals.count(now);
+            cluster.arrivalRate.count(now);
             PendingCall call = new PendingCall(settings, request, now, firstArrival(now, request));
             calls.put(request.id(), call);
-            waiting.add(call);
-            // Its like found no room in this tick, and a call more makes none: the next timer tries again.
-            mayHaveRoom = now - passAt >= settings.tickMs() * TICK_PART || !keysWithoutRoom.contains(call.routingKey(now));
+            waitingCalls.add(call);
+            // If a call with the same key found no capacity in this tick, neither will this one: the next timer retries.
+            mayHaveCapacity = now - lastDispatchAt >= settings.tickMs() * SAME_TICK_FRACTION
+                    || !keysWithoutCapacity.contains(call.routingKey(now));
             for (ServerState server : cluster.servers.values()) {
                 if (server.listing.isRunning() && call.mayUse(server)) {
-                    server.detect(now, cluster.classes.limit(call.kind()));
+                    server.detectOverload(now, cluster.classes.limit(call.classIndex()));
                 }
             }
         }
-        dispatch(now, mayHaveRoom);
+        dispatch(now, mayHaveCapacity);
     }
 
-    /** When the client's first request for the same came, so that late retries don't take the place of fresh requests. */
+    /** When the client's first request for this call arrived, so that late retries do not displace fresh requests. */
     private double firstArrival(double now, Request request) {
-        int kind = request.callClass();
-        return destinations.firstArrival(now, request.destination(), settings.classes().get(kind).deadlineMs())
+        int callClass = request.callClass();
+        return destinations.firstArrival(now, request.destination(), settings.classes().get(callClass).deadlineMs())
                 .orElseGet(() -> {
-                    // What a stall of this process held up came meanwhile: the time left, against others', tells when.
-                    usualRemaining[kind] = cluster.isStallEnd(now) ? usualRemaining[kind] : request.remainingMs();
-                    return now - Math.max(0, usualRemaining[kind] - request.remainingMs());
+                    // A stall of this process delays requests: how much remaining deadline they lack against the typical
+                    // value shows when they really arrived.
+                    typicalRemaining[callClass] = cluster.isStallEnd(now) ? typicalRemaining[callClass]
+                            : request.remainingMs();
+                    return now - Math.max(0, typicalRemaining[callClass] - request.remainingMs());
                 });
     }
 
@@ -115,9 +120,9 @@
         detectStall(now);
         PendingCall call = calls.get(id);
         if (call != null && call.isCurrent(attempt) && !call.isEstablished()) {
-            call.established();
+            call.markEstablished();
             destinations.recordSuccess(call);
-            call.server().answered(now, call, elapsedMs, this::cancelAttempt);
+            call.server().recordAnswer(now, call, elapsedMs, this::cancelAttempt);
         }
         dispatch(now, true);
     }
@@ -127,23 +132,23 @@
         detectStall(now);
         PendingCall call = calls.get(result.callId());
         if (call != null && call.isCurrent(result.attempt())) {
-            ServerState server = call.detach();
+            ServerState server = call.detachServer();
             if (result.report() != null) {
-                server.report(now, result.report());
+                server.updateLoad(now, result.report());
             }
             if (call.isEstablished()) {
                 calls.remove(call.id());
                 server.callEnded(now, call, result.outcome() == Outcome.RESET);
             } else {
                 server.attemptFailed(now, call, result);
-                attemptFailed(now, call, server, result);
+                retryOrFinish(now, call, server, result);
             }
         }
         dispatch(now, true);
     }
 
-    /** Has the call wait for another attempt, where it may have one. */
-    private void attemptFailed(double now, PendingCall call, ServerState server, AttemptResult result) {
+    /** Lets the call wait for another attempt if it may have one, else gives its final answer. */
+    private void retryOrFinish(double now, PendingCall call, ServerState server, AttemptResult result) {
         Outcome outcome = result.outcome();
         if (outcome == Outcome.BUSY) {
             destinations.recordBusy(now, call);
@@ -153,18 +158,18 @@
             calls.remove(call.id());
             return;
         }
-        // Rule five: after a lost attempt its release is awaited.
+        // After a lost attempt, the next one waits until the server has released it.
         call.attemptFailed(now + (outcome.isLost() ? settings.rules().retryDelayMs() : 0), outcome.mayHaveRun());
-        if (outcome == Outcome.BUSY || call.attempts() >= settings.maxAttempts() || mustNotRepeat(call)) {
-            finish(now, call);
+        if (outcome == Outcome.BUSY || call.attemptCount() >= settings.maxAttempts() || mustNotRetry(call)) {
+            giveFinalAnswer(now, call);
         } else {
-            call.waitAgain();
+            call.returnToWaiting();
             call.updateHold();
-            waiting.add(call);
+            waitingCalls.add(call);
         }
     }
 
-    private static boolean mustNotRepeat(PendingCall call) {
+    private static boolean mustNotRetry(PendingCall call) {
         return call.mayHaveRun() && !call.callClass().isIdempotent();
     }
 
@@ -175,11 +180,11 @@
         if (call != null && call.isOpen()) {
             destinations.recordFailure(now, call);
             call.abandon();
-            waiting.remove(call);
+            waitingCalls.remove(call);
             if (call.server() == null) {
                 calls.remove(id);
             } else {
-                call.server().unheard(now, call);
+                call.server().recordUnanswered(now, call);
                 cancelAttempt(call);
             }
         }
@@ -191,7 +196,7 @@
         detectStall(now);
         ServerState server = cluster.servers.get(serverId);
         if (server != null && report != null) {
-            server.report(now, report);
+            server.updateLoad(now, report);
         }
         dispatch(now, true);
     }
@@ -203,55 +208,56 @@
     }
 
     private void detectStall(double now) {
-        double late = timer.fire(now);   // a timer that fires late tells of a stall of this process
-        if (late > cluster.classes.shortestLimit() * ServerState.SLACK_SHARE) {
-            cluster.stalled(now, late);
+        double lateness = timer.fireIfDue(now);   // a timer that fires late shows that this process stalled
+        if (lateness > cluster.classes.shortestLimit() * ServerState.LATENESS_TOLERANCE_FRACTION) {
+            cluster.recordStall(now, lateness);
         }
     }
 
-    /** After every event: answers and sends what waits, and asks for the next timer. */
-    private void dispatch(double now, boolean mayHaveRoom) {
-        if (now >= requestListAt) {
-            requestListAt = now + cluster.classes.longestLimit();
+    /** Runs after every event: answers or sends waiting calls, and requests the next timer. */
+    private void dispatch(double now, boolean mayHaveCapacity) {
+        if (now >= nextListRequestAt) {
+            nextListRequestAt = now + cluster.classes.longestLimit();
             actions.requestServerList();
         }
         cluster.servers.values().forEach(server -> server.advance(now));
-        if (!waiting.isEmpty() && mayHaveRoom) {
+        if (!waitingCalls.isEmpty() && mayHaveCapacity) {
             dispatchWaiting(now);
         }
         scheduleTimer(now);
     }
 
-    /** Takes the waiting calls by value. One that found no room speaks for the rest of its routing key. */
+    /** Processes the waiting calls by value. Once a call finds no capacity, the others with its routing key are skipped. */
     private void dispatchWaiting(double now) {
-        List<PendingCall> ranked = new ArrayList<>(waiting);
-        ranked.forEach(call -> call.rank(now));
-        ranked.sort(PendingCall.HIGHEST_VALUE_FIRST);   // nearly in order from the last time
-        waiting.clear();
-        keysWithoutRoom.clear();
-        passAt = now;
+        List<PendingCall> ranked = new ArrayList<>(waitingCalls);
+        ranked.forEach(call -> call.updateValue(now));
+        ranked.sort(PendingCall.HIGHEST_VALUE_FIRST);   // cheap: still nearly sorted from the last dispatch
+        waitingCalls.clear();
+        keysWithoutCapacity.clear();
+        lastDispatchAt = now;
         for (PendingCall call : ranked) {
             if (now >= call.holdUntil || destinations.isBlocked(now, call)) {
-                finish(now, call);
-            } else if (now < call.notBefore() || keysWithoutRoom.contains(call.routingKey(now))) {
-                waiting.add(call);
+                giveFinalAnswer(now, call);
+            } else if (now < call.notBefore() || keysWithoutCapacity.contains(call.routingKey(now))) {
+                waitingCalls.add(call);
             } else if (!route(now, call)) {
-                waiting.add(call);
-                if (call.answerBy - now >= cluster.classes.limit(call.kind())) {
-                    keysWithoutRoom.add(call.routingKey(now));
+                waitingCalls.add(call);
+                if (call.answerBy - now >= cluster.classes.limit(call.classIndex())) {
+                    keysWithoutCapacity.add(call.routingKey(now));
                 }
             }
         }
     }
 
-    /** Asks for the next timer; a waiting call whose time ends before one asked for gets one of its own. */
+    /** Requests the next timer, early enough for the waiting call whose hold time ends first. */
     private void scheduleTimer(double now) {
-        if (calls.isEmpty() && Double.isNaN(requestListAt)) {
+        if (calls.isEmpty() && Double.isNaN(nextListRequestAt)) {
             return;
         }
-        double period = cluster.classes.shortestLimit() * (waiting.isEmpty() ? IDLE_PERIOD : WAITING_PERIOD);
-        double next = now + Math.max(settings.tickMs() * 2, period);
-        for (PendingCall call : waiting) {
+        double interval = cluster.classes.shortestLimit()
+                * (waitingCalls.isEmpty() ? IDLE_TIMER_FRACTION : WAITING_TIMER_FRACTION);
+        double next = now + Math.max(settings.tickMs() * 2, interval);
+        for (PendingCall call : waitingCalls) {
             next = Math.min(next, Math.max(now, call.holdUntil));
         }
         if (timer.request(next)) {
@@ -259,67 +265,72 @@
         }
     }
 
-    /** Rule one: the one place that gives a final answer. */
-    private void finish(double now, PendingCall call) {
+    /** Gives a call's final answer. Nothing else does, so that each call gets exactly one. */
+    private void giveFinalAnswer(double now, PendingCall call) {
         destinations.recordFailure(now, call);
         call.abandon();
         calls.remove(call.id());
-        if (mustNotRepeat(call)) {
+        if (mustNotRetry(call)) {
             actions.fail(call.id());
         } else {
             actions.reject(call.id(), retryAfter(now, call));
         }
     }
 
-    /** The soonest time at which what keeps the call out now may have passed, at any server. */
+    /** The shortest time, over all servers, until whatever blocks the call there now may have ended. */
     private double retryAfter(double now, PendingCall call) {
         return cluster.servers.values().stream().filter(server -> server.listing.isRunning() && call.mayUse(server))
-                .mapToDouble(server -> server.remainingWait(now, call.kind())).reduce(settings.maxRetryAfterMs(), Math::min);
+                .mapToDouble(server -> server.remainingWait(now, call.classIndex()))
+                .reduce(settings.maxRetryAfterMs(), Math::min);
     }
 
     private void cancelAttempt(PendingCall call) {
         if (settings.canCancel()) {
-            actions.cancel(call.id(), call.attempts() - 1);
+            actions.cancel(call.id(), call.attemptCount() - 1);
         }
     }
 
-    /** Sends the call to its preferred server while that is good, else draws among those that admit it. */
+    /** Sends the call to its preferred server while that performs well, else to a random one of those that admit it. */
     private boolean route(double now, PendingCall call) {
-        List<ServerState> open = new ArrayList<>();
+        List<ServerState> candidates = new ArrayList<>();
         ServerState preferred = null;
-        double leastDelay = Double.MAX_VALUE;
+        double minDelay = Double.MAX_VALUE;
         for (ServerState server : cluster.servers.values()) {
             if (server != call.failedServer && call.mayUse(server) && server.admits(now, call)) {
-                open.add(server);
-                leastDelay = Math.min(leastDelay, server.delay(now));
+                candidates.add(server);
+                minDelay = Math.min(minDelay, server.expectedDelay(now));
                 preferred = server.listing.pool() == call.request().preferredPool() ? server : preferred;
             }
         }
-        if (open.isEmpty() && (call.failedServer == null || !call.failedServer.admits(now, call))) {
+        if (candidates.isEmpty() && (call.failedServer == null || !call.failedServer.admits(now, call))) {
             return false;
         }
-        double goodDelay = Math.max(ServerState.GOOD_SHARE * cluster.classes.limit(call.kind()), leastDelay);
-        boolean isGood = preferred != null && preferred.overload.value() == Level.NONE && preferred.delay(now) <= goodDelay;
-        send(now, call, isGood ? preferred : open.isEmpty() ? call.failedServer : draw(now, open));
+        double maxGoodDelay =
+                Math.max(ServerState.GOOD_DELAY_FRACTION * cluster.classes.limit(call.classIndex()), minDelay);
+        boolean isPreferredGood = preferred != null && preferred.overload.value() == Level.NONE
+                && preferred.expectedDelay(now) <= maxGoodDelay;
+        send(now, call,
+                isPreferredGood ? preferred : candidates.isEmpty() ? call.failedServer : chooseRandomly(now, candidates));
         return true;
     }
 
-    /** DESIGN's delay-weighted draw. */
-    private ServerState draw(double now, List<ServerState> open) {
-        double point = cluster.random.nextDouble() * open.stream().mapToDouble(server -> server.drawWeight(now)).sum();
-        for (ServerState server : open) {
-            point -= server.drawWeight(now);
+    /** Chooses a server at random, weighted by {@link ServerState#selectionWeight}: by size and inverse square of delay. */
+    private ServerState chooseRandomly(double now, List<ServerState> candidates) {
+        double point =
+                cluster.random.nextDouble() * candidates.stream().mapToDouble(server -> server.selectionWeight(now)).sum();
+        for (ServerState server : candidates) {
+            point -= server.selectionWeight(now);
             if (point < 0) {
                 return server;
             }
         }
-        return open.get(open.size() - 1);
+        return candidates.get(candidates.size() - 1);
     }
 
     private void send(double now, PendingCall call, ServerState server) {
         destinations.recordSent(now, call);
-        call.attemptStarted(now, server, Math.min(cluster.classes.limit(call.kind()), call.answerBy - now));
-        server.sent(now, call);
+        call.attemptStarted(now, server, Math.min(cluster.classes.limit(call.classIndex()), call.answerBy - now));
+        server.recordSent(now, call);
         actions.send(call.id(), server.id, Math.max(settings.tickMs(), call.answerBy - now));
     }
 }
--- a/core/src/main/java/pathlane/decision/policy/ClusterState.java
+++ b/core/src/main/java/pathlane/decision/policy/ClusterState.java
@@ -11,74 +11,78 @@
 import pathlane.decision.support.MeanOfReported;
 import pathlane.slowstart.SlowStartShare;
 
-/** What the policy knows of all servers together: their capacity, the load on them, lost requests and own stalls. */
+/** What the policy knows of all servers together: their capacity and load, recent losses, and stalls of this process. */
 final class ClusterState {
 
-    /** Evidence stays good for so many of the longest objectives; a loss is looked out for during so many such spans. */
-    static final double MEMORY_OBJECTIVES = 2;
+    /**
+     * Observations stay valid for this many times the longest latency objective, or latency limit for single delays; after a
+     * loss, further losses are checked for during this many times that lifetime.
+     */
+    static final double LIFETIME_FACTOR = 2;
 
     final Settings settings;
     final SplittableRandom random;
     final Optional<SlowStartShare> slowStartShare;
     final ClassRanking classes;
-    /** How long evidence of load and delay stays good, in milliseconds. */
-    final double memory;
+    /** How long observations of load and delay stay valid, in milliseconds. */
+    final double observationLifetime;
     final Map<Long, ServerState> servers = new TreeMap<>(Long::compareUnsigned);
-    private final DecayingRate answers;
-    final DecayingRate arrivals;
+    private final DecayingRate answerRate;
+    final DecayingRate arrivalRate;
     final MeanOfReported meanSlots = new MeanOfReported();
+    /** Answers per slot and millisecond. */
     private final DecayingMaximum bestAnswerRate;
-    private double lossSeenAt = Double.NEGATIVE_INFINITY;
-    private double stalledAt = Double.NaN;
+    private double lastLossAt = Double.NEGATIVE_INFINITY;
+    private double lastStallEndAt = Double.NaN;
 
     ClusterState(Settings settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
         slowStartShare = settings.slowStartSenders().map(senders -> new SlowStartShare(settings.rules(), senders));
         classes = new ClassRanking(settings);
-        memory = MEMORY_OBJECTIVES * classes.longestObjective();
-        answers = new DecayingRate(memory);
-        arrivals = new DecayingRate(memory);
+        observationLifetime = LIFETIME_FACTOR * classes.longestObjective();
+        answerRate = new DecayingRate(observationLifetime);
+        arrivalRate = new DecayingRate(observationLifetime);
         bestAnswerRate = new DecayingMaximum(settings.rules().slowStartMs());
     }
 
-    /** Slots of the running servers together: servers differ widely, and one's share of the slots tells its part. */
+    /** The total slots of all running servers. Servers differ widely in size, so their slots weight their shares. */
     private double runningSlots() {
         return Math.max(1, servers.values().stream().filter(server -> server.listing.isRunning())
                 .mapToDouble(ServerState::slots).sum());
     }
 
-    void answered(double now) {
-        bestAnswerRate.observe(now, answers.at(now) / runningSlots());   // without this one, which would be chance
-        answers.count(now);
+    void recordAnswer(double now) {
+        bestAnswerRate.observe(now, answerRate.at(now) / runningSlots());   // before this answer, whose timing is chance
+        answerRate.count(now);
     }
 
-    /** What a server with so many slots answers to this controller at its best, in requests a millisecond. */
-    double warmRate(double slots) {
+    /** What a fully started server with this many slots answers to this controller at best, in requests per millisecond. */
+    double fullSpeedRate(double slots) {
         return bestAnswerRate.last() * slots;
     }
 
-    /** How far apart this controller's requests to a server with so many slots would be if they spread as slots do. */
+    /** The interval of this controller's requests to a server with this many slots if load were spread evenly over slots. */
     double evenInterval(double now, double slots) {
-        return runningSlots() / slots / Math.max(arrivals.at(now), 1 / memory);
+        return runningSlots() / slots / Math.max(arrivalRate.at(now), 1 / observationLifetime);
     }
 
-    void lossSeen(double at) {
-        lossSeenAt = at;
+    void recordLoss(double at) {
+        lastLossAt = at;
     }
 
-    /** Whether requests were lately seen to get lost on the way to servers that work. */
-    boolean isLosing(double now) {
-        return now - lossSeenAt < MEMORY_OBJECTIVES * memory;
+    /** Whether requests to working servers were recently found to be lost. */
+    boolean hasRecentLosses(double now) {
+        return now - lastLossAt < LIFETIME_FACTOR * observationLifetime;
     }
 
-    void stalled(double now, double span) {
-        stalledAt = now;
-        servers.values().forEach(server -> server.unanswered.calls().forEach(call -> call.excuseStall(span)));
+    void recordStall(double now, double duration) {
+        lastStallEndAt = now;
+        servers.values().forEach(server -> server.unanswered.calls().forEach(call -> call.excludeStall(duration)));
     }
 
-    /** Whether this process stalled until this very time: what is seen now says nothing of the servers. */
+    /** Whether a stall of this process ended at this very time, so that delays observed now do not reflect servers. */
     boolean isStallEnd(double now) {
-        return now == stalledAt;
+        return now == lastStallEndAt;
     }
 }
--- a/core/src/main/java/pathlane/decision/policy/Pacer.java
+++ b/core/src/main/java/pathlane/decision/policy/Pacer.java
@@ -1,20 +1,21 @@
 package pathlane.decision.policy;
 
 /**
- * Spaces requests to a server that gets less than one a latency limit from this controller: many such controllers would else
- * feed a jam by one request each. A late lone request opens an interval, which late ones widen and prompt ones close.
+ * Limits the rate of requests to a server that gets less than one per latency limit from this controller: otherwise many
+ * such controllers would keep the server overloaded by one request each. A late answer to a lone request starts pacing at an
+ * interval; further late answers lengthen the interval, and prompt ones shorten and finally end it.
  */
 final class Pacer {
 
-    /** The most by which a prompt answer divides the interval; a late one may multiply it so twice. */
-    private static final double MOST_CHANGE = 2;
-    /** The longest interval, in intervals of an even spread: a server is tried again while its fault may end. */
-    private static final double MOST_EVEN_INTERVALS = 8;
+    /** A prompt answer divides the interval by at most this factor; a late one multiplies it by at most its square. */
+    private static final double MAX_CHANGE_FACTOR = 2;
+    /** The longest interval, in intervals of an even spread: the server must be retried soon enough to notice recovery. */
+    private static final double MAX_EVEN_INTERVALS = 8;
 
     private final double shortestLimit;
-    /** How far apart requests are sent, in milliseconds; nought while they are not spaced. */
+    /** The minimum time between requests, in milliseconds; 0 while the server is not paced. */
     double interval;
-    private double widenedAt = Double.NEGATIVE_INFINITY;
+    private double lengthenedAt = Double.NEGATIVE_INFINITY;
 
     Pacer(double shortestLimit) {
         this.shortestLimit = shortestLimit;
@@ -24,16 +25,22 @@
         interval = 0;
     }
 
-    /** An answer, a rejection or a time-out showed a delay; an interval opens at that of an even spread over the slots. */
+    /**
+     * Records the delay that an answer, a rejection or a timeout showed.
+     *
+     * @param outstanding how many requests were outstanding at the server, this one included
+     * @param evenInterval the interval if requests were spread evenly over all slots: pacing starts at this interval, and
+     *            ends when the interval is no longer than this
+     */
     void observe(double now, PendingCall call, double delay, int outstanding, double evenInterval) {
         boolean isLate = delay >= shortestLimit * OverloadDetector.MARGIN && outstanding == 1;
         if (evenInterval < shortestLimit) {
             interval = 0;
-        } else if ((interval > 0 || isLate) && (call.sentAt() >= widenedAt || call.isOverdue())) {
-            double change = Math.sqrt(delay / (shortestLimit * ServerState.GOOD_SHARE));
-            change = Math.max(1 / MOST_CHANGE, Math.min(MOST_CHANGE * MOST_CHANGE, change));
-            widenedAt = change > 1 ? now : widenedAt;
-            interval = Math.min(MOST_EVEN_INTERVALS * evenInterval, Math.max(interval, evenInterval) * change);
+        } else if ((interval > 0 || isLate) && (call.sentAt() >= lengthenedAt || call.isOverdue())) {
+            double change = Math.sqrt(delay / (shortestLimit * ServerState.GOOD_DELAY_FRACTION));
+            change = Math.max(1 / MAX_CHANGE_FACTOR, Math.min(MAX_CHANGE_FACTOR * MAX_CHANGE_FACTOR, change));
+            lengthenedAt = change > 1 ? now : lengthenedAt;
+            interval = Math.min(MAX_EVEN_INTERVALS * evenInterval, Math.max(interval, evenInterval) * change);
             interval = change < 1 && interval <= evenInterval ? 0 : interval;
         }
     }
--- a/core/src/main/java/pathlane/decision/policy/PendingCall.java
+++ b/core/src/main/java/pathlane/decision/policy/PendingCall.java
@@ -6,23 +6,23 @@
 import pathlane.decision.RoutingPolicy.Request;
 import pathlane.decision.support.CallProgress;
 
-/** A call from its request's arrival to its end: how long it may wait, what it is worth, and which servers may take it. */
+/** A call from the arrival of its request to its end: how long it may wait, its value, and which servers may take it. */
 final class PendingCall extends CallProgress<ServerState> {
 
-    /** A call waits for at most this share of its time: a stall of this process hardly ever outlasts the rest. */
-    private static final double HOLD_SHARE = 0.25;
+    /** The maximum wait as a fraction of the remaining deadline: a stall of this process rarely outlasts the rest. */
+    private static final double HOLD_FRACTION = 0.25;
 
-    /** Calls of the highest value first, among equals the one that came first. */
+    /** Orders calls by descending value, then by arrival. */
     static final Comparator<PendingCall> HIGHEST_VALUE_FIRST = Comparator
-            .<PendingCall>comparingDouble(call -> -call.rankedValue).thenComparingDouble(CallProgress::arrivedAt);
+            .<PendingCall>comparingDouble(call -> -call.value).thenComparingDouble(CallProgress::arrivedAt);
 
     private final Settings settings;
-    /** The latest time of the final answer, with two ticks to spare. */
+    /** The latest time of the final answer, two ticks before the client's deadline. */
     final double answerBy;
     double holdUntil;
-    /** Answered the last attempt with an error: others come first, in case it does so to all. */
+    /** The server that answered the last attempt with an error: others are preferred, as it may fail every request. */
     ServerState failedServer;
-    private double rankedValue;
+    private double value;
 
     PendingCall(Settings settings, Request request, double now, double firstArrivalAt) {
         super(request, now, firstArrivalAt);
@@ -32,29 +32,29 @@
     }
 
     CallClass callClass() {
-        return settings.classes().get(kind());
+        return settings.classes().get(classIndex());
     }
 
-    /** Values it by the paper's U, or by what is left of that once it is late. */
-    void rank(double now) {
-        rankedValue = callClass().utility() * (isLate(now) ? callClass().lateWeight() : 1);
+    /** Sets the call's value: its class's utility (U in the paper), or the fraction of it that a late call is worth. */
+    void updateValue(double now) {
+        value = callClass().utility() * (isLate(now) ? callClass().lateWeight() : 1);
     }
 
-    /** Whether the client's first request is longer ago than the latency objective. */
+    /** Whether more than the latency objective has passed since the client's first request. */
     boolean isLate(double now) {
         return now >= firstArrivalAt() + callClass().latencyObjectiveMs();
     }
 
-    /** Calls with the same key find room at the same servers, but for the time that they have left. */
+    /** Calls with the same key are admitted by the same servers, apart from differences in their remaining deadlines. */
     long routingKey(double now) {
-        return ((long) request().preferredPool() << Integer.SIZE) + 2L * kind() + (isLate(now) ? 1 : 0);
+        return ((long) request().preferredPool() << Integer.SIZE) + 2L * classIndex() + (isLate(now) ? 1 : 0);
     }
 
-    /** Waits while it can still be established in time, but not so long that a stall of this process could lose it. */
+    /** Sets how long the call waits: while it can be established in time, but not so long that a stall could lose it. */
     void updateHold() {
-        double time = request().remainingMs();
-        double span = Math.min(time * HOLD_SHARE, callClass().latencyObjectiveMs() * OverloadDetector.MARGIN);
-        holdUntil = Math.min(arrivedAt() + time * (1 - HOLD_SHARE), Math.max(arrivedAt(), notBefore()) + span);
+        double remaining = request().remainingMs();
+        double maxHold = Math.min(remaining * HOLD_FRACTION, callClass().latencyObjectiveMs() * OverloadDetector.MARGIN);
+        holdUntil = Math.min(arrivedAt() + remaining * (1 - HOLD_FRACTION), Math.max(arrivedAt(), notBefore()) + maxHold);
     }
 
     boolean mayUse(ServerState server) {
--- a/core/src/main/java/pathlane/decision/policy/RateGate.java
+++ b/core/src/main/java/pathlane/decision/policy/RateGate.java
@@ -5,31 +5,37 @@
 import pathlane.decision.policy.OverloadDetector.Level;
 import pathlane.decision.support.DecayingRate;
 
-/** Under overload of one server, sheds classes down to guaranteed rates, the lowest utility first; restores in reverse. */
+/**
+ * While a server is overloaded, sheds call classes one by one, lowest utility first, down to their guaranteed rates;
+ * afterwards restores them in reverse order.
+ */
 final class RateGate {
 
-    /** The paper's guaranteed rates by rank; ranks after the third share the last. */
+    /** The paper's ratio of guaranteed rates by utility rank; ranks after the third use the last value. */
     private static final double[] GUARANTEED_RATIO = {10, 5, 0.5};
-    /** Guaranteed rates together, as a share of what the server lately answered: alone they can't overload it. */
-    private static final double GUARANTEED_SHARE = 0.5;
-    /** X, the paper's step of shedding and restoring, as a share of the shortest limit. */
-    private static final double STEP_SHARE = 0.1;
+    /** Sum of the guaranteed rates as a fraction of the server's recent answer rate: alone they cannot overload it. */
+    private static final double GUARANTEED_FRACTION = 0.5;
+    /** The paper's step X between two classes shed or restored, as a fraction of the shortest latency limit. */
+    private static final double STEP_FRACTION = 0.1;
 
     private final ClassRanking classes;
     private final DecayingRate answerRate;
-    private final double leastRate;
+    private final double minRate;
     private final double ratioSum;
-    final double step;
+    final double stepInterval;
     final boolean[] isShed;
     private final double[] nextPassAt;
-    private double steppedAt = Double.NEGATIVE_INFINITY;
+    private double lastStepAt = Double.NEGATIVE_INFINITY;
 
-    /** {@code answerRate} is what the server answers to this controller, {@code leastRate} is guaranteed without answers. */
-    RateGate(ClassRanking classes, DecayingRate answerRate, double leastRate) {
+    /**
+     * @param answerRate the rate at which the server answers this controller
+     * @param minRate the lower bound of the sum of the guaranteed rates, which applies when there are no answers
+     */
+    RateGate(ClassRanking classes, DecayingRate answerRate, double minRate) {
         this.classes = classes;
         this.answerRate = answerRate;
-        this.leastRate = leastRate;
-        step = STEP_SHARE * classes.shortestLimit();
+        this.minRate = minRate;
+        stepInterval = STEP_FRACTION * classes.shortestLimit();
         ratioSum = IntStream.range(0, classes.size()).mapToDouble(this::ratio).sum();
         isShed = new boolean[classes.size()];
         nextPassAt = new double[classes.size()];
@@ -39,12 +45,12 @@
         return GUARANTEED_RATIO[Math.min(classes.rank(callClass), GUARANTEED_RATIO.length - 1)];
     }
 
-    /** The paper's d: the guaranteed rate of one class, in requests a millisecond. */
+    /** The guaranteed rate of one class (d in the paper), in requests per millisecond. */
     double guaranteedRate(int callClass) {
-        return ratio(callClass) / ratioSum * Math.max(GUARANTEED_SHARE * answerRate.last(), leastRate);
+        return ratio(callClass) / ratioSum * Math.max(GUARANTEED_FRACTION * answerRate.last(), minRate);
     }
 
-    /** The paper's lambda: guaranteed rates added up by latency limit. */
+    /** The sum of the guaranteed rates of the classes with each latency limit (lambda in the paper). */
     double[] guaranteedByLimit() {
         double[] rates = new double[classes.limits().length];
         for (int i = 0; i < rates.length; i++) {
@@ -55,31 +61,31 @@
         return rates;
     }
 
-    /** Sheds or restores one class a step; at the severe level all are shed at once. */
+    /** Sheds or restores one class per step; at the severe level all are shed at once. */
     void advance(double now, Level level) {
-        boolean sheds = level != Level.NONE;
-        for (int r = 0; r < isShed.length && (level == Level.SEVERE || now - steppedAt >= step); r++) {
-            int c = classes.classAt(sheds ? isShed.length - 1 - r : r);
-            if (isShed[c] != sheds) {
-                isShed[c] = sheds;
-                nextPassAt[c] = now;
-                steppedAt = now;
+        boolean isShedding = level != Level.NONE;
+        for (int i = 0; i < isShed.length && (level == Level.SEVERE || now - lastStepAt >= stepInterval); i++) {
+            int callClass = classes.classAt(isShedding ? isShed.length - 1 - i : i);
+            if (isShed[callClass] != isShedding) {
+                isShed[callClass] = isShedding;
+                nextPassAt[callClass] = now;
+                lastStepAt = now;
             }
         }
-        steppedAt = level == Level.SEVERE ? now : steppedAt;
+        lastStepAt = level == Level.SEVERE ? now : lastStepAt;
     }
 
-    /** The level has changed: the next step may come at once. */
+    /** The overload level has changed: the next step may be taken at once. */
     void levelChanged(double now) {
-        steppedAt = Math.min(steppedAt, now - step);
+        lastStepAt = Math.min(lastStepAt, now - stepInterval);
     }
 
-    /** How long the gate keeps a class out, in milliseconds; nought or less where the next request may pass. */
+    /** How long the gate blocks a class, in milliseconds; 0 or less if its next request may pass now. */
     double remainingWait(double now, int callClass) {
         return isShed[callClass] ? nextPassAt[callClass] - now : 0;
     }
 
-    void sent(double now, int callClass) {
+    void recordSent(double now, int callClass) {
         nextPassAt[callClass] = isShed[callClass] ? now + 1 / guaranteedRate(callClass) : nextPassAt[callClass];
     }
 }
--- a/core/src/main/java/pathlane/decision/policy/SlowStartBudget.java
+++ b/core/src/main/java/pathlane/decision/policy/SlowStartBudget.java
@@ -6,13 +6,14 @@
 import pathlane.slowstart.SlowStartShare;
 
 /**
- * Rule four: this controller's budget for a server in slow start, a bucket that fills with its share of what the server can
- * do so long after its start. Where the settings state servers' speed, {@link SlowStartShare} takes the bucket's place.
+ * Keeps the slow-start rule: limits what this controller sends to a server in slow start by a token bucket, which fills at
+ * this controller's share of the server's capacity at that time after its start. If the settings state the servers' speed,
+ * {@link SlowStartShare} is used instead of the bucket.
  */
 final class SlowStartBudget {
 
-    /** What is used of the rule's budget: the rest is for what this controller can't know. */
-    private static final double USED_SHARE = 0.5;
+    /** The used fraction of the budget that the rule allows: the rest covers what this controller cannot know. */
+    private static final double USED_FRACTION = 0.5;
 
     private final long serverId;
     private final Rules rules;
@@ -26,7 +27,7 @@
         this.share = share;
     }
 
-    /** The server started then. A random initial level has all controllers together begin at the filling rate. */
+    /** Starts a slow start. The initial tokens are random so that all controllers together start at the fill rate. */
     void start(double now, double since, double initialTokens) {
         startedAt = since;
         share.ifPresent(all -> all.serverStarted(serverId, since));
@@ -37,30 +38,39 @@
         return now - startedAt < rules.slowStartMs();
     }
 
-    /** Whether one more fits; always where no controller has another one out. The warm rate is in requests a millisecond. */
-    boolean hasRoom(double now, double warmRate, boolean isOnlyRequest) {
+    /**
+     * Whether the budget allows one more request.
+     *
+     * @param fullSpeedRate what the server can answer after its slow start, in requests per millisecond
+     * @param isOnlyRequest whether no controller has another request outstanding there: such a request is always allowed
+     */
+    boolean hasBudget(double now, double fullSpeedRate, boolean isOnlyRequest) {
         if (!isActive(now) || share.isPresent()) {
-            return !isActive(now) || share.get().mayAcquire(serverId, now);
+            return !isActive(now) || share.get().maySend(serverId, now);
         }
-        double fillRate = fillRate(now, warmRate);
-        bucket.refill(now, fillRate, Math.max(1, fillRate * rules.overloadWindowMs() * USED_SHARE));
+        double fillRate = fillRate(now, fullSpeedRate);
+        bucket.refill(now, fillRate, Math.max(1, fillRate * rules.overloadWindowMs() * USED_FRACTION));
         return bucket.hasToken() || isOnlyRequest;
     }
 
-    void sent(double now) {
+    void recordSent(double now) {
         if (isActive(now)) {
             bucket.take();
-            share.ifPresent(all -> all.acquired(serverId));
+            share.ifPresent(all -> all.recordSent(serverId));
         }
     }
 
-    /** A prompt answer begets requests: under half a token for each, or all could double what fills alone. */
-    void answeredPromptly(double now, double warmRate) {
-        bucket.add(Math.min(OverloadDetector.MARGIN * USED_SHARE, fillRate(now, warmRate) * rules.overloadWindowMs()));
+    /**
+     * Adds budget for a prompt answer. Each answer enables further requests, so it adds less than half a token: with more,
+     * all answers together could double what the fill rate alone allows.
+     */
+    void recordPromptAnswer(double now, double fullSpeedRate) {
+        bucket.add(Math.min(OverloadDetector.MARGIN * USED_FRACTION,
+                fillRate(now, fullSpeedRate) * rules.overloadWindowMs()));
     }
 
-    private double fillRate(double now, double warmRate) {
+    private double fillRate(double now, double fullSpeedRate) {
         double ramp = (1 - rules.slowStartFraction()) * (now - startedAt) / rules.slowStartMs();
-        return warmRate * Math.min(1, rules.slowStartFraction() + ramp) * rules.overloadFactor() * USED_SHARE;
+        return fullSpeedRate * Math.min(1, rules.slowStartFraction() + ramp) * rules.overloadFactor() * USED_FRACTION;
     }
 }
--- a/core/src/main/java/pathlane/decision/policy/package-info.java
+++ b/core/src/main/java/pathlane/decision/policy/package-info.java
@@ -1,2 +1,2 @@
-/** The routing policy: all decisions on calls and servers, pure, in virtual time. docs/design/routing.md explains it. */
+/** The routing policy: all decisions on calls and servers, without I/O, in virtual time. See docs/design/routing.md. */
 package pathlane.decision.policy;
--- a/core/src/main/java/pathlane/decision/support/CallProgress.java
+++ b/core/src/main/java/pathlane/decision/support/CallProgress.java
@@ -3,21 +3,21 @@
 import pathlane.decision.RoutingPolicy.Request;
 
 /**
- * How far a call has come: its state, its attempts and the times that they are judged by. All transitions are here. Not
- * thread-safe; times are milliseconds on the caller's clock.
+ * The state machine of one call: its state, its attempts and the times by which they are evaluated. All state transitions
+ * are in this class. Not thread-safe; times are milliseconds on the policy's clock.
  *
- * @param <S> what an attempt is sent to
+ * @param <S> the type of the server that attempts are sent to
  */
 public class CallProgress<S> {
 
     private enum State {
-        /** Between attempts. */
+        /** No attempt is outstanding; the call waits for the next one. */
         WAITING,
-        /** An attempt is out, and the client waits for its answer. */
+        /** An attempt is outstanding, and the client waits for its answer. */
         IN_FLIGHT,
-        /** A server has answered, and the call goes on there. */
+        /** A server has answered, and the call is established there. */
         ESTABLISHED,
-        /** The client has left or has its final answer; an attempt may still be out, and may still establish the call. */
+        /** The client has left or has its final answer. An outstanding attempt may still establish the call. */
         ABANDONED
     }
 
@@ -26,7 +26,7 @@
     private final double firstArrivalAt;
     private State state = State.WAITING;
     private S server;
-    private int attempts;
+    private int attemptCount;
     private double sentAt;
     private double waitingSince;
     private double answerDueAt;
@@ -34,14 +34,14 @@
     private boolean mayHaveRun;
     private boolean isOverdue;
 
-    /** A request that has come now; the client's first one for the same came at another time, if this is a retry. */
+    /** A request that arrived now; if it is a retry, the client's first request arrived at {@code firstArrivalAt}. */
     protected CallProgress(Request request, double now, double firstArrivalAt) {
         this.request = request;
         arrivedAt = now;
         this.firstArrivalAt = firstArrivalAt;
     }
 
-    /** What the client asked for. */
+    /** The client's request. */
     public Request request() {
         return request;
     }
@@ -51,66 +51,66 @@
         return request.id();
     }
 
-    /** The place of the call's class in the settings. */
-    public int kind() {
+    /** The index of the call's class in the settings. */
+    public int classIndex() {
         return request.callClass();
     }
 
-    /** When the request came. */
+    /** When the request arrived. */
     public double arrivedAt() {
         return arrivedAt;
     }
 
-    /** When the client's first request for the same came. */
+    /** When the client's first request for this call arrived. */
     public double firstArrivalAt() {
         return firstArrivalAt;
     }
 
-    /** WAITING to IN_FLIGHT: an attempt leaves now, whose answer is due within a span. */
+    /** WAITING to IN_FLIGHT: an attempt is sent now, whose answer is due after {@code answerWithin}. */
     public void attemptStarted(double now, S target, double answerWithin) {
         state = State.IN_FLIGHT;
         server = target;
-        attempts++;
+        attemptCount++;
         sentAt = now;
         waitingSince = now;
         answerDueAt = now + answerWithin;
     }
 
     /** IN_FLIGHT or ABANDONED to ESTABLISHED. */
-    public void established() {
+    public void markEstablished() {
         state = State.ESTABLISHED;
     }
 
-    /** The attempt, or the established call, has ended; returns the server that it was at. */
-    public S detach() {
+    /** Clears and returns the server of an attempt or established call that has ended. */
+    public S detachServer() {
         S last = server;
         server = null;
         return last;
     }
 
-    /** An attempt ended unanswered. {@code mayHaveRun} says whether a server may have acted on it. */
-    public void attemptFailed(double nextNotBefore, boolean mayHaveRunNow) {
-        notBefore = Math.max(notBefore, nextNotBefore);
-        mayHaveRun |= mayHaveRunNow;
+    /** Records that an attempt ended without establishing the call, and whether a server may have acted on it. */
+    public void attemptFailed(double earliestNext, boolean attemptMayHaveRun) {
+        notBefore = Math.max(notBefore, earliestNext);
+        mayHaveRun |= attemptMayHaveRun;
     }
 
     /** IN_FLIGHT to WAITING, once the attempt has ended. */
-    public void waitAgain() {
+    public void returnToWaiting() {
         state = State.WAITING;
     }
 
-    /** Any state to ABANDONED: no answer is owed any more. */
+    /** Any state to ABANDONED: the call needs no further final answer. */
     public void abandon() {
         state = State.ABANDONED;
     }
 
-    /** This process stalled for so long: what was waited meanwhile says nothing of the server. */
-    public void excuseStall(double span) {
-        answerDueAt += span;
-        waitingSince += span;
+    /** Excludes a stall of this process from the attempt's wait, since the server did not cause it. */
+    public void excludeStall(double duration) {
+        answerDueAt += duration;
+        waitingSince += duration;
     }
 
-    /** The attempt waits for longer than it should, and counts as lost. */
+    /** Marks the attempt as waiting longer than it should; it then counts as lost. */
     public void markOverdue() {
         isOverdue = true;
     }
@@ -125,47 +125,47 @@
         return state == State.ESTABLISHED;
     }
 
-    /** Whether this attempt, counted from 0, is the one that is out, or the one by which the call is established. */
+    /** Whether this attempt, counted from 0, is the outstanding one, or the one that established the call. */
     public boolean isCurrent(int attempt) {
-        return server != null && attempts - 1 == attempt;
+        return server != null && attemptCount - 1 == attempt;
     }
 
-    /** Where an attempt is out, or the call is established; null where neither is so. */
+    /** The server of the outstanding attempt or the established call; null if there is neither. */
     public S server() {
         return server;
     }
 
-    /** Attempts so far. */
-    public int attempts() {
-        return attempts;
+    /** The number of attempts so far. */
+    public int attemptCount() {
+        return attemptCount;
     }
 
-    /** When the last attempt left. */
+    /** When the last attempt was sent. */
     public double sentAt() {
         return sentAt;
     }
 
-    /** Since when the last attempt has waited, own stalls taken off. */
+    /** Since when the last attempt has waited, moved later by the stalls of this process. */
     public double waitingSince() {
         return waitingSince;
     }
 
-    /** When the last attempt's answer is due, own stalls taken off. */
+    /** When the last attempt's answer is due, moved later by the stalls of this process. */
     public double answerDueAt() {
         return answerDueAt;
     }
 
-    /** When the next attempt may leave at the soonest. */
+    /** The earliest time of the next attempt. */
     public double notBefore() {
         return notBefore;
     }
 
-    /** Whether a server may have acted on an attempt that ended unanswered. */
+    /** Whether a server may have acted on an attempt that did not establish the call. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Whether an attempt of the call was found to wait for longer than it should. */
+    /** Whether an attempt of the call was found to wait longer than it should. */
     public boolean isOverdue() {
         return isOverdue;
     }
--- a/core/src/main/java/pathlane/decision/support/ConsecutiveDetections.java
+++ b/core/src/main/java/pathlane/decision/support/ConsecutiveDetections.java
@@ -1,39 +1,39 @@
 package pathlane.decision.support;
 
 /**
- * A value that changes only once so many detections in a row show another one. Not thread-safe.
+ * A debounced value: it changes only after a number of consecutive detections of the same new value. Not thread-safe.
  *
- * @param <T> what is detected, by {@code equals}
+ * @param <T> the type of the value, compared by {@code equals}
  */
 public final class ConsecutiveDetections<T> {
 
-    private final int needed;
+    private final int required;
     private T value;
     private T lastDetected;
-    private int inARow;
+    private int consecutive;
 
-    /** {@code needed} is how many detections in a row change the value, from 1. */
-    public ConsecutiveDetections(int needed, T initial) {
-        this.needed = needed;
+    /** {@code required} is the number of consecutive detections that change the value, at least 1. */
+    public ConsecutiveDetections(int required, T initial) {
+        this.required = required;
         value = initial;
         lastDetected = initial;
     }
 
-    /** Records one detection; says whether it changed the value. */
+    /** Records one detection; returns whether it changed the value. */
     public boolean record(T detected) {
-        inARow = detected.equals(lastDetected) ? inARow + 1 : 1;
+        consecutive = detected.equals(lastDetected) ? consecutive + 1 : 1;
         lastDetected = detected;
-        boolean isChange = inARow >= needed && !detected.equals(value);
+        boolean isChange = consecutive >= required && !detected.equals(value);
         value = isChange ? detected : value;
         return isChange;
     }
 
-    /** The value as it stands. */
+    /** The current value. */
     public T value() {
         return value;
     }
 
-    /** Sets the value, whatever was detected lately. */
+    /** Sets the value regardless of the last detections. */
     public void set(T newValue) {
         value = newValue;
     }
--- a/core/src/main/java/pathlane/decision/support/DecayingMaximum.java
+++ b/core/src/main/java/pathlane/decision/support/DecayingMaximum.java
@@ -1,24 +1,24 @@
 package pathlane.decision.support;
 
-/** The highest of the values that were seen, the older ones faded by an exponential decay. Not thread-safe. */
+/** The maximum of the observed values, each decaying exponentially with age. Not thread-safe; times are milliseconds. */
 public final class DecayingMaximum {
 
-    private final double span;
+    private final double timeConstant;
     private double value;
-    private double seenAt;
+    private double observedAt;
 
-    /** A maximum of nought; {@code span} is the time constant of the decay, in milliseconds. */
-    public DecayingMaximum(double span) {
-        this.span = span;
+    /** Creates a maximum of 0; {@code timeConstant} is that of the decay, in milliseconds. */
+    public DecayingMaximum(double timeConstant) {
+        this.timeConstant = timeConstant;
     }
 
-    /** A value was seen now, in milliseconds on the caller's clock. */
-    public void observe(double now, double seen) {
-        value = Math.max(seen, value * Math.exp((seenAt - now) / span));
-        seenAt = now;
+    /** Records a value observed now. */
+    public void observe(double now, double observed) {
+        value = Math.max(observed, value * Math.exp((observedAt - now) / timeConstant));
+        observedAt = now;
     }
 
-    /** The maximum as it stood when a value was last seen. */
+    /** The maximum as of the last observation. */
     public double last() {
         return value;
     }
--- a/core/src/main/java/pathlane/decision/support/DecayingRate.java
+++ b/core/src/main/java/pathlane/decision/support/DecayingRate.java
@@ -1,32 +1,32 @@
 package pathlane.decision.support;
 
 /**
- * How often something lately happened, in events a millisecond: each event counts for less the longer ago it was, by an
- * exponential decay. Not thread-safe; times are milliseconds on the caller's clock.
+ * The recent rate of an event, in events per millisecond: the weight of each event decays exponentially with its age. Not
+ * thread-safe; times are milliseconds on the policy's clock.
  */
 public final class DecayingRate {
 
-    private final double span;
+    private final double timeConstant;
     private double value;
     private double countedAt;
 
-    /** A rate of nought; {@code span} is the time constant of the decay, in milliseconds, above nought. */
-    public DecayingRate(double span) {
-        this.span = span;
+    /** Creates a rate of 0; {@code timeConstant} is that of the decay, in milliseconds, above 0. */
+    public DecayingRate(double timeConstant) {
+        this.timeConstant = timeConstant;
     }
 
-    /** An event happened now. */
+    /** Counts an event that happened now. */
     public void count(double now) {
-        value = at(now) + 1 / span;
+        value = at(now) + 1 / timeConstant;
         countedAt = now;
     }
 
-    /** The rate as it stands at this time, which is not before the last event. */
+    /** The rate at the given time, which must not be before the last event. */
     public double at(double now) {
-        return value * Math.exp((countedAt - now) / span);
+        return value * Math.exp((countedAt - now) / timeConstant);
     }
 
-    /** The rate as it stood at the last event. */
+    /** The rate as of the last event. */
     public double last() {
         return value;
     }
--- a/core/src/main/java/pathlane/decision/support/DelayHistory.java
+++ b/core/src/main/java/pathlane/decision/support/DelayHistory.java
@@ -4,9 +4,9 @@
 import java.util.Arrays;
 
 /**
- * The delays of one server's answers: a window of the latest, each with how many requests it was seen among, and their
- * mean. The service time is the upper quartile of the delays, each over the requests among which it was seen. Not
- * thread-safe; times and delays are milliseconds on the caller's clock.
+ * The delays of one server's answers: a sliding window of the latest, each with the number of requests that were outstanding
+ * at the time, and their mean. The service time is the upper quartile of the delays, each divided by its number of
+ * outstanding requests. Not thread-safe; times and delays are milliseconds on the policy's clock.
  */
 public final class DelayHistory {
 
@@ -16,25 +16,25 @@
     private final ArrayDeque<Sample> samples = new ArrayDeque<>();
     private double serviceTime;
     private double mean;
-    private double lastAt = Double.NEGATIVE_INFINITY;
-    private double last;
+    private double lastDelayAt = Double.NEGATIVE_INFINITY;
+    private double lastDelay;
 
-    /** {@code capacity} is how many delays the window keeps at most. */
+    /** {@code capacity} is the maximum number of delays that {@link #refresh} keeps. */
     public DelayHistory(int capacity) {
         this.capacity = capacity;
     }
 
-    /** A delay was seen now, among so many outstanding requests, from 1. */
+    /** Adds a delay observed now while this many requests were outstanding, its own included. */
     public void add(double now, double delay, int outstanding) {
         samples.addLast(new Sample(now, delay / outstanding, outstanding));
-        mean = lastAt == Double.NEGATIVE_INFINITY ? delay : (mean + delay) / 2;
-        lastAt = now;
-        last = delay;
+        mean = lastDelayAt == Double.NEGATIVE_INFINITY ? delay : (mean + delay) / 2;
+        lastDelayAt = now;
+        lastDelay = delay;
     }
 
     /**
-     * Drops what is beyond the capacity or from before a time, and works out the service time. The last delay stays however
-     * old: a service time of nought would open a slow server to all at once.
+     * Drops delays beyond the capacity or from before {@code oldestKept}, and recomputes the service time. The last delay is
+     * kept however old it is: without it the service time would be 0, and a slow server would get all requests at once.
      */
     public void refresh(double oldestKept) {
         while (samples.size() > capacity || samples.size() > 1 && samples.peekFirst().at < oldestKept) {
@@ -49,35 +49,35 @@
         serviceTime = size == 0 ? 0 : sorted[(3 * size - 1) / 4];
     }
 
-    /** The service time as of the last refresh; nought where no delay is known. */
+    /** The service time as of the last refresh; 0 if no delay is known. */
     public double serviceTime() {
         return serviceTime;
     }
 
-    /** The most requests that any of the delays was seen among; nought where none is known. */
-    public int mostOutstanding() {
-        int most = 0;
+    /** The maximum number of outstanding requests at any of the delays; 0 if none is known. */
+    public int maxOutstanding() {
+        int max = 0;
         for (Sample sample : samples) {
-            most = Math.max(most, sample.outstanding);
+            max = Math.max(max, sample.outstanding);
         }
-        return most;
+        return max;
     }
 
-    /** The mean delay, each counting half as much as the next, faded since the last one with this time constant. */
-    public double mean(double now, double span) {
-        return mean * Math.exp(-Math.max(0, now - lastAt) / span);
+    /** The mean delay, in which each delay weighs half as much as the next one; it decays from the last delay on. */
+    public double mean(double now, double timeConstant) {
+        return mean * Math.exp(-Math.max(0, now - lastDelayAt) / timeConstant);
     }
 
-    /** Whether as long has passed since the last delay was seen as it took. */
-    public boolean isLastOutlived(double now) {
-        return now - lastAt >= last;
+    /** Whether the time since the last delay was observed is at least as long as that delay. */
+    public boolean hasLastDelayPassed(double now) {
+        return now - lastDelayAt >= lastDelay;
     }
 
-    /** Forgets all delays. */
+    /** Removes all delays. */
     public void clear() {
         samples.clear();
         serviceTime = 0;
         mean = 0;
-        lastAt = Double.NEGATIVE_INFINITY;
+        lastDelayAt = Double.NEGATIVE_INFINITY;
     }
 }
--- a/core/src/main/java/pathlane/decision/support/DestinationRecord.java
+++ b/core/src/main/java/pathlane/decision/support/DestinationRecord.java
@@ -1,46 +1,49 @@
 package pathlane.decision.support;
 
-/** What is remembered of a destination that was requested without success. Times are the caller's milliseconds. */
+/** The history of a destination since its last successful request. Times are milliseconds on the policy's clock. */
 public final class DestinationRecord {
 
     private double firstArrivalAt;
-    private double busyAt = Double.NEGATIVE_INFINITY;
+    private double lastBusyAt = Double.NEGATIVE_INFINITY;
     private double interval;
-    private double nextPassAt;
+    private double nextSendAt;
 
-    /** A request failed; the first one for the same came at this time. */
-    public void failed(double firstRequestAt) {
+    /** Records a failed request whose client sent its first request for the call at the given time. */
+    public void recordFailure(double firstRequestAt) {
         firstArrivalAt = firstRequestAt;
     }
 
-    /** It is busy again, unless the request was sent before that was last seen: its interval doubles within bounds. */
-    public boolean busy(double now, double sentAt, double shortest, double longest) {
-        if (sentAt < busyAt) {
+    /**
+     * Records that the destination was busy, and doubles the interval within the bounds. A request sent before the
+     * destination was last found busy changes nothing; returns false for it.
+     */
+    public boolean recordBusy(double now, double sentAt, double minInterval, double maxInterval) {
+        if (sentAt < lastBusyAt) {
             return false;
         }
-        busyAt = now;
-        interval = Math.min(Math.max(interval + interval, shortest), longest);
+        lastBusyAt = now;
+        interval = Math.min(Math.max(interval + interval, minInterval), maxInterval);
         return true;
     }
 
-    /** A request goes now; returns when the next may. */
-    public double pass(double now) {
-        nextPassAt = now + interval;
-        return nextPassAt;
+    /** Records that a request is sent now; returns when the next one may be sent. */
+    public double recordSent(double now) {
+        nextSendAt = now + interval;
+        return nextSendAt;
     }
 
-    /** When the first of the requests for it came. */
+    /** When the first of the requests for the last failed call arrived. */
     public double firstArrivalAt() {
         return firstArrivalAt;
     }
 
-    /** When the next request may go. */
-    public double nextPassAt() {
-        return nextPassAt;
+    /** When the next request may be sent. */
+    public double nextSendAt() {
+        return nextSendAt;
     }
 
-    /** Whether nothing is left to remember, once no client waits for longer than this. */
+    /** Whether the record may be dropped: no client still waits, and the current interval has passed. */
     public boolean isExpired(double now, double longestDeadline) {
-        return now - firstArrivalAt > longestDeadline && now > nextPassAt + interval;
+        return now - firstArrivalAt > longestDeadline && now > nextSendAt + interval;
     }
 }
--- a/core/src/main/java/pathlane/decision/support/ExponentialBackoff.java
+++ b/core/src/main/java/pathlane/decision/support/ExponentialBackoff.java
@@ -1,55 +1,56 @@
 package pathlane.decision.support;
 
 /**
- * A pause after failures: the wait that the other side states, or one that doubles with each failure in a row, whichever is
- * longer. Not thread-safe; times are milliseconds on the caller's clock.
+ * A pause after failures: the retry delay that the peer requests, or one that doubles with each consecutive failure,
+ * whichever is longer. Not thread-safe; times are milliseconds on the policy's clock.
  */
 public final class ExponentialBackoff {
 
-    private final double shortest;
-    private final int mostDoublings;
-    private int failures;
-    private double failedAt = Double.NEGATIVE_INFINITY;
+    private final double initialPause;
+    private final int maxDoublings;
+    private int consecutiveFailures;
+    private double lastFailureAt = Double.NEGATIVE_INFINITY;
     private double pausedUntil = Double.NEGATIVE_INFINITY;
 
-    /** No failure yet; {@code shortest} is the first pause, which doubles up to {@code mostDoublings} times. */
-    public ExponentialBackoff(double shortest, int mostDoublings) {
-        this.shortest = shortest;
-        this.mostDoublings = mostDoublings;
+    /** Creates a backoff without failures; the initial pause doubles up to {@code maxDoublings} times. */
+    public ExponentialBackoff(double initialPause, int maxDoublings) {
+        this.initialPause = initialPause;
+        this.maxDoublings = maxDoublings;
     }
 
     /**
-     * Something that was begun at a time has failed now. What was begun before the last failure tells nothing new.
+     * Records the failure, now, of an operation. One that was started before the last failure is not counted again.
      *
-     * @param statedWait the wait that the other side asks for, or nought
-     * @return whether it counts as one more failure in a row
+     * @param retryAfter the retry delay that the peer requests, or 0
+     * @return whether it counts as one more consecutive failure
      */
-    public boolean recordFailure(double now, double begunAt, double statedWait) {
-        boolean isNew = begunAt > failedAt;
+    public boolean recordFailure(double now, double startedAt, double retryAfter) {
+        boolean isNew = startedAt > lastFailureAt;
         if (isNew) {
-            failures++;
-            failedAt = now;
+            consecutiveFailures++;
+            lastFailureAt = now;
         }
-        // A failure of what was begun before the last success adds no pause of its own.
-        double grown = failures == 0 ? 0 : shortest * (1 << Math.min(failures - 1, mostDoublings));
-        pausedUntil = Math.max(pausedUntil, now + Math.max(statedWait, grown));
+        // The failure of an operation that was started before the last success adds no exponential pause.
+        double pause =
+                consecutiveFailures == 0 ? 0 : initialPause * (1 << Math.min(consecutiveFailures - 1, maxDoublings));
+        pausedUntil = Math.max(pausedUntil, now + Math.max(retryAfter, pause));
         return isNew;
     }
 
-    /** The next failure is the first in a row again; a pause that runs is kept. */
+    /** Resets the number of consecutive failures; a current pause stays in force. */
     public void recordSuccess() {
-        failures = 0;
+        consecutiveFailures = 0;
     }
 
-    /** The other side is a new one: a pause that runs ends too. */
+    /** Resets everything, for a peer that has restarted: a current pause ends as well. */
     public void reset() {
-        failures = 0;
+        consecutiveFailures = 0;
         pausedUntil = Double.NEGATIVE_INFINITY;
     }
 
-    /** Failures in a row. */
-    public int failures() {
-        return failures;
+    /** The number of consecutive failures. */
+    public int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
     /** When the pause ends. */
--- a/core/src/main/java/pathlane/decision/support/FreeSlots.java
+++ b/core/src/main/java/pathlane/decision/support/FreeSlots.java
@@ -1,27 +1,27 @@
 package pathlane.decision.support;
 
-/** The free slots of one server as far as they are this controller's, for calls of first choice and for others. */
+/** This controller's share of one server's free slots, counted separately for calls that prefer the server and others. */
 public final class FreeSlots {
 
-    private double preferred;
-    private double others;
+    private double preferredSlots;
+    private double otherSlots;
     private double reportedAt = Double.NEGATIVE_INFINITY;
 
-    /** So many are free as of now, in milliseconds on the caller's clock. */
-    public void report(double now, double preferredSlots, double otherSlots) {
-        preferred = preferredSlots;
-        others = otherSlots;
+    /** Sets the free slots as of now, in milliseconds on the policy's clock. */
+    public void report(double now, double preferred, double others) {
+        preferredSlots = preferred;
+        otherSlots = others;
         reportedAt = now;
     }
 
-    /** So many were freed, or taken where negative. */
+    /** Adds freed slots, or subtracts taken ones if negative. */
     public void add(double slots) {
-        preferred += slots;
-        others += slots;
+        preferredSlots += slots;
+        otherSlots += slots;
     }
 
-    /** Whether there are so many, or the last report is as old as {@code maxAge}, so that it says nothing any more. */
+    /** Whether that many slots are free, or the last report is at least {@code maxAge} old and therefore ignored. */
     public boolean mayTake(double now, double slots, boolean isPreferred, double maxAge) {
-        return (isPreferred ? preferred : others) >= slots || now - reportedAt >= maxAge;
+        return (isPreferred ? preferredSlots : otherSlots) >= slots || now - reportedAt >= maxAge;
     }
 }
--- a/core/src/main/java/pathlane/decision/support/OutstandingRequests.java
+++ b/core/src/main/java/pathlane/decision/support/OutstandingRequests.java
@@ -6,42 +6,42 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * The requests that are out to one server and count, in the order in which they were sent. Not thread-safe; times are
- * milliseconds on the caller's clock.
+ * The outstanding requests to one server, in the order in which they were sent. Not thread-safe; times are milliseconds on
+ * the policy's clock.
  *
- * @param <C> the calls of which they are attempts
+ * @param <C> the type of the calls that the requests belong to
  */
 public final class OutstandingRequests<C extends CallProgress<?>> {
 
     private final Map<String, C> calls = new LinkedHashMap<>();
 
-    /** A request of this call was sent. */
+    /** Adds the request of this call, which was sent. */
     public void add(String callId, C call) {
         calls.put(callId, call);
     }
 
-    /** The request of this call does not count any more. */
+    /** Removes the request of this call. */
     public void remove(String callId) {
         calls.remove(callId);
     }
 
-    /** How many there are. */
+    /** The number of requests. */
     public int size() {
         return calls.size();
     }
 
-    /** Whether there is none. */
+    /** Whether there is no request. */
     public boolean isEmpty() {
         return calls.isEmpty();
     }
 
-    /** The calls, in the order in which their requests were sent; nothing is added or removed in a loop over them. */
+    /** The calls in the order in which their requests were sent; must not be modified while iterating. */
     public Iterable<C> calls() {
         return calls.values();
     }
 
-    /** How many are not overdue. */
-    public int countInTime() {
+    /** The number of requests that are not overdue. */
+    public int countNotOverdue() {
         int count = 0;
         for (C call : calls.values()) {
             count += call.isOverdue() ? 0 : 1;
@@ -49,7 +49,7 @@
         return count;
     }
 
-    /** How long the oldest that is not overdue has waited; nought where there is none. */
+    /** How long the oldest request that is not overdue has waited; 0 if there is none. */
     public double longestWait(double now) {
         for (C call : calls.values()) {
             if (!call.isOverdue()) {
@@ -59,22 +59,25 @@
         return 0;
     }
 
-    /** Those that were sent before a time. */
+    /** The calls whose requests were sent before the given time. */
     public List<C> sentBefore(double time) {
         return calls.values().stream().filter(call -> call.sentAt() < time).toList();
     }
 
-    /** How many, as of now, have their answer due in less than a span; with one more that is due in {@code another}. */
-    public DoubleUnaryOperator dueWithin(double now, double another) {
-        double[] left = new double[calls.size()];
+    /**
+     * A function that counts, as of now, the requests whose answer is due in less than a given time, and one additional
+     * request that is due in {@code additional}.
+     */
+    public DoubleUnaryOperator dueWithin(double now, double additional) {
+        double[] remaining = new double[calls.size()];
         int size = 0;
         for (C call : calls.values()) {
-            left[size++] = call.answerDueAt() - now;
+            remaining[size++] = call.answerDueAt() - now;
         }
-        return span -> {
-            int due = another <= span ? 1 : 0;
-            for (double one : left) {
-                due += one < span ? 1 : 0;
+        return time -> {
+            int due = additional <= time ? 1 : 0;
+            for (double one : remaining) {
+                due += one < time ? 1 : 0;
             }
             return due;
         };
--- a/core/src/main/java/pathlane/decision/support/ReportedLoad.java
+++ b/core/src/main/java/pathlane/decision/support/ReportedLoad.java
@@ -2,14 +2,14 @@
 
 import pathlane.decision.RoutingPolicy.LoadReport;
 
-/** What a server reported of itself. Not thread-safe; times are milliseconds on the caller's clock. */
+/** The load that a server reported. Not thread-safe; times are milliseconds on the policy's clock. */
 public final class ReportedLoad {
 
     private double slots;
     private double delay;
     private double delayAt = Double.NEGATIVE_INFINITY;
 
-    /** A report has come; figures that it lacks stay as they were. */
+    /** Applies a report; values missing from it keep their last state. */
     public void update(double now, LoadReport report) {
         slots = report.slots() > 0 ? report.slots() : slots;
         if (report.requestsPerSecond() > 0 && report.queued() >= 0) {
@@ -18,12 +18,12 @@
         }
     }
 
-    /** All slots of the server; nought where it has reported none. */
+    /** The server's total slots; 0 if it has not reported them. */
     public double slots() {
         return slots;
     }
 
-    /** The wait that its queue makes, in milliseconds; nought where none was reported within {@code maxAge}. */
+    /** The delay caused by the server's queue, in milliseconds; 0 if none was reported within {@code maxAge}. */
     public double delay(double now, double maxAge) {
         return now - delayAt < maxAge ? delay : 0;
     }
--- a/core/src/main/java/pathlane/decision/support/RequestedTimer.java
+++ b/core/src/main/java/pathlane/decision/support/RequestedTimer.java
@@ -1,21 +1,21 @@
 package pathlane.decision.support;
 
-/** The one timer that was asked for and has not fired. Not thread-safe; times are milliseconds on the caller's clock. */
+/** The time of the one timer that was requested and has not fired. Not thread-safe; times are in milliseconds. */
 public final class RequestedTimer {
 
     private double dueAt = Double.NaN;
 
-    /** Something happens now: a timer that is due has fired. Returns how late it is; nought where none is due. */
-    public double fire(double now) {
+    /** Clears the timer if it is due, and returns how late it is; returns 0 if none is due. Called on every event. */
+    public double fireIfDue(double now) {
         if (Double.isNaN(dueAt) || now < dueAt) {
             return 0;
         }
-        double late = now - dueAt;
+        double lateness = now - dueAt;
         dueAt = Double.NaN;
-        return late;
+        return lateness;
     }
 
-    /** A timer is wanted for a time; says whether it has to be asked for, since none is due as early. */
+    /** Requests a timer; returns whether it must be scheduled, because none is due at that time or earlier. */
     public boolean request(double at) {
         boolean isEarlier = Double.isNaN(dueAt) || at < dueAt;
         dueAt = isEarlier ? at : dueAt;
--- a/core/src/main/java/pathlane/decision/support/ServerListing.java
+++ b/core/src/main/java/pathlane/decision/support/ServerListing.java
@@ -3,7 +3,7 @@
 import pathlane.decision.RoutingPolicy.ListedServer;
 import pathlane.decision.ServerStatus;
 
-/** One server as the list has it. Not thread-safe; times are milliseconds on the caller's clock. */
+/** One server's entry in the server list. Not thread-safe; times are milliseconds on the policy's clock. */
 public final class ServerListing {
 
     private int pool;
@@ -12,7 +12,7 @@
     private double startedMs;
     private double goneAt = Double.POSITIVE_INFINITY;
 
-    /** The list has this entry for the server; says whether its process has started since the last entry. */
+    /** Applies a list entry; returns whether the server's process has started since the last entry. */
     public boolean update(ListedServer entry) {
         pool = entry.pool();
         weight = entry.weight() > 0 ? entry.weight() : 1;
@@ -22,33 +22,33 @@
         return hasRestarted;
     }
 
-    /** A whole list came without the server. */
+    /** Marks the server as gone because a complete list does not contain it. */
     public void remove() {
         status = ServerStatus.GONE;
     }
 
-    /** Whether the server has been gone for over so many milliseconds; asked on every change of the list. */
-    public boolean isGoneFor(double now, double span) {
+    /** Whether the server has been gone for longer than the given time. Must be called on every change of the list. */
+    public boolean isGoneFor(double now, double duration) {
         goneAt = status == ServerStatus.GONE ? Math.min(goneAt, now) : Double.POSITIVE_INFINITY;
-        return now - goneAt > span;
+        return now - goneAt > duration;
     }
 
-    /** The number by which requests name the server. */
+    /** The pool number by which requests name the server. */
     public int pool() {
         return pool;
     }
 
-    /** The server's size beside others', above nought. */
+    /** The server's size relative to other servers, above 0. */
     public double weight() {
         return weight;
     }
 
-    /** Whether the server takes new requests. */
+    /** Whether the server accepts new requests. */
     public boolean isRunning() {
         return status == ServerStatus.RUNNING;
     }
 
-    /** When the server's process started; nought for long ago. */
+    /** When the server's process started; 0 if long ago. */
     public double startedMs() {
         return startedMs;
     }
--- a/core/src/main/java/pathlane/decision/support/TokenBucket.java
+++ b/core/src/main/java/pathlane/decision/support/TokenBucket.java
@@ -1,34 +1,34 @@
 package pathlane.decision.support;
 
-/** A token bucket whose rate and size may differ at each refill. Not thread-safe; times are the caller's milliseconds. */
+/** A token bucket whose rate and size may change with each refill. Not thread-safe; times are in milliseconds. */
 public final class TokenBucket {
 
     private double tokens;
-    private double filledAt;
+    private double refilledAt;
 
-    /** Begins anew with so many tokens. */
+    /** Resets the bucket to the given number of tokens. */
     public void reset(double now, double initialTokens) {
         tokens = initialTokens;
-        filledAt = now;
+        refilledAt = now;
     }
 
-    /** Adds what came since the last refill, at a rate in tokens a millisecond, up to the size. */
+    /** Adds the tokens since the last refill, at a rate in tokens per millisecond, up to the size. */
     public void refill(double now, double rate, double size) {
-        tokens = Math.min(size, tokens + (now - filledAt) * rate);
-        filledAt = now;
+        tokens = Math.min(size, tokens + (now - refilledAt) * rate);
+        refilledAt = now;
     }
 
-    /** Adds tokens at once, over the size too. */
+    /** Adds tokens at once, even beyond the size. */
     public void add(double more) {
         tokens += more;
     }
 
-    /** Takes one token, or the part of one that is left. */
+    /** Takes one token, or the remaining fraction of one. */
     public void take() {
         tokens = Math.max(0, tokens - 1);
     }
 
-    /** Whether there is a whole token. */
+    /** Whether at least one full token is available. */
     public boolean hasToken() {
         return tokens >= 1;
     }
--- a/core/src/main/java/pathlane/decision/support/package-info.java
+++ b/core/src/main/java/pathlane/decision/support/package-info.java
@@ -1,5 +1,5 @@
 /**
- * General structures on which the routing policy stands: rates, windows, buckets, and records of what happened. They are
- * fed times and values and decide nothing; they know the policy's messages, and neither I/O nor clocks.
+ * General data structures for the routing policy: rates, sliding windows, token buckets, and records of past events. They
+ * receive times and values and make no decisions; they know the policy's event types, but no I/O and no clock.
  */
 package pathlane.decision.support;
--- a/core/src/main/java/pathlane/slowstart/package-info.java
+++ b/core/src/main/java/pathlane/slowstart/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How much a server in slow start may be sent by each of several senders that share nothing but an index of their own.
- * Knows no wire and no clock, and not which call takes what it allows.
+ * Shares the load that a server in slow start may receive among several senders, which coordinate only by an index for each.
+ * Depends on no wire protocol and no clock, and does not decide which calls use the share.
  */
 package pathlane.slowstart;
--- a/core/src/test/java/pathlane/decision/policy/EmbeddingTest.java
+++ b/core/src/test/java/pathlane/decision/policy/EmbeddingTest.java
@@ -14,11 +14,11 @@
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
 
-/** The README's example, run as it stands there. */
+/** Runs the example of the README, and checks that the README contains exactly this code. */
 class EmbeddingTest {
 
     @Test
-    void theExampleRuns() {
+    void exampleRuns() {
         List<String> done = new ArrayList<>();
         // example
         Settings settings = SettingsReader.read(JsonParser.parseString("""
@@ -53,9 +53,10 @@
     }
 
     @Test
-    void theReadmeShowsTheSameExample() throws Exception {
-        String here = Files.readString(Path.of("src/test/java/pathlane/decision/policy/EmbeddingTest.java"));
-        String example = here.substring(here.indexOf("// example\n") + 11, here.indexOf("        // end of example"));
+    void readmeContainsTheSameExample() throws Exception {
+        String source = Files.readString(Path.of("src/test/java/pathlane/decision/policy/EmbeddingTest.java"));
+        String example =
+                source.substring(source.indexOf("// example\n") + 11, source.indexOf("        // end of example"));
         assertTrue(Files.readString(Path.of("../README.md")).contains(example.replaceAll("(?m)^ {8}", "")));
     }
 }
--- a/core/src/test/java/pathlane/decision/policy/PolicyHarness.java
+++ b/core/src/test/java/pathlane/decision/policy/PolicyHarness.java
@@ -10,21 +10,22 @@
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
 
-/** A hand-driven gateway for the tests: the clock moves when the test says so, and every action is kept. */
+/** A policy under test: the test advances its clock, and all actions are recorded. */
 final class PolicyHarness implements RoutingPolicy.Actions {
 
     record Sent(double at, String call, long server, int attempt) {}
 
-    record Final(double at, String call, boolean refused) {}
+    record FinalAnswer(double at, String call, boolean isRejection) {}
 
-    static final double GRACE = 3000;
+    /** The remaining deadline of a request unless the test states another. */
+    static final double REMAINING_MS = 3000;
 
     final List<Sent> sent = new ArrayList<>();
-    final List<Final> finals = new ArrayList<>();
+    final List<FinalAnswer> finalAnswers = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<Double> timers = new ArrayList<>();
-    final Map<String, Integer> attempts = new LinkedHashMap<>();
-    int asked;
+    final Map<String, Integer> attemptCounts = new LinkedHashMap<>();
+    int serverListRequests;
     double now;
     final AdaptiveRoutingPolicy policy;
 
@@ -36,8 +37,10 @@
         policy = new AdaptiveRoutingPolicy(settings, seed, this);
     }
 
-    static Settings.CallClass cls(long aim, double worth) {
-        return new Settings.CallClass("c" + aim, ms(aim), ms(9000), worth, 0.25, 1, true, List.of());
+    static Settings.CallClass callClass(long latencyObjectiveMs, double priorityWeight) {
+        return new Settings.CallClass("c" + latencyObjectiveMs, ms(latencyObjectiveMs), ms(9000), priorityWeight, 0.25, 1,
+                true,
+                List.of());
     }
 
     static Settings.Rules rules() {
@@ -48,58 +51,60 @@
         return Duration.ofMillis(millis);
     }
 
-    static Settings settings(List<Settings.CallClass> classes, int balancers, int attempts, long repeatMs) {
-        return new Settings(classes, rules(), balancers, attempts, ms(5), ms(repeatMs), true, false, -1,
+    static Settings settings(List<Settings.CallClass> classes, int controllerCount, int maxAttempts,
+            long retransmitMs) {
+        return new Settings(classes, rules(), controllerCount, maxAttempts, ms(5), ms(retransmitMs), true, false, -1,
                 ms(500), ms(600_000), Duration.ZERO, java.util.Optional.empty());
     }
 
-    /** Two classes, the second worth three times the first; no repeats unless asked for. */
-    static Settings settings(long repeatMs) {
-        return settings(List.of(cls(1000, 1), cls(2000, 3)), 1, 4, repeatMs);
+    /** Two classes, the second with three times the priority weight of the first; 0 for no retransmission. */
+    static Settings settings(long retransmitMs) {
+        return settings(List.of(callClass(1000, 1), callClass(2000, 3)), 1, 4, retransmitMs);
     }
 
-    static RoutingPolicy.ListedServer running(long server) {
+    static RoutingPolicy.ListedServer runningServer(long server) {
         return new RoutingPolicy.ListedServer(server, (int) server, ServerStatus.RUNNING, 0, 1);
     }
 
     /** What the policy knows of a listed server. */
-    ServerState server(long id) {
+    ServerState serverState(long id) {
         return policy.cluster.servers.get(id);
     }
 
-    void list(RoutingPolicy.ListedServer... lines) {
-        policy.serversListed(now, true, List.of(lines));
+    void listServers(RoutingPolicy.ListedServer... entries) {
+        policy.serversListed(now, true, List.of(entries));
     }
 
-    void change(RoutingPolicy.ListedServer... lines) {
-        policy.serversListed(now, false, List.of(lines));
+    void updateServers(RoutingPolicy.ListedServer... entries) {
+        policy.serversListed(now, false, List.of(entries));
     }
 
-    void call(String id, int callClass, int first) {
-        call(id, callClass, first, GRACE);
+    void requestCall(String id, int callClass, int preferredPool) {
+        requestCall(id, callClass, preferredPool, REMAINING_MS);
     }
 
-    void call(String id, int callClass, int first, double grace) {
-        policy.requestArrived(now, new RoutingPolicy.Request(id, callClass, "n" + id, grace, first, false));
+    void requestCall(String id, int callClass, int preferredPool, double remainingMs) {
+        policy.requestArrived(now,
+                new RoutingPolicy.Request(id, callClass, "n" + id, remainingMs, preferredPool, false));
     }
 
-    void answer(Sent s) {
+    void establish(Sent s) {
         policy.callEstablished(now, s.call, s.attempt, s.server, now - s.at);
     }
 
-    void end(Sent s, Outcome how) {
-        end(s, how, 0);
+    void endAttempt(Sent s, Outcome outcome) {
+        endAttempt(s, outcome, 0);
     }
 
-    void end(Sent s, Outcome how, double statedWait) {
-        policy.attemptEnded(now, new RoutingPolicy.AttemptResult(s.call, s.attempt, s.server, how, how == Outcome.COMPLETED,
-                now - s.at, statedWait, null));
+    void endAttempt(Sent s, Outcome outcome, double retryAfterMs) {
+        policy.attemptEnded(now, new RoutingPolicy.AttemptResult(s.call, s.attempt, s.server, outcome,
+                outcome == Outcome.COMPLETED, now - s.at, retryAfterMs, null));
     }
 
-    /** Moves the clock on, firing each timer at its time. */
-    void until(double time) {
+    /** Advances the clock, firing each timer at its time. */
+    void advanceTo(double time) {
         while (true) {
-            double next = timers.stream().mapToDouble(b -> b).min().orElse(Double.MAX_VALUE);
+            double next = timers.stream().mapToDouble(timer -> timer).min().orElse(Double.MAX_VALUE);
             if (next > time) {
                 break;
             }
@@ -110,38 +115,38 @@
         now = time;
     }
 
-    /** Moves the clock without a timer, as a stalled gateway would; the timers fire late, all at once. */
+    /** Advances the clock without firing timers, like a stalled process; all due timers then fire late, at once. */
     void stallUntil(double time) {
         now = time;
-        int due = (int) timers.stream().filter(b -> b <= time).count();
-        timers.removeIf(b -> b <= time);
+        int due = (int) timers.stream().filter(timer -> timer <= time).count();
+        timers.removeIf(timer -> timer <= time);
         for (int i = 0; i < due; i++) {
             policy.timerFired(now);
         }
     }
 
-    Sent last() {
+    Sent lastSent() {
         return sent.get(sent.size() - 1);
     }
 
-    long sentTo(long server) {
+    long countSentTo(long server) {
         return sent.stream().filter(s -> s.server == server).count();
     }
 
     @Override
     public void send(String call, long server, double giveUpAfterMs) {
-        int attempt = attempts.merge(call, 1, Integer::sum) - 1;
+        int attempt = attemptCounts.merge(call, 1, Integer::sum) - 1;
         sent.add(new Sent(now, call, server, attempt));
     }
 
     @Override
-    public void reject(String call, double adviseMs) {
-        finals.add(new Final(now, call, true));
+    public void reject(String call, double retryAfterMs) {
+        finalAnswers.add(new FinalAnswer(now, call, true));
     }
 
     @Override
     public void fail(String call) {
-        finals.add(new Final(now, call, false));
+        finalAnswers.add(new FinalAnswer(now, call, false));
     }
 
     @Override
@@ -156,6 +161,6 @@
 
     @Override
     public void requestServerList() {
-        asked++;
+        serverListRequests++;
     }
 }
--- a/core/src/test/java/pathlane/decision/policy/RoutingFaultsTest.java
+++ b/core/src/test/java/pathlane/decision/policy/RoutingFaultsTest.java
@@ -10,72 +10,74 @@
 import pathlane.decision.ServerStatus;
 import pathlane.decision.policy.OverloadDetector.Level;
 
-/** One test for each failure found, and for odd but legal events. */
+/** Regression tests, one for each fault found, and a test of unusual but legal event sequences. */
 class RoutingFaultsTest {
 
     private final PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(500));
 
-    /** Before, a call with 78 ms left was held while the next timer was 150 ms off. */
+    /** Guards against a late final answer: a call with 78 ms left was held although the next timer was due in 150 ms. */
     @Test
-    void aHeldCallIsAnsweredInTimeHoweverShort() {
-        harness.until(50);
-        harness.call("long", 0, 1);
-        harness.until(60);
-        harness.call("short", 0, 1, 78);
-        harness.until(138);
-        assertTrue(harness.finals.stream().anyMatch(f -> f.call().equals("short") && f.at() <= 138));
+    void heldCallWithShortDeadlineIsAnsweredInTime() {
+        harness.advanceTo(50);
+        harness.requestCall("long", 0, 1);
+        harness.advanceTo(60);
+        harness.requestCall("short", 0, 1, 78);
+        harness.advanceTo(138);
+        assertTrue(harness.finalAnswers.stream().anyMatch(answer -> answer.call().equals("short") && answer.at() <= 138));
     }
 
-    /** An own stall while calls are held: the hold ends so early that two thirds of their time are left. */
+    /** Calls are held so briefly that two thirds of their time are left for a stall of this process before the answer. */
     @Test
-    void aStallHardlyOutlastsAHeldCall() {
-        harness.call("a", 0, 1);
-        harness.stallUntil(PolicyHarness.GRACE * 0.7);
-        assertEquals(1, harness.finals.size());
+    void stallRarelyOutlastsAHeldCall() {
+        harness.requestCall("a", 0, 1);
+        harness.stallUntil(PolicyHarness.REMAINING_MS * 0.7);
+        assertEquals(1, harness.finalAnswers.size());
     }
 
-    /** A stalled gateway finds its set-ups near their deadlines: that is no detection. */
+    /** After a stall of this process, outstanding requests are near their deadlines: that must not count as overload. */
     @Test
-    void aStallIsNoOverload() {
-        harness.list(PolicyHarness.running(1));
-        warm(1);
-        harness.call("a", 0, 1);
+    void stallIsNotDetectedAsOverload() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        answerPromptly(1);
+        harness.requestCall("a", 0, 1);
         harness.stallUntil(harness.now + 2000);
-        harness.answer(harness.last());
-        assertEquals(Level.NONE, harness.server(1).overload.value());
-        harness.call("b", 0, 1);
-        assertEquals("b", harness.last().call());
+        harness.establish(harness.lastSent());
+        assertEquals(Level.NONE, harness.serverState(1).overload.value());
+        harness.requestCall("b", 0, 1);
+        assertEquals("b", harness.lastSent().call());
     }
 
-    /** Before, every server that was ever listed was kept, and looked at on every event. */
+    /** Guards against a leak: every server that was ever listed was kept, and iterated over on every event. */
     @Test
-    void serversLongGoneAreForgotten() {
+    void goneServersAreRemovedAfterTheSlowStartTime() {
         for (int id = 1; id <= 200; id++) {
-            harness.change(PolicyHarness.running(id + 1), new RoutingPolicy.ListedServer(id, id, ServerStatus.GONE, 0, 1));
-            harness.until(id * 1000);
+            harness.updateServers(PolicyHarness.runningServer(id + 1),
+                    new RoutingPolicy.ListedServer(id, id, ServerStatus.GONE, 0, 1));
+            harness.advanceTo(id * 1000);
         }
-        assertTrue(harness.policy.cluster.servers.size() <= 13, "one a second, remembered for the 10 s of a cold start");
+        assertTrue(harness.policy.cluster.servers.size() <= 13,
+                "one per second is replaced, and each is kept for the 10 s of a slow start");
         assertTrue(harness.policy.cluster.servers.containsKey(201L));
     }
 
     @Test
-    void leaversAreCalledOffAndNotCounted() {
-        harness.list(PolicyHarness.running(1));
-        harness.call("a", 0, 1);
+    void attemptOfAClientThatLeftIsCancelledAndNotCounted() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.requestCall("a", 0, 1);
         harness.policy.clientLeft(harness.now, "a");
         assertEquals(List.of("a"), harness.cancelled);
-        assertTrue(harness.server(1).unanswered.isEmpty());
-        harness.end(harness.last(), Outcome.CANCELLED);
-        harness.until(5000);
-        assertEquals(List.of(), harness.finals);
+        assertTrue(harness.serverState(1).unanswered.isEmpty());
+        harness.endAttempt(harness.lastSent(), Outcome.CANCELLED);
+        harness.advanceTo(5000);
+        assertEquals(List.of(), harness.finalAnswers);
     }
 
-    /** Before, few events came through the gaps and level 2 outlived its cause by many seconds. */
+    /** Guards against a stuck level: the gate let few requests pass, so that level 2 outlasted its cause by many seconds. */
     @Test
-    void anIdleServerLeavesItsLevelInFiveSteps() {
-        harness.list(PolicyHarness.running(1));
-        warm(1);
-        ServerState server = harness.server(1);
+    void idleServerLeavesOverloadAfterFiveDetections() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        answerPromptly(1);
+        ServerState server = harness.serverState(1);
         server.overload.set(Level.SEVERE);
         server.advance(harness.now);
         for (int i = 0; i < 10; i++) {
@@ -84,221 +86,225 @@
         assertEquals(Level.NONE, server.overload.value());
     }
 
-    /** Before, a stale x over the limit barred every send to a server that had long been idle. */
+    /** Guards against a stale service time above the limit, which blocked all requests to a server idle for long. */
     @Test
-    void aLoneSetUpRenewsTheDelay() {
-        harness.list(PolicyHarness.running(1));
-        harness.call("a", 0, 1);
-        harness.until(1200);
-        harness.answer(harness.last());
-        harness.call("b", 0, 1);
-        assertEquals("a", harness.last().call(), "not within as long as the last one took");
-        harness.until(60_000);
-        harness.call("c", 0, 1);
-        assertEquals("c", harness.last().call());
-        harness.call("d", 0, 1);
-        assertEquals("c", harness.last().call(), "a lone one");
+    void loneRequestRefreshesAnOldDelay() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.requestCall("a", 0, 1);
+        harness.advanceTo(1200);
+        harness.establish(harness.lastSent());
+        harness.requestCall("b", 0, 1);
+        assertEquals("a", harness.lastSent().call(), "not before as much time has passed as the last answer took");
+        harness.advanceTo(60_000);
+        harness.requestCall("c", 0, 1);
+        assertEquals("c", harness.lastSent().call());
+        harness.requestCall("d", 0, 1);
+        assertEquals("c", harness.lastSent().call(), "only one request at a time");
     }
 
-    /** Before, x fell back to nought after a second and two set-ups at once went to a slow server. */
+    /** Guards against a service time that fell back to 0 after a second, so that a slow server got two requests at once. */
     @Test
-    void theLastSampleIsKept() {
-        harness.list(PolicyHarness.running(1));
-        harness.call("a", 0, 1);
-        harness.until(1200);
-        harness.answer(harness.last());
-        harness.until(9000);
-        harness.call("b", 0, 1);
-        harness.call("c", 0, 1);
-        assertEquals("b", harness.last().call());
+    void lastDelayIsKeptHoweverOld() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.requestCall("a", 0, 1);
+        harness.advanceTo(1200);
+        harness.establish(harness.lastSent());
+        harness.advanceTo(9000);
+        harness.requestCall("b", 0, 1);
+        harness.requestCall("c", 0, 1);
+        assertEquals("b", harness.lastSent().call());
     }
 
     @Test
-    void aStatedWaitIsKept() {
-        harness.list(PolicyHarness.running(1));
-        harness.call("a", 0, 1);
-        harness.end(harness.last(), Outcome.REJECTED, 4000);
+    void retryAfterOfAServerIsHonoured() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.requestCall("a", 0, 1);
+        harness.endAttempt(harness.lastSent(), Outcome.REJECTED, 4000);
         for (int i = 0; i < 100; i++) {
-            harness.until(i * 100.0);
-            harness.call("b" + i, 0, 1);
+            harness.advanceTo(i * 100.0);
+            harness.requestCall("b" + i, 0, 1);
         }
-        assertTrue(harness.sent.size() > 1, "tried again");
-        assertTrue(harness.sent.get(1).at() >= 4000, "no sooner than stated: " + harness.sent.get(1));
+        assertTrue(harness.sent.size() > 1, "sent again");
+        assertTrue(harness.sent.get(1).at() >= 4000, "not before the stated retry-after: " + harness.sent.get(1));
     }
 
-    /** Before, refusals without a stated wait were met with a new set-up each 125 ms. */
+    /** Guards against a constant retry rate: rejections without retry-after were followed by a new request every 125 ms. */
     @Test
-    void refusalsInARowDoubleThePause() {
-        harness.list(PolicyHarness.running(1));
+    void consecutiveRejectionsDoubleThePause() {
+        harness.listServers(PolicyHarness.runningServer(1));
         for (int i = 0; i < 400; i++) {
             int before = harness.sent.size();
-            harness.until(i * 25.0);
-            harness.call("c" + i, 0, 1);
+            harness.advanceTo(i * 25.0);
+            harness.requestCall("c" + i, 0, 1);
             for (int s = before; s < harness.sent.size(); s++) {
-                harness.end(harness.sent.get(s), Outcome.REJECTED);
+                harness.endAttempt(harness.sent.get(s), Outcome.REJECTED);
             }
         }
         assertTrue(harness.sent.size() <= 8 && harness.sent.size() >= 4,
-                "set-ups in ten seconds of refusals: " + harness.sent.size());
+                "requests sent in ten seconds of rejections: " + harness.sent.size());
     }
 
-    /** Before, "no free line" was taken for a jam, and then hundreds a second rushed for single lines. */
+    /**
+     * Guards against treating "no free slot" as overload of the server, and against hundreds of requests a second that
+     * compete for single free slots.
+     */
     @Test
-    void noFreeLineIsNoFailure() {
-        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
-        harness.call("a", 0, 1);
-        harness.end(harness.last(), Outcome.NO_CAPACITY);
-        assertEquals(2, harness.last().server());
-        assertEquals(0, harness.server(1).backoff.failures());
+    void noCapacityIsNotAFailure() {
+        harness.listServers(PolicyHarness.runningServer(1), PolicyHarness.runningServer(2));
+        harness.requestCall("a", 0, 1);
+        harness.endAttempt(harness.lastSent(), Outcome.NO_CAPACITY);
+        assertEquals(2, harness.lastSent().server());
+        assertEquals(0, harness.serverState(1).backoff.consecutiveFailures());
         harness.policy.loadReported(harness.now, 1,
                 new RoutingPolicy.LoadReport(40, 100, Double.NaN, Double.NaN, Double.NaN, Double.NaN));
-        harness.call("b", 0, 1);
-        assertEquals(1, harness.last().server());
+        harness.requestCall("b", 0, 1);
+        assertEquals(1, harness.lastSent().server());
     }
 
-    /** Before, standing calls that were cut made a server 'cold' for its whole warm-up though it never
-     * restarted. */
+    /** Guards against a full slow start for a server that never restarted, only because established calls were reset. */
     @Test
-    void cutCallsMakeNoServerCold() {
-        harness.list(PolicyHarness.running(1));
-        warm(1);
-        harness.call("a", 0, 1);
-        harness.until(harness.now + 30);
-        harness.answer(harness.last());
-        harness.end(harness.last(), Outcome.RESET);
-        harness.until(harness.now + 1000);
-        assertTrue(!harness.server(1).slowStart.isActive(harness.now));
-        harness.call("b", 0, 1);
-        assertEquals("b", harness.last().call());
+    void resetCallsDoNotStartASlowStart() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        answerPromptly(1);
+        harness.requestCall("a", 0, 1);
+        harness.advanceTo(harness.now + 30);
+        harness.establish(harness.lastSent());
+        harness.endAttempt(harness.lastSent(), Outcome.RESET);
+        harness.advanceTo(harness.now + 1000);
+        assertTrue(!harness.serverState(1).slowStart.isActive(harness.now));
+        harness.requestCall("b", 0, 1);
+        assertEquals("b", harness.lastSent().call());
     }
 
-    /** Before, each call to a number whose lines were all engaged was tried at server after server. */
+    /** Guards against retrying a call to a busy destination at one server after another. */
     @Test
-    void anEngagedNumberIsGappedAndNotTriedElsewhere() {
-        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
+    void requestsForABusyDestinationAreSpacedAndNotRetriedElsewhere() {
+        harness.listServers(PolicyHarness.runningServer(1), PolicyHarness.runningServer(2));
         for (int i = 0; i < 100; i++) {
-            harness.until(i * 50.0);
+            harness.advanceTo(i * 50.0);
             int before = harness.sent.size();
             harness.policy.requestArrived(harness.now, new RoutingPolicy.Request("c" + i, 0, "hot", 3000, 1, false));
             if (harness.sent.size() > before) {
-                harness.end(harness.last(), Outcome.BUSY);
+                harness.endAttempt(harness.lastSent(), Outcome.BUSY);
             }
         }
-        assertTrue(harness.sent.size() <= 5, "tries in five seconds: " + harness.sent.size());
-        assertEquals(100, harness.finals.size());
-        harness.call("other", 0, 1);
-        assertEquals("other", harness.last().call());
+        assertTrue(harness.sent.size() <= 5, "attempts in five seconds: " + harness.sent.size());
+        assertEquals(100, harness.finalAnswers.size());
+        harness.requestCall("other", 0, 1);
+        assertEquals("other", harness.lastSent().call());
     }
 
-    /** Before, callers who dialled again after their aim took the place of fresh ones. */
+    /** Guards against retries past their latency objective that were sent before fresh requests. */
     @Test
-    void freshCallsGoBeforeThoseDialledAgainTooLate() {
+    void freshRequestsAreSentBeforeLateRetries() {
         harness.policy.requestArrived(0, new RoutingPolicy.Request("first", 0, "again", 3000, 1, false));
-        harness.until(1000);
-        assertEquals(1, harness.finals.size(), "no server known: refused");
-        harness.until(1500);
+        harness.advanceTo(1000);
+        assertEquals(1, harness.finalAnswers.size(), "no server known: rejected");
+        harness.advanceTo(1500);
         harness.policy.requestArrived(harness.now, new RoutingPolicy.Request("second", 0, "again", 3000, 1, false));
-        harness.until(1510);
-        harness.call("fresh", 0, 1);
-        harness.list(PolicyHarness.running(1));
+        harness.advanceTo(1510);
+        harness.requestCall("fresh", 0, 1);
+        harness.listServers(PolicyHarness.runningServer(1));
         assertEquals("fresh", harness.sent.get(0).call());
     }
 
-    /** A server that answers nothing gets no more once its oldest set-up has waited nearly a limit. */
+    /** A server that answers nothing gets no more requests once its oldest one has waited for nearly the latency limit. */
     @Test
-    void aSilentServerIsLeft() {
-        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
-        warm(2);
-        harness.call("a", 0, 1);
-        assertEquals(1, harness.last().server());
-        harness.until(harness.now + 460);
-        long before = harness.sentTo(1);
+    void unresponsiveServerGetsNoMoreRequests() {
+        harness.listServers(PolicyHarness.runningServer(1), PolicyHarness.runningServer(2));
+        answerPromptly(2);
+        harness.requestCall("a", 0, 1);
+        assertEquals(1, harness.lastSent().server());
+        harness.advanceTo(harness.now + 460);
+        long before = harness.countSentTo(1);
         for (int i = 0; i < 20; i++) {
-            harness.call("b" + i, 0, 1);
-            harness.until(harness.now + 50);
-            harness.sent.stream().filter(s -> s.server() == 2).forEach(harness::answer);
+            harness.requestCall("b" + i, 0, 1);
+            harness.advanceTo(harness.now + 50);
+            harness.sent.stream().filter(request -> request.server() == 2).forEach(harness::establish);
         }
-        assertEquals(before, harness.sentTo(1));
+        assertEquals(before, harness.countSentTo(1));
     }
 
-    /** Before, set-ups to a slow server were called off before their answer, so that nothing was learned of
-     * it. */
+    /** Guards against cancelling requests to a slow server before their answer, which left its delay unknown. */
     @Test
-    void aSlowServerIsGivenTimeToAnswer() {
-        harness.list(PolicyHarness.running(1), PolicyHarness.running(2));
-        warm(2);
-        harness.call("a", 0, 1);
-        harness.until(harness.now + 1300);
+    void slowServerGetsTimeToAnswer() {
+        harness.listServers(PolicyHarness.runningServer(1), PolicyHarness.runningServer(2));
+        answerPromptly(2);
+        harness.requestCall("a", 0, 1);
+        harness.advanceTo(harness.now + 1300);
         assertEquals(List.of(), harness.cancelled);
     }
 
-    /** Before, one lost set-up barred its server for the three seconds that its caller would wait. */
+    /** Guards against a lost request that blocked its server for the three seconds that its client would wait. */
     @Test
-    void anOvertakenSetUpIsCalledOffAndTriedAgain() {
-        harness.list(PolicyHarness.running(1));
-        harness.call("lost", 0, 1);
-        harness.until(150);
-        harness.call("b", 0, 1);
-        harness.until(200);
-        harness.answer(harness.last());
+    void overtakenRequestIsCancelledAndRetried() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.requestCall("lost", 0, 1);
+        harness.advanceTo(150);
+        harness.requestCall("b", 0, 1);
+        harness.advanceTo(200);
+        harness.establish(harness.lastSent());
         assertEquals(List.of("lost"), harness.cancelled);
-        harness.end(harness.sent.get(0), Outcome.CANCELLED);
-        harness.until(399);
-        assertEquals(1, harness.attempts.get("lost"), "the release is awaited");
-        harness.until(500);
-        assertEquals(2, harness.attempts.get("lost"));
+        harness.endAttempt(harness.sent.get(0), Outcome.CANCELLED);
+        harness.advanceTo(399);
+        assertEquals(1, harness.attemptCounts.get("lost"), "the release is awaited");
+        harness.advanceTo(500);
+        assertEquals(2, harness.attemptCounts.get("lost"));
     }
 
     @Test
-    void oddButLegalEventsDoNoHarm() {
+    void unusualButLegalEventsAreHandled() {
         harness.policy.timerFired(0);
-        harness.call("a", 0, 1);
-        harness.call("a", 0, 1);
-        harness.call("unknown class", 7, 1);
-        harness.call("no time", 0, 1, 0);
-        harness.list(PolicyHarness.running(1));
-        harness.end(harness.last(), Outcome.NOT_SENT);
-        harness.end(harness.last(), Outcome.COMPLETED);
-        harness.end(harness.last(), Outcome.COMPLETED);
+        harness.requestCall("a", 0, 1);
+        harness.requestCall("a", 0, 1);
+        harness.requestCall("unknown class", 7, 1);
+        harness.requestCall("no time", 0, 1, 0);
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.endAttempt(harness.lastSent(), Outcome.NOT_SENT);
+        harness.endAttempt(harness.lastSent(), Outcome.COMPLETED);
+        harness.endAttempt(harness.lastSent(), Outcome.COMPLETED);
         harness.policy.clientLeft(harness.now, "a");
         harness.policy.clientLeft(harness.now, "never seen");
         harness.policy.callEstablished(harness.now, "never seen", 0, 1, 5);
         harness.policy.loadReported(harness.now, 99, new RoutingPolicy.LoadReport(1, 1, 1, 1, 1, 1));
         harness.policy.serverListFailed(harness.now);
-        harness.until(1e7);
-        harness.call("after a leap", 0, 1);
-        harness.until(1e7);
-        harness.list();
-        harness.until(2e7);
-        assertEquals(1, harness.finals.stream().filter(f -> f.call().equals("no time")).count());
-        assertEquals(1, harness.finals.stream().filter(f -> f.call().equals("unknown class")).count());
-        assertEquals(harness.finals.size(), harness.finals.stream().map(PolicyHarness.Final::call).distinct().count());
+        harness.advanceTo(1e7);
+        harness.requestCall("after a leap", 0, 1);
+        harness.advanceTo(1e7);
+        harness.listServers();
+        harness.advanceTo(2e7);
+        assertEquals(1, harness.finalAnswers.stream().filter(answer -> answer.call().equals("no time")).count());
+        assertEquals(1, harness.finalAnswers.stream().filter(answer -> answer.call().equals("unknown class")).count());
+        assertEquals(harness.finalAnswers.size(),
+                harness.finalAnswers.stream().map(PolicyHarness.FinalAnswer::call).distinct().count());
     }
 
-    private void warm(long server) {
+    /** Has the server answer five calls promptly, so that its delay is known. */
+    private void answerPromptly(long server) {
         for (int i = 0; i < 5; i++) {
-            harness.call("warm" + server + i, 0, (int) server);
-            harness.until(harness.now + 20);
-            harness.answer(harness.last());
+            harness.requestCall("prompt" + server + i, 0, (int) server);
+            harness.advanceTo(harness.now + 20);
+            harness.establish(harness.lastSent());
         }
     }
 
     @Test
-    void afterAnErrorAnotherServerComesFirstAndTheSameOneWhereThereIsNoOther() {
+    void afterAnErrorTheCallIsRetriedAtAnotherServerOrElseAtTheSameOne() {
         for (int servers = 2; servers <= 3; servers++) {
             PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(0));
-            harness.list(servers == 2 ? new RoutingPolicy.ListedServer[] {PolicyHarness.running(1), PolicyHarness.running(2)}
-                    : new RoutingPolicy.ListedServer[] {PolicyHarness.running(1), PolicyHarness.running(2),
-                            PolicyHarness.running(3)});
-            harness.call("a", 0, 1);
-            assertEquals(1, harness.sent.get(0).server(), "first choice");
-            harness.end(harness.sent.get(0), Outcome.ERROR);
-            assertTrue(harness.sent.get(1).server() != 1, "another");
+            harness.listServers(servers == 2
+                    ? new RoutingPolicy.ListedServer[] {PolicyHarness.runningServer(1), PolicyHarness.runningServer(2)}
+                    : new RoutingPolicy.ListedServer[] {PolicyHarness.runningServer(1), PolicyHarness.runningServer(2),
+                            PolicyHarness.runningServer(3)});
+            harness.requestCall("a", 0, 1);
+            assertEquals(1, harness.sent.get(0).server(), "preferred server");
+            harness.endAttempt(harness.sent.get(0), Outcome.ERROR);
+            assertTrue(harness.sent.get(1).server() != 1, "another server");
         }
-        PolicyHarness alone = new PolicyHarness(PolicyHarness.settings(0));
-        alone.list(PolicyHarness.running(1));
-        alone.call("a", 0, 1);
-        alone.end(alone.sent.get(0), Outcome.ERROR);
-        assertEquals(1, alone.sent.get(1).server());
+        PolicyHarness oneServer = new PolicyHarness(PolicyHarness.settings(0));
+        oneServer.listServers(PolicyHarness.runningServer(1));
+        oneServer.requestCall("a", 0, 1);
+        oneServer.endAttempt(oneServer.sent.get(0), Outcome.ERROR);
+        assertEquals(1, oneServer.sent.get(1).server());
     }
 }
--- a/core/src/test/java/pathlane/decision/policy/RulesTest.java
+++ b/core/src/test/java/pathlane/decision/policy/RulesTest.java
@@ -18,117 +18,120 @@
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
 
-/** The five rules as properties over seeded streams of calls, outcomes, drains and restarts. */
+/**
+ * The policy's five rules as properties that must hold for any sequence of events, checked on seeded random sequences of
+ * calls, outcomes, drains and restarts, and for servers in slow start.
+ */
 class RulesTest {
 
-    private static final Outcome[] BAD = {Outcome.REJECTED, Outcome.NO_CAPACITY,
+    private static final Outcome[] FAILURES = {Outcome.REJECTED, Outcome.NO_CAPACITY,
             Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT, Outcome.ERROR,
             Outcome.NOT_SENT};
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void everyStreamKeepsTheRules(long seed) {
+    void everyEventSequenceKeepsTheRules(long seed) {
         Random random = new Random(seed);
         PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(seed % 2 == 0 ? 500 : 0), seed);
-        harness.list(PolicyHarness.running(1), PolicyHarness.running(2), PolicyHarness.running(3));
-        Map<String, Double> deadline = new HashMap<>();
-        Map<String, PolicyHarness.Sent> out = new HashMap<>();
+        harness.listServers(PolicyHarness.runningServer(1), PolicyHarness.runningServer(2), PolicyHarness.runningServer(3));
+        Map<String, Double> deadlines = new HashMap<>();
+        Map<String, PolicyHarness.Sent> outstanding = new HashMap<>();
         Map<String, Double> notBefore = new HashMap<>();
-        Map<Long, Double> shutSince = new HashMap<>();
-        Set<String> over = new HashSet<>();
-        int seenSends = 0;
-        int seenFinals = 0;
-        int seenCancels = 0;
-        int number = 0;
+        Map<Long, Double> unavailableSince = new HashMap<>();
+        Set<String> finished = new HashSet<>();
+        int checkedSends = 0;
+        int checkedAnswers = 0;
+        int checkedCancels = 0;
+        int callCount = 0;
         for (double time = 5; time < 20_000; time += 5) {
-            harness.until(time);
+            harness.advanceTo(time);
             if (time < 15_000 && random.nextInt(6) == 0) {
-                String id = "c" + number++;
-                double grace = 100 + random.nextInt(3000);
-                deadline.put(id, time + grace);
-                harness.call(id, random.nextInt(2), 1 + random.nextInt(3), grace);
+                String id = "c" + callCount++;
+                double remainingMs = 100 + random.nextInt(3000);
+                deadlines.put(id, time + remainingMs);
+                harness.requestCall(id, random.nextInt(2), 1 + random.nextInt(3), remainingMs);
             }
             if (random.nextInt(300) == 0) {
                 long server = 1 + random.nextInt(3);
-                boolean opens = shutSince.remove(server) != null;
-                if (!opens) {
-                    shutSince.put(server, time);
+                boolean isBack = unavailableSince.remove(server) != null;
+                if (!isBack) {
+                    unavailableSince.put(server, time);
                 }
-                harness.change(new RoutingPolicy.ListedServer(server, (int) server,
-                        opens ? ServerStatus.RUNNING : random.nextBoolean() ? ServerStatus.DRAINING
+                harness.updateServers(new RoutingPolicy.ListedServer(server, (int) server,
+                        isBack ? ServerStatus.RUNNING : random.nextBoolean() ? ServerStatus.DRAINING
                                 : ServerStatus.GONE,
-                        opens ? time : 0, 1));
+                        isBack ? time : 0, 1));
             }
-            for (PolicyHarness.Sent s : new ArrayList<>(out.values())) {
-                boolean late = time >= deadline.get(s.call());
-                if (late || random.nextInt(40) == 0) {
-                    out.remove(s.call());
-                    if (!late && random.nextInt(6) > 0) {
-                        over.add(s.call());
-                        harness.answer(s);
+            for (PolicyHarness.Sent s : new ArrayList<>(outstanding.values())) {
+                boolean isLate = time >= deadlines.get(s.call());
+                if (isLate || random.nextInt(40) == 0) {
+                    outstanding.remove(s.call());
+                    if (!isLate && random.nextInt(6) > 0) {
+                        finished.add(s.call());
+                        harness.establish(s);
                     } else {
-                        Outcome how = late ? Outcome.TIMED_OUT : BAD[random.nextInt(BAD.length)];
-                        if (how == Outcome.RESET || how == Outcome.TIMED_OUT) {
+                        Outcome outcome = isLate ? Outcome.TIMED_OUT : FAILURES[random.nextInt(FAILURES.length)];
+                        if (outcome == Outcome.RESET || outcome == Outcome.TIMED_OUT) {
                             notBefore.put(s.call(), time + 200);
                         }
-                        harness.end(s, how, how == Outcome.REJECTED ? random.nextInt(400) : 0);
+                        harness.endAttempt(s, outcome, outcome == Outcome.REJECTED ? random.nextInt(400) : 0);
                     }
                 }
             }
-            for (; seenSends < harness.sent.size(); seenSends++) {
-                PolicyHarness.Sent s = harness.sent.get(seenSends);
-                assertFalse(over.contains(s.call()), "sent after its end: " + s);
-                assertTrue(out.put(s.call(), s) == null, "two attempts out: " + s);
-                assertTrue(s.at() >= notBefore.getOrDefault(s.call(), 0.0), "release not awaited: " + s);
+            for (; checkedSends < harness.sent.size(); checkedSends++) {
+                PolicyHarness.Sent s = harness.sent.get(checkedSends);
+                assertFalse(finished.contains(s.call()), "sent after its end: " + s);
+                assertTrue(outstanding.put(s.call(), s) == null, "two attempts outstanding: " + s);
+                assertTrue(s.at() >= notBefore.getOrDefault(s.call(), 0.0), "sent before the last attempt's release: " + s);
                 assertTrue(s.attempt() < 4, "too many attempts: " + s);
-                assertFalse(shutSince.containsKey(s.server()) && s.at() > shutSince.get(s.server()),
+                assertFalse(unavailableSince.containsKey(s.server()) && s.at() > unavailableSince.get(s.server()),
                         "sent to a draining or gone server: " + s);
             }
-            for (; seenFinals < harness.finals.size(); seenFinals++) {
-                PolicyHarness.Final f = harness.finals.get(seenFinals);
-                assertTrue(over.add(f.call()), "two final answers: " + f);
-                assertFalse(out.containsKey(f.call()), "answered with an attempt out: " + f);
-                assertTrue(f.at() <= deadline.get(f.call()) + 20, "answered late: " + f);
+            for (; checkedAnswers < harness.finalAnswers.size(); checkedAnswers++) {
+                PolicyHarness.FinalAnswer answer = harness.finalAnswers.get(checkedAnswers);
+                assertTrue(finished.add(answer.call()), "two final answers: " + answer);
+                assertFalse(outstanding.containsKey(answer.call()), "answered with an attempt outstanding: " + answer);
+                assertTrue(answer.at() <= deadlines.get(answer.call()) + 20, "answered late: " + answer);
             }
-            for (; seenCancels < harness.cancelled.size(); seenCancels++) {
-                PolicyHarness.Sent s = out.remove(harness.cancelled.get(seenCancels));
+            for (; checkedCancels < harness.cancelled.size(); checkedCancels++) {
+                PolicyHarness.Sent s = outstanding.remove(harness.cancelled.get(checkedCancels));
                 if (s != null) {
                     notBefore.put(s.call(), time + 200);
-                    harness.end(s, Outcome.CANCELLED);
+                    harness.endAttempt(s, Outcome.CANCELLED);
                 }
             }
         }
-        assertTrue(harness.sent.size() > 40, "the stream was played: " + harness.sent.size());
-        List<String> unanswered = deadline.keySet().stream().filter(id -> !over.contains(id)).sorted().toList();
+        assertTrue(harness.sent.size() > 40, "too few requests were sent: " + harness.sent.size());
+        List<String> unanswered = deadlines.keySet().stream().filter(id -> !finished.contains(id)).sorted().toList();
         assertEquals(List.of(), unanswered);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 20, 274})
-    void allGatewaysTogetherKeepTheColdBudget(int balancers) {
-        // Rule four, for a server that never answers: what all send in any window stays under the multiple
-        // of the coldest capacity. Before, one warm server answered 40 set-ups a second to all gateways
-        // together.
+    void allControllersTogetherKeepTheSlowStartBudget(int controllerCount) {
+        // The slow-start rule, for a starting server that never answers: in any window all controllers together send at most
+        // the overload factor times its initial capacity. Beforehand, a fully started server answers 40 requests a second of
+        // all controllers together.
         List<Double> sends = new ArrayList<>();
-        for (int g = 0; g < balancers; g++) {
-            Settings settings = PolicyHarness.settings(List.of(PolicyHarness.cls(1000, 1)), balancers, 4, 0);
+        for (int g = 0; g < controllerCount; g++) {
+            Settings settings = PolicyHarness.settings(List.of(PolicyHarness.callClass(1000, 1)), controllerCount, 4, 0);
             PolicyHarness harness = new PolicyHarness(settings, 100 + g);
-            harness.list(PolicyHarness.running(1));
+            harness.listServers(PolicyHarness.runningServer(1));
             for (int i = 0; i < 400; i++) {
-                harness.until(g + i * 25.0 * balancers);
-                harness.call("w" + i, 0, 1);
-                harness.until(harness.now + 10);
-                if (harness.last().call().equals("w" + i)) {
-                    harness.answer(harness.last());
+                harness.advanceTo(g + i * 25.0 * controllerCount);
+                harness.requestCall("w" + i, 0, 1);
+                harness.advanceTo(harness.now + 10);
+                if (harness.lastSent().call().equals("w" + i)) {
+                    harness.establish(harness.lastSent());
                 }
             }
-            double from = harness.now;
-            harness.list(new RoutingPolicy.ListedServer(2, 2, ServerStatus.RUNNING, from, 1));
+            double startedAt = harness.now;
+            harness.listServers(new RoutingPolicy.ListedServer(2, 2, ServerStatus.RUNNING, startedAt, 1));
             for (int i = 0; i < 200; i++) {
-                harness.until(from + i * 50.0);
-                harness.call("c" + i, 0, 2);
+                harness.advanceTo(startedAt + i * 50.0);
+                harness.requestCall("c" + i, 0, 2);
             }
-            harness.sent.stream().filter(s -> s.server() == 2).forEach(s -> sends.add(s.at() - from));
+            harness.sent.stream().filter(s -> s.server() == 2).forEach(s -> sends.add(s.at() - startedAt));
         }
         assertFalse(sends.isEmpty());
         for (double start : sends) {
--- a/core/src/test/java/pathlane/decision/policy/SizeTest.java
+++ b/core/src/test/java/pathlane/decision/policy/SizeTest.java
@@ -12,169 +12,176 @@
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
 
-/** One test for each failure found where hundreds of gateways share few servers, and each sees little. */
+/** Regression tests for faults found where hundreds of controllers share few servers and each observes little traffic. */
 class SizeTest {
 
-    private static final int MANY = 250;
+    private static final int CONTROLLER_COUNT = 250;
 
     private final PolicyHarness harness = new PolicyHarness(PolicyHarness.settings(500));
 
-    private static Settings many() {
-        return PolicyHarness.settings(List.of(PolicyHarness.cls(1000, 1), PolicyHarness.cls(2000, 3)), MANY, 4, 500);
+    private static Settings manyControllers() {
+        return PolicyHarness.settings(List.of(PolicyHarness.callClass(1000, 1), PolicyHarness.callClass(2000, 3)),
+                CONTROLLER_COUNT, 4,
+                500);
     }
 
-    private static RoutingPolicy.LoadReport lines(double free, double all) {
-        return new RoutingPolicy.LoadReport(free, all, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    private static RoutingPolicy.LoadReport slotReport(double free, double total) {
+        return new RoutingPolicy.LoadReport(free, total, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    /** Before, each gateway sent a jammed server a lone set-up as often as one was answered: hundreds together. */
+    /**
+     * Guards against sustained overload by lone requests: each controller sent an overloaded server its next request as soon
+     * as the last was answered, which made hundreds together.
+     */
     @Test
-    void aLateLoneSetUpPacesAServerThatThisGatewaySeldomUses() {
-        harness.list(PolicyHarness.running(1));
+    void lateAnswerToALoneRequestPacesARarelyUsedServer() {
+        harness.listServers(PolicyHarness.runningServer(1));
         double last = Double.NEGATIVE_INFINITY;
-        List<Double> gaps = new ArrayList<>();
+        List<Double> intervals = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             int before = harness.sent.size();
-            harness.until(i * 2000.0);
-            harness.call("c" + i, 0, 1);
+            harness.advanceTo(i * 2000.0);
+            harness.requestCall("c" + i, 0, 1);
             if (harness.sent.size() > before) {
-                gaps.add(harness.now - last);
+                intervals.add(harness.now - last);
                 last = harness.now;
-                harness.until(harness.now + 1500);
-                harness.answer(harness.last());
+                harness.advanceTo(harness.now + 1500);
+                harness.establish(harness.lastSent());
             }
         }
-        assertTrue(gaps.size() >= 3, "tried again at times: " + gaps);
-        assertTrue(gaps.get(1) > 4000 && gaps.get(2) > gaps.get(1), "ever farther apart: " + gaps);
+        assertTrue(intervals.size() >= 3, "the server is still retried: " + intervals);
+        assertTrue(intervals.get(1) > 4000 && intervals.get(2) > intervals.get(1), "growing intervals: " + intervals);
     }
 
-    /** Where calls are many the conditions see enough, and no pace holds a server that is well again. */
+    /** With many calls the overload conditions suffice, and pacing must not slow down a server that has recovered. */
     @Test
-    void noPaceWhereCallsAreMany() {
-        harness.list(PolicyHarness.running(1));
+    void noPacingWithManyCalls() {
+        harness.listServers(PolicyHarness.runningServer(1));
         for (int i = 0; i < 100; i++) {
-            harness.until(i * 20.0);
-            harness.call("c" + i, 0, 1);
+            harness.advanceTo(i * 20.0);
+            harness.requestCall("c" + i, 0, 1);
         }
-        harness.until(2000);
-        for (PolicyHarness.Sent s : List.copyOf(harness.sent)) {
-            harness.answer(s);
+        harness.advanceTo(2000);
+        for (PolicyHarness.Sent request : List.copyOf(harness.sent)) {
+            harness.establish(request);
         }
-        assertEquals(0, harness.server(1).pacer.interval);
+        assertEquals(0, harness.serverState(1).pacer.interval);
     }
 
-    /** Before, the overflow of large servers was drawn evenly and jammed the small ones. */
+    /** Guards against spreading the excess load of large servers evenly, which overloaded the small ones. */
     @Test
-    void theLinesOfAServerWeighTheDraw() {
-        int large = 0;
+    void randomSelectionIsWeightedBySlots() {
+        int sentToLarge = 0;
         for (int seed = 0; seed < 200; seed++) {
-            PolicyHarness one = new PolicyHarness(PolicyHarness.settings(0), seed);
-            one.list(PolicyHarness.running(1), PolicyHarness.running(2));
-            one.policy.loadReported(0, 1, lines(100, 100));
-            one.policy.loadReported(0, 2, lines(900, 900));
-            one.call("a", 0, 3);
-            large += one.last().server() == 2 ? 1 : 0;
+            PolicyHarness controller = new PolicyHarness(PolicyHarness.settings(0), seed);
+            controller.listServers(PolicyHarness.runningServer(1), PolicyHarness.runningServer(2));
+            controller.policy.loadReported(0, 1, slotReport(100, 100));
+            controller.policy.loadReported(0, 2, slotReport(900, 900));
+            controller.requestCall("a", 0, 3);
+            sentToLarge += controller.lastSent().server() == 2 ? 1 : 0;
         }
-        assertTrue(large > 160 && large < 200, "of 200, nine tenths to nine tenths of the lines: " + large);
+        assertTrue(sentToLarge > 160 && sentToLarge < 200,
+                "of 200 calls, nine tenths go to the server with nine tenths of the slots: " + sentToLarge);
     }
 
-    /** Before, what was told of free lines was taken for stale before it was told again. */
+    /** Guards against treating reported free slots as stale before the next report. */
     @Test
-    void toldLinesStayInForceUntilToldAgain() {
-        harness.list(PolicyHarness.running(1));
-        harness.policy.loadReported(0, 1, lines(0, 500));
-        harness.until(2000);
-        harness.call("a", 0, 1);
-        assertTrue(harness.sent.isEmpty(), "no line is free");
-        harness.policy.loadReported(harness.now, 1, lines(400, 500));
-        assertEquals("a", harness.last().call());
+    void reportedFreeSlotsStayInForceUntilTheNextReport() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.policy.loadReported(0, 1, slotReport(0, 500));
+        harness.advanceTo(2000);
+        harness.requestCall("a", 0, 1);
+        assertTrue(harness.sent.isEmpty(), "no slot is free");
+        harness.policy.loadReported(harness.now, 1, slotReport(400, 500));
+        assertEquals("a", harness.lastSent().call());
     }
 
-    /** A few free lines told to all are shared out by chance: about as many gateways send as lines are free. */
+    /** All controllers learn of a few free slots; random rounding of their shares lets about as many send as are free. */
     @Test
-    void allGatewaysTogetherTakeTheToldLines() {
+    void allControllersTogetherTakeTheReportedFreeSlots() {
         int sent = 0;
-        for (int g = 0; g < MANY; g++) {
-            PolicyHarness one = new PolicyHarness(many(), g);
-            one.list(PolicyHarness.running(1));
-            one.policy.loadReported(0, 1, lines(25, 500));
-            one.call("a", 0, 9);
-            one.call("b", 0, 9);
-            sent += one.sent.size();
+        for (int seed = 0; seed < CONTROLLER_COUNT; seed++) {
+            PolicyHarness controller = new PolicyHarness(manyControllers(), seed);
+            controller.listServers(PolicyHarness.runningServer(1));
+            controller.policy.loadReported(0, 1, slotReport(25, 500));
+            controller.requestCall("a", 0, 9);
+            controller.requestCall("b", 0, 9);
+            sent += controller.sent.size();
         }
-        assertTrue(sent > 10 && sent < 45, "25 lines were free: " + sent);
+        assertTrue(sent > 10 && sent < 45, "25 slots were free: " + sent);
     }
 
-    /** Before, a region that restarted got four times what it could do until the list told it. */
+    /** Guards against overloading a region that has restarted: until the list showed it, it got four times its capacity. */
     @Test
-    void allOwnCallsCutMeanAColdStart() {
-        harness.list(PolicyHarness.running(1));
-        harness.call("a", 0, 1);
-        harness.until(30);
-        harness.answer(harness.last());
-        assertFalse(harness.server(1).slowStart.isActive(harness.now));
-        harness.end(harness.last(), Outcome.RESET);
-        assertTrue(harness.server(1).slowStart.isActive(harness.now));
+    void resetOfAllOwnCallsStartsASlowStart() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.requestCall("a", 0, 1);
+        harness.advanceTo(30);
+        harness.establish(harness.lastSent());
+        assertFalse(harness.serverState(1).slowStart.isActive(harness.now));
+        harness.endAttempt(harness.lastSent(), Outcome.RESET);
+        assertTrue(harness.serverState(1).slowStart.isActive(harness.now));
     }
 
-    /** Before, each answer lost on the way barred its server until the caller had gone. */
+    /** Guards against lost answers that blocked their server until the client left. */
     @Test
-    void lostAnswersDoNotBarTheirServer() {
-        harness.list(PolicyHarness.running(1));
-        harness.call("lost", 0, 1);
-        harness.until(100);
+    void lostAnswersDoNotBlockTheirServer() {
+        harness.listServers(PolicyHarness.runningServer(1));
+        harness.requestCall("lost", 0, 1);
+        harness.advanceTo(100);
         harness.policy.clientLeft(harness.now, "lost");
-        harness.end(harness.sent.get(0), Outcome.CANCELLED);
-        harness.call("b", 0, 1);
-        harness.until(130);
-        harness.answer(harness.last());
-        harness.call("lost too", 0, 1);
-        harness.until(2000);
+        harness.endAttempt(harness.sent.get(0), Outcome.CANCELLED);
+        harness.requestCall("b", 0, 1);
+        harness.advanceTo(130);
+        harness.establish(harness.lastSent());
+        harness.requestCall("lost too", 0, 1);
+        harness.advanceTo(2000);
         for (int i = 0; i < 30; i++) {
-            harness.until(harness.now + 500);
-            harness.call("c" + i, 0, 1);
+            harness.advanceTo(harness.now + 500);
+            harness.requestCall("c" + i, 0, 1);
         }
-        assertTrue(harness.sent.size() > 3, "sent on while one was out");
+        assertTrue(harness.sent.size() > 3, "requests are sent while a lost one is outstanding");
     }
 
-    /** Before, calls that an own stall had held up past their aim were sent before fresh ones. */
+    /** Guards against calls that a stall delayed past their latency objective and that were sent before fresh ones. */
     @Test
-    void afterAStallThoseStillInTimeGoFirst() {
-        harness.call("usual", 0, 1);
+    void afterAStallCallsWithinTheirObjectiveAreSentFirst() {
+        harness.requestCall("typical", 0, 1);
         harness.stallUntil(1900);
-        harness.call("old", 0, 1, PolicyHarness.GRACE - 1800);
-        harness.call("young", 0, 1, PolicyHarness.GRACE - 100);
-        harness.list(PolicyHarness.running(1));
-        assertEquals("young", harness.sent.get(0).call());
+        harness.requestCall("old", 0, 1, PolicyHarness.REMAINING_MS - 1800);
+        harness.requestCall("recent", 0, 1, PolicyHarness.REMAINING_MS - 100);
+        harness.listServers(PolicyHarness.runningServer(1));
+        assertEquals("recent", harness.sent.get(0).call());
     }
 
-    /** Hundreds of gateways, a list of servers all started at once, two seconds of events at one time. */
+    /** Hundreds of stalled controllers: all servers have just started, and two seconds of events arrive at once. */
     @Test
-    void aStalledCrowdAndAColdRegionBreakNothing() {
-        List<RoutingPolicy.ListedServer> cold = new ArrayList<>();
+    void stalledControllersAndStartingServersKeepTheRules() {
+        List<RoutingPolicy.ListedServer> startingServers = new ArrayList<>();
         for (long s = 1; s <= 12; s++) {
-            cold.add(new RoutingPolicy.ListedServer(s, (int) s, ServerStatus.RUNNING, 1000, 1));
+            startingServers.add(new RoutingPolicy.ListedServer(s, (int) s, ServerStatus.RUNNING, 1000, 1));
         }
         int sent = 0;
-        for (int g = 0; g < MANY; g++) {
-            PolicyHarness one = new PolicyHarness(many(), g);
-            one.until(1000);
-            one.list(cold.toArray(RoutingPolicy.ListedServer[]::new));
-            one.call("first", 0, 1);
-            one.stallUntil(3000);
+        for (int seed = 0; seed < CONTROLLER_COUNT; seed++) {
+            PolicyHarness controller = new PolicyHarness(manyControllers(), seed);
+            controller.advanceTo(1000);
+            controller.listServers(startingServers.toArray(RoutingPolicy.ListedServer[]::new));
+            controller.requestCall("first", 0, 1);
+            controller.stallUntil(3000);
             for (int i = 0; i < 20; i++) {
-                one.call("c" + i, i % 2, i % 12, PolicyHarness.GRACE - 100 * i);
+                controller.requestCall("c" + i, i % 2, i % 12, PolicyHarness.REMAINING_MS - 100 * i);
             }
-            int late = one.sent.size();
-            for (int i = 0; i < late; i++) {
-                one.end(one.sent.get(i), Outcome.REJECTED, 300);
+            int sentAfterStall = controller.sent.size();
+            for (int i = 0; i < sentAfterStall; i++) {
+                controller.endAttempt(controller.sent.get(i), Outcome.REJECTED, 300);
             }
-            one.until(9000);
-            sent += late;
-            long ended = one.finals.stream().map(PolicyHarness.Final::call).distinct().count();
-            assertEquals(one.finals.size(), ended, "one final answer each");
-            assertTrue(one.finals.stream().allMatch(f -> f.at() <= 3000 + PolicyHarness.GRACE), "in time");
+            controller.advanceTo(9000);
+            sent += sentAfterStall;
+            long answeredCalls = controller.finalAnswers.stream().map(PolicyHarness.FinalAnswer::call).distinct().count();
+            assertEquals(controller.finalAnswers.size(), answeredCalls, "one final answer per call");
+            assertTrue(controller.finalAnswers.stream().allMatch(answer -> answer.at() <= 3000 + PolicyHarness.REMAINING_MS),
+                    "in time");
         }
-        assertTrue(sent <= MANY, "no gateway knows yet what a server can do: " + sent);
+        assertTrue(sent <= CONTROLLER_COUNT, "no controller knows the servers' capacity yet: " + sent);
     }
 }
--- a/core/src/test/java/pathlane/decision/support/BackoffTest.java
+++ b/core/src/test/java/pathlane/decision/support/BackoffTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Pauses, intervals and changes of mind: what they take into account, and what they pass over. */
+/** Backoff, destination intervals, consecutive detections and timers: which events change them and which are ignored. */
 class BackoffTest {
 
     @Test
-    void thePauseDoublesWithEachFailureInARowUpToTheLimit() {
+    void pauseDoublesWithEachConsecutiveFailureUpToTheLimit() {
         ExponentialBackoff backoff = new ExponentialBackoff(100, 2);
         double now = 0;
         for (double pause : new double[] {100, 200, 400, 400}) {
@@ -21,22 +21,22 @@
     }
 
     @Test
-    void whatBeganBeforeTheLastFailureIsNoFurtherOne() {
+    void operationStartedBeforeTheLastFailureIsNotCountedAgain() {
         ExponentialBackoff backoff = new ExponentialBackoff(100, 4);
         backoff.recordFailure(1000, 900, 0);
         assertFalse(backoff.recordFailure(1010, 950, 0));
-        assertEquals(1, backoff.failures());
+        assertEquals(1, backoff.consecutiveFailures());
     }
 
     @Test
-    void aStatedWaitIsKeptWhereItIsTheLonger() {
+    void requestedRetryAfterIsHonouredIfItIsLonger() {
         ExponentialBackoff backoff = new ExponentialBackoff(100, 4);
         backoff.recordFailure(1000, 900, 5000);
         assertEquals(6000, backoff.pausedUntil());
     }
 
     @Test
-    void aLateFailureOfWhatBeganBeforeASuccessAddsNoPauseOfItsOwn() {
+    void lateFailureOfAnOperationStartedBeforeASuccessAddsNoPause() {
         ExponentialBackoff backoff = new ExponentialBackoff(100, 4);
         backoff.recordFailure(1000, 900, 0);
         backoff.recordSuccess();
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aValueChangesOnceEnoughDetectionsInARowSayTheSame() {
+    void valueChangesAfterEnoughConsecutiveDetections() {
         ConsecutiveDetections<String> detections = new ConsecutiveDetections<>(3, "off");
         assertFalse(detections.record("on"));
         assertFalse(detections.record("on"));
@@ -60,37 +60,37 @@
     }
 
     @Test
-    void aBusyDestinationIsSpacedAtTwiceTheIntervalEachTimeWithinBounds() {
+    void intervalOfABusyDestinationDoublesWithinBounds() {
         DestinationRecord destination = new DestinationRecord();
-        assertTrue(destination.busy(0, 0, 100, 300));
-        assertEquals(100, destination.pass(0));
-        assertFalse(destination.busy(10, -1, 100, 300), "sent before it was last seen busy");
-        assertTrue(destination.busy(100, 100, 100, 300));
-        assertEquals(300, destination.pass(100));
-        assertTrue(destination.busy(300, 300, 100, 300));
-        assertEquals(600, destination.pass(300));
+        assertTrue(destination.recordBusy(0, 0, 100, 300));
+        assertEquals(100, destination.recordSent(0));
+        assertFalse(destination.recordBusy(10, -1, 100, 300), "sent before the destination was last found busy");
+        assertTrue(destination.recordBusy(100, 100, 100, 300));
+        assertEquals(300, destination.recordSent(100));
+        assertTrue(destination.recordBusy(300, 300, 100, 300));
+        assertEquals(600, destination.recordSent(300));
     }
 
     @Test
-    void aDestinationExpiresOnceNoClientWaitsAndItsIntervalIsOver() {
+    void destinationExpiresOnceNoClientWaitsAndItsIntervalHasPassed() {
         DestinationRecord destination = new DestinationRecord();
-        destination.failed(0);
-        destination.busy(0, 0, 100, 300);
-        destination.pass(900);
+        destination.recordFailure(0);
+        destination.recordBusy(0, 0, 100, 300);
+        destination.recordSent(900);
         assertFalse(destination.isExpired(500, 1000), "a client may still wait");
-        assertFalse(destination.isExpired(1050, 1000), "the interval runs");
+        assertFalse(destination.isExpired(1050, 1000), "the interval has not passed");
         assertTrue(destination.isExpired(1101, 1000));
     }
 
     @Test
-    void aTimerIsAskedForOnlyWhereNoneIsDueAsEarly() {
+    void timerIsScheduledOnlyIfNoneIsDueAsEarly() {
         RequestedTimer timer = new RequestedTimer();
         assertTrue(timer.request(100));
         assertFalse(timer.request(150));
         assertTrue(timer.request(50));
-        assertEquals(0, timer.fire(49));
-        assertEquals(10, timer.fire(60));
-        assertEquals(0, timer.fire(70), "none is due");
+        assertEquals(0, timer.fireIfDue(49));
+        assertEquals(10, timer.fireIfDue(60));
+        assertEquals(0, timer.fireIfDue(70), "none is due");
         assertTrue(timer.request(150));
     }
 }
--- a/core/src/test/java/pathlane/decision/support/RatesTest.java
+++ b/core/src/test/java/pathlane/decision/support/RatesTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Rates, maxima and buckets against hand-worked numbers. */
+/** Rates, maxima, means and token buckets against hand-computed values. */
 class RatesTest {
 
     @Test
-    void anEventCountsForLessByTheTimeConstant() {
+    void eventsDecayByTheTimeConstant() {
         DecayingRate rate = new DecayingRate(1000);
         rate.count(0);
         assertEquals(0.001, rate.at(0), 1e-12);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aMaximumFadesUntilAHigherValueIsSeen() {
+    void maximumDecaysUntilAHigherValueIsObserved() {
         DecayingMaximum maximum = new DecayingMaximum(1000);
         maximum.observe(0, 8);
         maximum.observe(1000, 2);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aBucketFillsUpToItsSizeAndIsEmptiedByWholeTokens() {
+    void bucketFillsUpToItsSizeAndIsEmptiedByFullTokens() {
         TokenBucket bucket = new TokenBucket();
         bucket.reset(100, 0.5);
         bucket.refill(140, 0.01, 3);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void theMeanOfWhatIsReportedLeavesOutWhoReportedNothing() {
+    void meanIgnoresMembersThatReportedNothing() {
         MeanOfReported mean = new MeanOfReported();
         assertEquals(7, mean.orElse(7));
         mean.update(0, 10);
--- a/core/src/test/java/pathlane/slowstart/SlowStartShareTest.java
+++ b/core/src/test/java/pathlane/slowstart/SlowStartShareTest.java
@@ -15,40 +15,41 @@
 
 class SlowStartShareTest {
 
-    private static final double PER_SECOND = 30;
-    private static final long SERVER = 9;
+    private static final double REQUESTS_PER_SECOND = 30;
+    private static final long SERVER_ID = 9;
     private static final Rules RULES = new Rules(0.28, Duration.ofMillis(13_000), 3, Duration.ofMillis(1500),
             Duration.ofMillis(200));
 
     private static List<SlowStartShare> shares(int senders) {
         List<SlowStartShare> shares = new ArrayList<>();
-        for (int own = 0; own < senders; own++) {
-            SlowStartShare share = new SlowStartShare(RULES, new Settings.SlowStartSenders(PER_SECOND, senders, own));
-            share.serverStarted(SERVER, 1000);
+        for (int index = 0; index < senders; index++) {
+            SlowStartShare share =
+                    new SlowStartShare(RULES, new Settings.SlowStartSenders(REQUESTS_PER_SECOND, senders, index));
+            share.serverStarted(SERVER_ID, 1000);
             shares.add(share);
         }
         return shares;
     }
 
-    /** What the rule allows in a window that begins so long after the start. */
-    private static double allowed(double sinceMs) {
-        return 3 * PER_SECOND / 1000 * (0.28 + 0.72 * sinceMs / 13_000) * 1500;
+    /** What the rule allows in a window that begins at the given time after the start. */
+    private static double allowed(double ageMs) {
+        return 3 * REQUESTS_PER_SECOND / 1000 * (0.28 + 0.72 * ageMs / 13_000) * 1500;
     }
 
-    /** However many senders, and however their load comes and goes, no window holds more than the rule allows. */
+    /** For any number of senders with any changes of load, no window contains more than the rule allows. */
     @Test
-    void allSendersTogetherStayUnderTheRuleInEveryWindow() {
+    void allSendersTogetherStayWithinTheLimitInEveryWindow() {
         for (int senders : new int[] {1, 2, 3, 7, 8, 30, 200}) {
             SplittableRandom random = new SplittableRandom(senders);
             List<SlowStartShare> shares = shares(senders);
             List<Double> sent = new ArrayList<>();
-            int wanting = 0;
+            int idleSenders = 0;
             for (double now = 1000; now < 14_000; now += 5) {
-                wanting = random.nextInt(100) == 0 ? random.nextInt(senders + 1) : wanting;
-                for (int one = 0; one < senders; one++) {
-                    // Those who want send all they may; the others save up what they are let.
-                    while (one >= wanting && shares.get(one).mayAcquire(SERVER, now)) {
-                        shares.get(one).acquired(SERVER);
+                idleSenders = random.nextInt(100) == 0 ? random.nextInt(senders + 1) : idleSenders;
+                for (int sender = 0; sender < senders; sender++) {
+                    // Active senders send all they may; the shares of idle ones accumulate.
+                    while (sender >= idleSenders && shares.get(sender).maySend(SERVER_ID, now)) {
+                        shares.get(sender).recordSent(SERVER_ID);
                         sent.add(now);
                     }
                 }
@@ -64,12 +65,12 @@
     }
 
     @Test
-    void aLoneSenderGetsHalfOfWhatTheRuleAllows() {
+    void singleSenderGetsHalfOfTheLimit() {
         SlowStartShare share = shares(1).get(0);
         int sent = 0;
         for (double now = 1000; now < 13_999; now++) {
-            if (share.mayAcquire(SERVER, now)) {
-                share.acquired(SERVER);
+            if (share.maySend(SERVER_ID, now)) {
+                share.recordSent(SERVER_ID);
                 sent++;
             }
         }
@@ -77,24 +78,24 @@
     }
 
     @Test
-    void aServerThatIsWarmOrUnknownIsNoneOfItsBusiness() {
+    void serverThatIsNotInSlowStartIsNotLimited() {
         SlowStartShare share = shares(200).get(199);
-        assertFalse(share.mayAcquire(SERVER, 1001));
-        assertTrue(share.mayAcquire(SERVER, 14_000));
-        assertTrue(share.mayAcquire(SERVER + 1, 1001));
+        assertFalse(share.maySend(SERVER_ID, 1001));
+        assertTrue(share.maySend(SERVER_ID, 14_000));
+        assertTrue(share.maySend(SERVER_ID + 1, 1001));
     }
 
     @Test
-    void aLiveCountChangesTheShareFromThenOn() {
+    void changedSenderCountChangesTheShare() {
         SlowStartShare share = shares(100).get(99);
-        assertFalse(share.mayAcquire(SERVER, 1500));
+        assertFalse(share.maySend(SERVER_ID, 1500));
         share.updateSenders(1, 0);
-        assertTrue(share.mayAcquire(SERVER, 1500));
+        assertTrue(share.maySend(SERVER_ID, 1500));
         assertThrows(IllegalArgumentException.class, () -> share.updateSenders(2, 2));
     }
 
     @Test
-    void figuresThatMakeNoSenseAreRefused() {
+    void invalidSenderSettingsAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Settings.SlowStartSenders(0, 1, 0));
         assertThrows(IllegalArgumentException.class, () -> new Settings.SlowStartSenders(Double.NaN, 1, 0));
         assertThrows(IllegalArgumentException.class, () -> new Settings.SlowStartSenders(1, 0, 0));
