--- a/core/src/main/java/pathlane/decision/ServerStatus.java
+++ b/core/src/main/java/pathlane/decision/ServerStatus.java
@@ -6,6 +6,6 @@
     RUNNING,
     /** The server completes its established calls and accepts no new requests. */
     DRAINING,
-    /** The server has left the server list. */
+    /** The server no longer exists. */
     GONE
 }
--- a/core/src/main/java/pathlane/decision/policy/AdaptiveRoutingPolicy.java
+++ b/core/src/main/java/pathlane/decision/policy/AdaptiveRoutingPolicy.java
@@ -65,7 +65,7 @@
             cluster.servers.computeIfAbsent(entry.serverId(), id -> new ServerState(id, cluster))
                     .updateListing(now, entry, isNew);
         }
-        // Restarted servers get new ids, and every event iterates over all servers kept: old ones must be removed.
+        // Servers keep appearing under new ids, and every event iterates over all servers kept: old ones must be removed.
         cluster.servers.values().removeIf(server -> server.listing.isGoneFor(now, settings.rules().slowStartMs()));
         hasServerList = true;
         nextListRequestAt = Double.NaN;
--- a/core/src/main/java/pathlane/slowstart/SlowStartShare.java
+++ b/core/src/main/java/pathlane/slowstart/SlowStartShare.java
@@ -63,7 +63,7 @@
     public void updateSenders(int count, int index) {
         if (count < 1 || index < 0 || index >= count) {
             throw new IllegalArgumentException(
-                    "invalid sender index " + index + " of " + count + " senders: indexes are 0 to " + (count - 1));
+                    "invalid sender index " + index + " of " + count + ": must be from 0 to " + (count - 1));
         }
         senderCount = count;
         ownIndex = index;
