--- a/daemon/src/main/java/pathlane/platform/CapacityReport.java
+++ b/daemon/src/main/java/pathlane/platform/CapacityReport.java
@@ -3,35 +3,35 @@
 import pathlane.wire.BadInput;
 
 /**
- * A session server's report of its lines, on the wire a state such as {@code free:12;size:299}.
+ * A session server's report of its slots, such as {@code free:12;size:299} on the wire.
  *
- * @param free the lines that are free, or NaN where the report does not say
- * @param size all its lines, or NaN where the report does not say
+ * @param freeSlots the free slots, or NaN if not reported
+ * @param slots all slots, or NaN if not reported
  */
-record CapacityReport(double free, double size) {
+record CapacityReport(double freeSlots, double slots) {
 
-    private static final String FREE = "free:";
-    private static final String SIZE = "size:";
+    private static final String FREE_PREFIX = "free:";
+    private static final String SIZE_PREFIX = "size:";
 
     /**
-     * Reads a state; figures of other names are passed over.
+     * Parses a report; fields with other names are ignored.
      *
-     * @throws BadInput where a figure is no number
+     * @throws BadInput if a value is not a number
      */
-    static CapacityReport parse(String state) {
-        double free = Double.NaN;
-        double size = Double.NaN;
-        for (String figure : state.split(";")) {
+    static CapacityReport parse(String report) {
+        double freeSlots = Double.NaN;
+        double slots = Double.NaN;
+        for (String field : report.split(";")) {
             try {
-                if (figure.startsWith(FREE)) {
-                    free = Double.parseDouble(figure.substring(FREE.length()));
-                } else if (figure.startsWith(SIZE)) {
-                    size = Double.parseDouble(figure.substring(SIZE.length()));
+                if (field.startsWith(FREE_PREFIX)) {
+                    freeSlots = Double.parseDouble(field.substring(FREE_PREFIX.length()));
+                } else if (field.startsWith(SIZE_PREFIX)) {
+                    slots = Double.parseDouble(field.substring(SIZE_PREFIX.length()));
                 }
             } catch (NumberFormatException e) {
-                throw new BadInput("a state '" + figure + "'");
+                throw new BadInput("malformed capacity report '" + field + "'");
             }
         }
-        return new CapacityReport(free, size);
+        return new CapacityReport(freeSlots, slots);
     }
 }
--- a/daemon/src/main/java/pathlane/platform/ConnectionPool.java
+++ b/daemon/src/main/java/pathlane/platform/ConnectionPool.java
@@ -11,161 +11,163 @@
 import pathlane.core.Scheduler;
 
 /**
- * The connections to one server: which are up or dialled, when another is dialled, and which takes the next message. All
- * servers' connections share one number of descriptors, so the first is dialled when the server is first listed only while
- * many are left, and else on demand; the others when those that are up are busy.
+ * The connections to one server: decides when one is opened and which one takes the next message. The connections to all
+ * servers share a limited number of descriptors. The first one is therefore opened when the server is listed only while many
+ * descriptors are free, and otherwise on demand; further ones are opened while the open ones are busy.
  */
 final class ConnectionPool {
 
-    private static final Duration REDIAL_FIRST = Duration.ofMillis(100);
-    private static final Duration REDIAL_MOST = Duration.ofSeconds(1);
-    /** A server is dialled at its listing only while less than this part of the descriptors for servers is held. */
-    private static final int DIAL_AHEAD_PART = 4;
-    /** Another connection beside busy ones is dialled only while less than this part of the descriptors is held. */
-    private static final int DIAL_MORE_PART = 2;
-    /** A connection that gave way is opened again after this, or up to half as much more: ends may wait there. */
-    private static final Duration REOPEN_AFTER_GIVING_WAY = Duration.ofSeconds(3);
-    /** A server that was not dialled at its listing is visited within so long: ends of older calls may wait there. */
-    private static final Duration FIRST_VISIT = Duration.ofSeconds(4);
-    /** Servers that are listed later after the program's start are new to all. */
-    private static final Duration START_UP = Duration.ofSeconds(5);
-    /** So long after the program's start hardly any call from before it stands. */
-    private static final Duration OLDER_CALLS = Duration.ofSeconds(30);
+    private static final Duration MIN_RECONNECT_DELAY = Duration.ofMillis(100);
+    private static final Duration MAX_RECONNECT_DELAY = Duration.ofSeconds(1);
+    /** A connection is opened when the server is listed only while less than a quarter of the descriptors is in use. */
+    private static final int EAGER_CONNECT_DIVISOR = 4;
+    /** A connection beside busy ones is opened only while less than half of the descriptors is in use. */
+    private static final int EXTRA_CONNECT_DIVISOR = 2;
+    /** An evicted connection is reopened after this plus up to half of it: ends of calls may be pending at the server. */
+    private static final Duration REOPEN_AFTER_EVICTION = Duration.ofSeconds(3);
+    /** Within this time a server not connected to when listed is connected to: ends of older calls may be pending there. */
+    private static final Duration DEFERRED_CONNECT_SPREAD = Duration.ofSeconds(4);
+    /** Servers that are listed later than this after the program's start are new to all controllers. */
+    private static final Duration STARTUP_PERIOD = Duration.ofSeconds(5);
+    /** By this time after the program's start hardly any call from before the start is still established. */
+    private static final Duration OLDER_CALLS_PERIOD = Duration.ofSeconds(30);
 
     private final ServerLinkContext context;
     private final InetSocketAddress address;
-    private final Supplier<ServerSession> newSession;
-    private final Runnable noDescriptor;
+    private final Supplier<ServerSession> sessionFactory;
+    private final Runnable onNoDescriptor;
     private final List<ServerSession> sessions = new ArrayList<>();
-    private Duration redialDelay = REDIAL_FIRST;
-    private Scheduler.Timer redialTimer;
-    private Scheduler.Timer extraVisit;
-    /** No further connection beside those that are up is dialled before this. */
-    private Instant noMoreBefore = Instant.MIN;
-    private boolean closed;
+    private Duration reconnectDelay = MIN_RECONNECT_DELAY;
+    private Scheduler.Timer reconnectTimer;
+    private Scheduler.Timer extraConnectTimer;
+    /** No connection is opened beside open ones before this. */
+    private Instant nextExtraConnect = Instant.MIN;
+    private boolean isClosed;
 
     /**
-     * Dials nothing yet.
+     * Creates an empty pool.
      *
-     * @param noDescriptor called in a turn of its own when a connection could not be dialled, since each descriptor is in
-     *                     use by a set-up that is out
+     * @param onNoDescriptor called in a turn of the loop of its own when no connection could be opened, since every
+     *                       descriptor is in use by a connection with outstanding requests
      */
-    ConnectionPool(ServerLinkContext context, InetSocketAddress address, Supplier<ServerSession> newSession,
-            Runnable noDescriptor) {
+    ConnectionPool(ServerLinkContext context, InetSocketAddress address, Supplier<ServerSession> sessionFactory,
+            Runnable onNoDescriptor) {
         this.context = context;
         this.address = address;
-        this.newSession = newSession;
-        this.noDescriptor = noDescriptor;
+        this.sessionFactory = sessionFactory;
+        this.onNoDescriptor = onNoDescriptor;
     }
 
-    /** Dials the server at its listing where there are descriptors for it, and visits it later where there are not. */
-    void dialAtListing() {
-        if (context.connections().isBelowShare(DIAL_AHEAD_PART)) {
-            dialOne();
-        } else if (context.now().isBefore(context.startedAt().plus(START_UP))) {
-            redialTimer = context.scheduler().after(randomUpTo(FIRST_VISIT), this::visit);
+    /** The server was listed: connects at once if enough descriptors are free, or else later. */
+    void connectWhenListed() {
+        if (context.connectionLimiter().isBelowShare(EAGER_CONNECT_DIVISOR)) {
+            openConnection();
+        } else if (context.now().isBefore(context.startedAt().plus(STARTUP_PERIOD))) {
+            reconnectTimer = context.scheduler().after(randomBelow(DEFERRED_CONNECT_SPREAD), this::reconnect);
         }
     }
 
     /**
-     * Guards calls from before the program's start: a server tells their ends on the next connection that it gets from
-     * here, and the caller is owed them within 8 s. Spread, so that a start is no burst of hundreds of connections.
+     * Opens a connection if there is none. A server reports the ends of calls from before this program's start on the next
+     * connection that it gets from here, and clients must receive these within 8 s. The times are spread, so that a start
+     * does not open hundreds of connections at once.
      */
-    private void visit() {
-        redialTimer = null;
-        if (!closed && sessions.isEmpty()) {
-            dialIfNone();
+    private void reconnect() {
+        reconnectTimer = null;
+        if (!isClosed && sessions.isEmpty()) {
+            connectIfNone();
             if (sessions.isEmpty()) {
-                redialTimer = context.scheduler().after(REDIAL_MOST, this::visit);   // no descriptor was left
+                reconnectTimer = context.scheduler().after(MAX_RECONNECT_DELAY, this::reconnect);   // no free descriptor
             }
         }
     }
 
-    /** Guards the ends of standing calls that were told on a connection that broke: the next one that opens hears them. */
-    void visitAnew() {
-        if (extraVisit == null) {
-            extraVisit = context.scheduler().after(randomUpTo(REDIAL_FIRST), () -> {
-                extraVisit = null;
-                if (!closed && hasRoom()) {
-                    dialOne();
+    /** Opens one more connection: the server repeats there the ends of calls that it reported on a connection that broke. */
+    void openExtraConnection() {
+        if (extraConnectTimer == null) {
+            extraConnectTimer = context.scheduler().after(randomBelow(MIN_RECONNECT_DELAY), () -> {
+                extraConnectTimer = null;
+                if (!isClosed && isBelowLimit()) {
+                    openConnection();
                 }
             });
         }
     }
 
-    /** Dials where nothing is up or dialled; a connection that is being closed is neither. */
-    void dialIfNone() {
-        if (!closed && sessions.stream().allMatch(ServerSession::isEnding)) {
-            dialOne();
+    /** Opens a connection if none is open or connecting; one that is being closed does not count. */
+    void connectIfNone() {
+        if (!isClosed && sessions.stream().allMatch(ServerSession::isClosing)) {
+            openConnection();
         }
     }
 
-    private void dialOne() {
-        ServerSession session = newSession.get();
-        if (context.connections().tryAdmit(session, session::end)) {
+    private void openConnection() {
+        ServerSession session = sessionFactory.get();
+        if (context.connectionLimiter().tryAdmit(session, session::close)) {
             sessions.add(session);
-            context.dialer().connect(address, context.settings().connectTimeout(), session);
+            context.connector().connect(address, context.settings().connectTimeout(), session);
         } else {
-            context.scheduler().after(Duration.ZERO, noDescriptor);
+            context.scheduler().after(Duration.ZERO, onNoDescriptor);
         }
     }
 
-    /** Dials one more where a set-up goes to a connection that is busy: the next set-up finds it. */
-    void growBeside(ServerSession chosen) {
-        if (!chosen.isBusy() || !hasRoom() || !context.connections().isBelowShare(DIAL_MORE_PART) || !mayDialMore()) {
+    /** Opens one more connection, for the next request, when a request is sent on a busy one. */
+    void growIfBusy(ServerSession chosen) {
+        if (!chosen.isBusy() || !isBelowLimit() || !context.connectionLimiter().isBelowShare(EXTRA_CONNECT_DIVISOR)
+                || !mayConnectExtra()) {
             return;
         }
-        noMoreBefore = context.now().plus(REDIAL_FIRST);
-        dialOne();
+        nextExtraConnect = context.now().plus(MIN_RECONNECT_DELAY);
+        openConnection();
     }
 
-    /** Sees to it that a connection is being dialled for set-ups that wait; false where none may be. */
-    boolean dialForWaiting() {
-        if (isDialling()) {
+    /** Ensures that a connection is being opened for pending requests; false if none may be opened. */
+    boolean connectForPending() {
+        if (isConnecting()) {
             return true;
         }
         if (leastBusy() == null) {
-            dialIfNone();
+            connectIfNone();
             return true;
         }
-        if (hasRoom() && mayDialMore()) {
-            dialOne();
+        if (isBelowLimit() && mayConnectExtra()) {
+            openConnection();
             return true;
         }
         return false;
     }
 
-    private boolean hasRoom() {
+    private boolean isBelowLimit() {
         return sessions.size() < context.limits().connections();
     }
 
-    private boolean mayDialMore() {
-        return !context.now().isBefore(noMoreBefore);
+    private boolean mayConnectExtra() {
+        return !context.now().isBefore(nextExtraConnect);
     }
 
-    private Duration randomUpTo(Duration most) {
-        return Duration.ofNanos(context.random().nextLong(most.toNanos()));
+    private Duration randomBelow(Duration bound) {
+        return Duration.ofNanos(context.random().nextLong(bound.toNanos()));
     }
 
-    /** The connection for what comes next: the one with the fewest set-ups out, or null while none is up. */
+    /** The open connection with the fewest outstanding requests, or null if none is open. */
     ServerSession leastBusy() {
-        return leastBusy(ServerSession::isUp);
+        return leastBusy(ServerSession::isOpen);
     }
 
-    /** The connection for a call's set-up, or null where none may take it. */
-    ServerSession leastBusyFor(String call) {
-        return leastBusy(session -> session.mayTakeSetUp(call));
+    /** The connection on which to send a call's request, or null if none may take it. */
+    ServerSession leastBusyFor(String callId) {
+        return leastBusy(session -> session.mayTakeRequest(callId));
     }
 
-    /** The connection for what comes next but for one that is about to end, or null where no other can be written to. */
-    ServerSession leastBusyBeside(ServerSession ending) {
-        return leastBusy(session -> session != ending && session.isWritable());
+    /** The least busy writable connection other than one that is about to be closed, or null if there is none. */
+    ServerSession leastBusyExcept(ServerSession closing) {
+        return leastBusy(session -> session != closing && session.isWritable());
     }
 
-    private ServerSession leastBusy(Predicate<ServerSession> usable) {
+    private ServerSession leastBusy(Predicate<ServerSession> isUsable) {
         ServerSession best = null;
         for (ServerSession session : sessions) {
-            if (usable.test(session) && (best == null || session.setUpsOut() < best.setUpsOut())) {
+            if (isUsable.test(session) && (best == null || session.outstandingCount() < best.outstandingCount())) {
                 best = session;
             }
         }
@@ -176,68 +178,68 @@
         return sessions.isEmpty();
     }
 
-    boolean isDialling() {
-        return sessions.stream().anyMatch(ServerSession::isDialling);
+    boolean isConnecting() {
+        return sessions.stream().anyMatch(ServerSession::isConnecting);
     }
 
-    boolean isAnyUpBeside(ServerSession session) {
-        return sessions.stream().anyMatch(other -> other != session && other.isUp());
+    boolean isAnyOtherOpen(ServerSession session) {
+        return sessions.stream().anyMatch(other -> other != session && other.isOpen());
     }
 
-    /** A copy, which stays as it is while connections end. */
+    /** A copy, which does not change while connections end. */
     List<ServerSession> sessions() {
         return List.copyOf(sessions);
     }
 
-    /** A connection has come up. */
+    /** A connection has opened. */
     void opened() {
-        redialDelay = REDIAL_FIRST;
+        reconnectDelay = MIN_RECONNECT_DELAY;
     }
 
-    /** A dial has failed. */
-    void dialFailed() {
-        noMoreBefore = context.now().plus(REDIAL_MOST);
+    /** A connection could not be opened. */
+    void connectFailed() {
+        nextExtraConnect = context.now().plus(MAX_RECONNECT_DELAY);
     }
 
-    /** A connection has ended, or could not be dialled. */
+    /** A connection has ended or could not be opened. */
     void remove(ServerSession session) {
         sessions.remove(session);
-        context.connections().closed(session);
+        context.connectionLimiter().closed(session);
     }
 
     /**
-     * Nothing is up or dialled any more: dials anew in a while where what concerns standing calls may come on the next
-     * connection. Spread: a server that restarts is dialled by the whole fleet.
+     * No connection is open or connecting any more: schedules a new one if messages about established calls may be exchanged
+     * on it. With jitter, since the whole fleet reconnects to a server that restarts.
      *
-     * @param isNeeded whether calls stand at the server, or releases wait for it
+     * @param isNeeded whether calls are established at the server, or releases are pending for it
      */
-    void redialAfter(CloseReason end, boolean isNeeded) {
-        boolean gaveWay = end == CloseReason.EVICTED;
-        boolean olderCallsMayStand = gaveWay && context.now().isBefore(context.startedAt().plus(OLDER_CALLS));
-        if (closed || !isNeeded && !olderCallsMayStand) {
+    void scheduleReconnect(CloseReason reason, boolean isNeeded) {
+        boolean wasEvicted = reason == CloseReason.EVICTED;
+        boolean mayHaveOlderCalls = wasEvicted && context.now().isBefore(context.startedAt().plus(OLDER_CALLS_PERIOD));
+        if (isClosed || !isNeeded && !mayHaveOlderCalls) {
             return;
         }
-        Duration delay = gaveWay ? REOPEN_AFTER_GIVING_WAY : redialDelay;
-        redialTimer = context.scheduler().after(delay.plus(randomUpTo(delay.dividedBy(2))), this::visit);
-        Duration doubled = redialDelay.multipliedBy(2);
-        redialDelay = doubled.compareTo(REDIAL_MOST) < 0 ? doubled : REDIAL_MOST;
+        Duration delay = wasEvicted ? REOPEN_AFTER_EVICTION : reconnectDelay;
+        reconnectTimer = context.scheduler().after(delay.plus(randomBelow(delay.dividedBy(2))), this::reconnect);
+        Duration doubled = reconnectDelay.multipliedBy(2);
+        reconnectDelay = doubled.compareTo(MAX_RECONNECT_DELAY) < 0 ? doubled : MAX_RECONNECT_DELAY;
     }
 
-    /** Dials nothing any more and hands over the connections that were left. */
+    /** Opens no more connections and returns those that remained. */
     List<ServerSession> close() {
-        closed = true;
-        if (extraVisit != null) {
-            extraVisit.cancel();
+        isClosed = true;
+        if (extraConnectTimer != null) {
+            extraConnectTimer.cancel();
         }
-        if (redialTimer != null) {
-            redialTimer.cancel();
+        if (reconnectTimer != null) {
+            reconnectTimer.cancel();
         }
-        List<ServerSession> left = List.copyOf(sessions);
+        List<ServerSession> remaining = List.copyOf(sessions);
         sessions.clear();
-        return left;
+        return remaining;
     }
 
     boolean isClosed() {
-        return closed;
+        return isClosed;
     }
 }
--- a/daemon/src/main/java/pathlane/platform/KnownEvents.java
+++ b/daemon/src/main/java/pathlane/platform/KnownEvents.java
@@ -11,22 +11,26 @@
 import pathlane.decision.ServerStatus;
 import pathlane.transport.Addresses;
 
-/** The events of the bus that the configuration holds, as JSON. */
+/** Parses the event bus events that the configuration contains as JSON, from which the server list starts. */
 final class KnownEvents {
 
     private KnownEvents() {}
 
-    /** Reads the events of {@code known}; an event that can't be read is refused with its place. */
+    /**
+     * Parses the events under {@code known}.
+     *
+     * @throws IllegalArgumentException with the event's position if one can't be parsed
+     */
     static List<ServerList> read(NodeConfig config) {
         List<ServerList> events = new ArrayList<>();
         try {
             for (JsonElement element : config.knownEvents()) {
                 JsonObject topology = element.getAsJsonObject().getAsJsonObject("topology");
-                List<ServerEndpoint> lines = new ArrayList<>();
+                List<ServerEndpoint> endpoints = new ArrayList<>();
                 for (JsonElement host : topology.getAsJsonArray("hosts")) {
-                    lines.add(line(host.getAsJsonObject()));
+                    endpoints.add(endpoint(host.getAsJsonObject()));
                 }
-                events.add(new ServerList(topology.get("whole").getAsBoolean(), lines));
+                events.add(new ServerList(topology.get("whole").getAsBoolean(), endpoints));
             }
             return events;
         } catch (RuntimeException e) {
@@ -35,15 +39,15 @@
         }
     }
 
-    private static ServerEndpoint line(JsonObject host) {
-        ServerStatus mode = switch (host.get("health").getAsString()) {
+    private static ServerEndpoint endpoint(JsonObject host) {
+        ServerStatus status = switch (host.get("health").getAsString()) {
             case "SERVING" -> ServerStatus.RUNNING;
             case "DRAINING" -> ServerStatus.DRAINING;
             case "DELETED" -> ServerStatus.GONE;
             default -> throw new IllegalArgumentException("health " + host.get("health"));
         };
         return new ServerEndpoint(Long.parseLong(host.get("host").getAsString().substring(2), 16),
-                Addresses.parse(host.get("dial").getAsString()), mode, host.get("block").getAsInt(),
+                Addresses.parse(host.get("dial").getAsString()), status, host.get("block").getAsInt(),
                 host.has("share") ? host.get("share").getAsDouble() : 1,
                 Instant.ofEpochMilli(host.has("born_ms") ? host.get("born_ms").getAsLong() : 0));
     }
--- a/daemon/src/main/java/pathlane/platform/OvertakenCheck.java
+++ b/daemon/src/main/java/pathlane/platform/OvertakenCheck.java
@@ -6,71 +6,76 @@
 import pathlane.core.Scheduler;
 
 /**
- * Finds out that nothing comes any more on a connection though its server works: a server takes set-ups in turn, so one that
- * it answered on another connection, sent well after one of this connection, has overtaken that one. On the loop's thread.
+ * Detects a connection on which nothing is received any more although its server works. A server processes requests in the
+ * order of arrival, so a request that it answered on another connection, sent well after one on this connection, has
+ * overtaken that one. On the loop's thread.
  *
- * <p>A suspicion is confirmed by time. The answers may have come and wait unread behind an own stall, or be on their way; to
- * the server those calls stand, and to break the connection off over them would send each call a second time.
+ * <p>A suspicion has to persist for a while. The answers may have arrived and be unread because this program was stalled, or
+ * they may be on their way; the server then holds those calls as established, and aborting the connection would send each of
+ * these calls a second time.
  */
 final class OvertakenCheck {
 
-    /** Twice what an answer takes from the farthest zone, and more than the answers of one moment are apart. */
-    private static final Duration CONFIRM_AFTER = Duration.ofMillis(50);
-    /** The loop has waited once more when this is over: a wait that ends as its time is up has looked at no connection. */
-    private static final Duration SECOND_WAIT = Duration.ofMillis(1);
+    /** Twice the latency of an answer from the farthest zone, and more than answers sent at the same time differ by. */
+    private static final Duration CONFIRMATION_DELAY = Duration.ofMillis(50);
+    /**
+     * Ensures that the loop has polled the connections once more: a poll that ends because a timer is due has not checked
+     * them.
+     */
+    private static final Duration SECOND_CONFIRMATION_DELAY = Duration.ofMillis(1);
 
     private final Scheduler scheduler;
-    private final Duration overtaken;
-    private final OutstandingSetUps outstanding;
+    private final Duration overtakenAfter;
+    private final OutstandingRequests outstanding;
     private final Supplier<Instant> lastReceived;
-    private final Runnable confirmed;
-    private boolean suspected;
-    private boolean stopped;
+    private final Runnable onConfirmed;
+    private boolean isSuspected;
+    private boolean isStopped;
 
     /**
-     * Suspects nothing yet.
+     * Creates a check without a suspicion.
      *
-     * @param outstanding the set-ups at the server, on all its connections
+     * @param outstanding the outstanding requests on all connections to the server
      * @param lastReceived when the last message was received on this connection
-     * @param confirmed called once the connection is found to be overtaken
+     * @param onConfirmed called once it is confirmed that the connection was overtaken
      */
-    OvertakenCheck(ServerLinkContext context, OutstandingSetUps outstanding, Supplier<Instant> lastReceived,
-            Runnable confirmed) {
+    OvertakenCheck(ServerLinkContext context, OutstandingRequests outstanding, Supplier<Instant> lastReceived,
+            Runnable onConfirmed) {
         this.scheduler = context.scheduler();
-        this.overtaken = context.limits().overtaken();
+        this.overtakenAfter = context.limits().overtaken();
         this.outstanding = outstanding;
         this.lastReceived = lastReceived;
-        this.confirmed = confirmed;
+        this.onConfirmed = onConfirmed;
     }
 
-    /** Whether the connection may turn out to be overtaken. */
+    /** Whether a suspicion is being confirmed. */
     boolean isSuspected() {
-        return suspected;
+        return isSuspected;
     }
 
-    /** Looks whether a set-up of this connection, sent at that time, was overtaken. */
-    void look(Instant sentAt) {
-        if (!suspected && !stopped && isOvertaken(sentAt)) {
-            suspected = true;
-            scheduler.after(CONFIRM_AFTER, () -> confirm(sentAt, () -> scheduler.after(SECOND_WAIT,
-                    () -> confirm(sentAt, confirmed))));
+    /** Checks whether a request that was sent on this connection at that time was overtaken. */
+    void check(Instant sentAt) {
+        if (!isSuspected && !isStopped && isOvertaken(sentAt)) {
+            isSuspected = true;
+            scheduler.after(CONFIRMATION_DELAY, () -> confirm(sentAt, () -> scheduler.after(SECOND_CONFIRMATION_DELAY,
+                    () -> confirm(sentAt, onConfirmed))));
         }
     }
 
     /** The connection has ended. */
     void stop() {
-        stopped = true;
+        isStopped = true;
     }
 
     private void confirm(Instant sentAt, Runnable next) {
-        suspected = !stopped && isOvertaken(sentAt);
-        if (suspected) {
+        isSuspected = !isStopped && isOvertaken(sentAt);
+        if (isSuspected) {
             next.run();
         }
     }
 
     private boolean isOvertaken(Instant sentAt) {
         return !lastReceived.get().isAfter(sentAt)
-                && !outstanding.answeredUpTo().isBefore(sentAt.plus(overtaken));
+                && !outstanding.latestAnsweredSentAt().isBefore(sentAt.plus(overtakenAfter));
     }
 }
--- a/daemon/src/main/java/pathlane/platform/PendingMessages.java
+++ b/daemon/src/main/java/pathlane/platform/PendingMessages.java
@@ -6,61 +6,61 @@
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 
-/** The set-ups and releases for one server that wait for a connection, in the order in which they came. */
+/** The requests and releases for one server that wait for a connection, in the order in which they were added. */
 final class PendingMessages {
 
-    private final Map<String, byte[]> setUps = new LinkedHashMap<>();
+    private final Map<String, byte[]> requests = new LinkedHashMap<>();
     private final Map<String, byte[]> releases = new LinkedHashMap<>();
 
-    void addSetUp(String call, byte[] message) {
-        setUps.put(call, message);
+    void addRequest(String callId, byte[] message) {
+        requests.put(callId, message);
     }
 
-    /** Removes a call's set-up; false where none waits. */
-    boolean removeSetUp(String call) {
-        return setUps.remove(call) != null;
+    /** Removes a call's request; false if none is pending. */
+    boolean removeRequest(String callId) {
+        return requests.remove(callId) != null;
     }
 
-    boolean hasSetUp(String call) {
-        return setUps.containsKey(call);
+    boolean hasRequest(String callId) {
+        return requests.containsKey(callId);
     }
 
-    /** Hands over the set-ups of the calls that {@code mayLeave}; the others go on waiting. */
-    void sendSetUps(Predicate<String> mayLeave, BiConsumer<String, byte[]> send) {
-        List<String> staying = setUps.keySet().stream().filter(mayLeave.negate()).toList();
-        setUps.forEach((call, message) -> {
-            if (mayLeave.test(call)) {
-                send.accept(call, message);
+    /** Sends the requests of the calls for which {@code maySend} holds; the others stay pending. */
+    void sendRequests(Predicate<String> maySend, BiConsumer<String, byte[]> sender) {
+        List<String> remaining = requests.keySet().stream().filter(maySend.negate()).toList();
+        requests.forEach((callId, message) -> {
+            if (maySend.test(callId)) {
+                sender.accept(callId, message);
             }
         });
-        setUps.keySet().retainAll(staying);
+        requests.keySet().retainAll(remaining);
     }
 
-    /** Removes all set-ups and returns the ids of their calls. */
-    List<String> removeSetUps() {
-        List<String> calls = List.copyOf(setUps.keySet());
-        setUps.clear();
-        return calls;
+    /** Removes all requests and returns the ids of their calls. */
+    List<String> removeRequests() {
+        List<String> callIds = List.copyOf(requests.keySet());
+        requests.clear();
+        return callIds;
     }
 
-    /** Adds a release unless as many as {@code most} wait already; whether it was added. */
-    boolean addRelease(String call, byte[] message, int most) {
-        if (releases.size() >= most) {
+    /** Adds a release and returns true, unless {@code maxReleases} are pending already. */
+    boolean addRelease(String callId, byte[] message, int maxReleases) {
+        if (releases.size() >= maxReleases) {
             return false;
         }
-        releases.put(call, message);
+        releases.put(callId, message);
         return true;
     }
 
-    boolean hasRelease(String call) {
-        return releases.containsKey(call);
+    boolean hasRelease(String callId) {
+        return releases.containsKey(callId);
     }
 
     boolean hasReleases() {
         return !releases.isEmpty();
     }
 
-    /** The releases that wait, by call; a view. */
+    /** The pending releases by call id; a live view. */
     Map<String, byte[]> releases() {
         return releases;
     }
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -21,62 +21,66 @@
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
 
-/** The platform's front of a call controller: callers, session servers and the event bus. */
+/** The platform's front of a call controller: connects it with clients, session servers and the event bus. */
 public final class PlatformFront {
 
     private static final Logger LOG = System.getLogger("bus");
 
     private final CallController controller;
-    private final BooleanSupplier ready;
+    private final BooleanSupplier isReady;
     private final BusFeed feed;
     private final Optional<ServerDiscovery> discovery;
     private final CallerLimits limits;
     private final Scheduler scheduler;
-    private final RateLimitedLog callerLog;
-    private final Supplier<Optional<NodeConfig>> changed;
+    private final RateLimitedLog clientLog;
+    private final Supplier<Optional<NodeConfig>> changedConfig;
 
     /**
-     * Starts with the events that the configuration holds; {@code ready} is asked at each test.
+     * Creates a front whose server list starts from the events in the configuration.
      *
-     * @param changed the configuration as it is now, where it has changed since it was last read; it throws an
-     *                IllegalArgumentException with a sentence where what it has changed to can't be used. Asked on the
-     *                loop, once a second at the most, while the event bus can't be reached
+     * @param isReady evaluated for each health check by a client
+     * @param changedConfig supplies the current configuration if it has changed since it was last read; throws an
+     *                      IllegalArgumentException with a description of the fault if the changed one is invalid. Called on
+     *                      the event loop, at most once per second, while the event bus can't be reached
      */
-    public PlatformFront(NodeConfig config, Connector dialer, Scheduler scheduler, BooleanSupplier ready,
-            Supplier<Optional<NodeConfig>> changed) {
-        this(config, dialer, scheduler, ready, changed, CallReplication.NONE);
+    public PlatformFront(NodeConfig config, Connector connector, Scheduler scheduler, BooleanSupplier isReady,
+            Supplier<Optional<NodeConfig>> changedConfig) {
+        this(config, connector, scheduler, isReady, changedConfig, CallReplication.NONE);
     }
 
-    /** The same with what keeps calls elsewhere. */
-    public PlatformFront(NodeConfig config, Connector dialer, Scheduler scheduler, BooleanSupplier ready,
-            Supplier<Optional<NodeConfig>> changed, CallReplication replication) {
-        this(config, dialer, scheduler, ready, changed, replication, Optional.empty());
+    /** Like the first constructor, with replication of calls to other controllers. */
+    public PlatformFront(NodeConfig config, Connector connector, Scheduler scheduler, BooleanSupplier isReady,
+            Supplier<Optional<NodeConfig>> changedConfig, CallReplication replication) {
+        this(config, connector, scheduler, isReady, changedConfig, replication, Optional.empty());
     }
 
-    /** The same with discovery, where there is any, in place of the event bus and of the events in the configuration. */
-    public PlatformFront(NodeConfig config, Connector dialer, Scheduler scheduler, BooleanSupplier ready,
-            Supplier<Optional<NodeConfig>> changed, CallReplication replication,
+    /**
+     * Like the first constructor, with replication and with discovery, which if present replaces the event bus and the
+     * events in the configuration.
+     */
+    public PlatformFront(NodeConfig config, Connector connector, Scheduler scheduler, BooleanSupplier isReady,
+            Supplier<Optional<NodeConfig>> changedConfig, CallReplication replication,
             Optional<ServerDiscovery> discovery) {
         this.discovery = discovery;
-        this.ready = ready;
-        this.changed = changed;
+        this.isReady = isReady;
+        this.changedConfig = changedConfig;
         this.limits = config.callers();
         this.scheduler = scheduler;
-        this.callerLog = new RateLimitedLog("callers", scheduler);
+        this.clientLog = new RateLimitedLog("callers", scheduler);
         SplittableRandom random = new SplittableRandom(config.seed());
         Instant startedAt = scheduler.now();
-        ConnectionLimiter servers = new ConnectionLimiter(config.descriptors().servers());
+        ConnectionLimiter serverLimiter = new ConnectionLimiter(config.descriptors().servers());
         ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.USUAL, this::controller,
-                this::isListCurrent, dialer, scheduler, servers,
+                this::isListCurrent, connector, scheduler, serverLimiter,
                 new ReportPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
         controller = new CallController(config.settings(), config.seed(), scheduler,
-                line -> new ServerLink(line, context), replication,
-                discovery.<ServiceDirectory>map(one -> one).orElse(ServiceDirectory.ONE));
+                endpoint -> new ServerLink(endpoint, context), replication,
+                discovery.<ServiceDirectory>map(directory -> directory).orElse(ServiceDirectory.ONE));
         if (discovery.isEmpty()) {
             KnownEvents.read(config).forEach(event -> controller.updateServers(event.whole(), event.lines()));
         }
-        feed = new BusFeed(config.knownOffset(), dialer, scheduler, random.split(),
-                event -> controller.updateServers(event.whole(), event.lines()), this::busUnreachable);
+        feed = new BusFeed(config.knownOffset(), connector, scheduler, random.split(),
+                event -> controller.updateServers(event.whole(), event.lines()), this::reloadIfChanged);
         if (config.bus() != null && discovery.isEmpty()) {
             feed.follow(config.bus());
         } else {
@@ -85,40 +89,40 @@
     }
 
     /**
-     * The configuration was read again: the event bus is followed where it names it now. All else is told once, at
-     * the start.
+     * Applies a configuration that was read again: the event bus is followed at the address in it. All other settings are
+     * applied at the start alone.
      *
-     * @throws IllegalArgumentException where it names none; the old one is followed on
+     * @throws IllegalArgumentException if it has no event bus; the previous one is still followed
      */
-    public void reload(NodeConfig fresh) {
-        if (fresh.bus() == null) {
+    public void reload(NodeConfig newConfig) {
+        if (newConfig.bus() == null) {
             throw new IllegalArgumentException("'bus' is missing");
         }
-        feed.follow(fresh.bus());
+        feed.follow(newConfig.bus());
     }
 
     /**
-     * Guards against a reload that never came: whoever moved the bus wrote the new address to the file, and the signal
-     * for it may be lost, or the operator with it.
+     * Reads the configuration again without a reload signal: whoever moved the bus has written the new address to the file,
+     * but the signal may have been lost or never sent.
      */
-    private void busUnreachable() {
+    private void reloadIfChanged() {
         try {
-            changed.get().ifPresent(fresh -> {
-                reload(fresh);
-                LOG.log(Level.INFO, "configuration read again, unasked: the event bus can't be reached where it was");
+            changedConfig.get().ifPresent(newConfig -> {
+                reload(newConfig);
+                LOG.log(Level.INFO, "configuration read again without a signal: the event bus is unreachable");
             });
         } catch (IllegalArgumentException e) {
-            LOG.log(Level.WARNING, "the event bus can''t be reached, and a new configuration can''t be used: {0}",
+            LOG.log(Level.WARNING, "the event bus can''t be reached, and the changed configuration is invalid: {0}",
                     e.getMessage());
         }
     }
 
-    /** Whether a server that drains would be known by now; where there is no bus, the list never changes. */
+    /** Whether the list would show by now that a server has begun to drain; without an event bus the list never changes. */
     private boolean isListCurrent() {
         return discovery.isPresent() ? discovery.get().isCurrent() : feed.isCurrent();
     }
 
-    /** Done once the list is what the event bus had at the start, or where there is no bus. */
+    /** Completed once the list is what the event bus had at the start, or at once if there is no event bus. */
     public CompletableFuture<Void> current() {
         return feed.current();
     }
@@ -127,8 +131,8 @@
         return controller;
     }
 
-    /** The state machine for a connection that callers have opened. */
+    /** Creates the state machine for a connection that a client has opened. */
     public Protocol accept() {
-        return new CallerSession(controller, limits, scheduler, callerLog, ready);
+        return new ClientSession(controller, limits, scheduler, clientLog, isReady);
     }
 }
--- a/daemon/src/main/java/pathlane/platform/Reachability.java
+++ b/daemon/src/main/java/pathlane/platform/Reachability.java
@@ -6,78 +6,79 @@
 import pathlane.core.Scheduler;
 
 /**
- * Judges whether a server without a connection is still there, and tells the controller when the calls that stand at it
- * count as cut.
+ * Decides whether a server without a connection still exists, and notifies the controller when the calls established at it
+ * are to be treated as lost.
  */
 final class Reachability {
 
     private static final Logger LOG = System.getLogger("servers");
-    /** Dials that timed out in a row after which the calls count as cut: they can't be released any more. */
-    private static final int MOST_FAILED_DIALS = 2;
+    /** Consecutive connect timeouts after which the server's calls are treated as lost: they can't be released any more. */
+    private static final int MAX_CONNECT_TIMEOUTS = 2;
 
     private final ServerLinkContext context;
-    private final long server;
+    private final long serverId;
     private final String name;
-    /** Dials that timed out since a connection was last up. */
-    private int failedDials;
-    /** Whether the server ended the last connection that was up, as it does when its process stops or dies. */
-    private boolean leftByServer;
-    /** Runs while no connection is up after one was lost. */
-    private Scheduler.Timer unreachable;
+    /** Connect timeouts since a connection was last open. */
+    private int connectTimeouts;
+    /** Whether the server closed the last open connection, as it does when its process stops or crashes. */
+    private boolean wasClosedByServer;
+    /** Runs while no connection is open after one was lost. */
+    private Scheduler.Timer unreachableTimer;
 
-    Reachability(ServerLinkContext context, long server, String name) {
+    Reachability(ServerLinkContext context, long serverId, String name) {
         this.context = context;
-        this.server = server;
+        this.serverId = serverId;
         this.name = name;
     }
 
-    /** A connection is up. */
-    void reached() {
-        failedDials = 0;
+    /** A connection has opened. */
+    void connected() {
+        connectTimeouts = 0;
         stop();
     }
 
-    /** A connection that was up has ended; {@code isLast} where no other is up. */
-    void lost(CloseReason end, boolean isLast) {
-        leftByServer = end == CloseReason.RESET || end == CloseReason.CLOSED_BY_PEER;
-        if (isLast && unreachable == null) {
-            unreachable = context.scheduler().after(context.limits().unreached(), this::unreachable);
+    /** An open connection has ended; {@code isLast} if no other is open. */
+    void connectionLost(CloseReason reason, boolean isLast) {
+        wasClosedByServer = reason == CloseReason.RESET || reason == CloseReason.CLOSED_BY_PEER;
+        if (isLast && unreachableTimer == null) {
+            unreachableTimer = context.scheduler().after(context.limits().unreached(), this::handleUnreachable);
         }
     }
 
     /**
-     * Guards calls that stand at a server that takes no connection any more, since it drains, and whose last one was lost
-     * by no doing of its own: their ends can't be told, and the list may say too late that it has gone. A caller is owed
-     * the end of its call within 8 s of it, and none can have come before the connection was lost.
+     * Treats the calls at an unreachable server as lost. This covers a server that accepts no connection any more, since it
+     * drains, and whose last connection was broken by the network: it can't report the ends of its calls, and the server
+     * list may report its removal too late. A client must receive the end of its call within 8 s, and no call can have ended
+     * unreported before the connection was lost.
      */
-    private void unreachable() {
-        unreachable = null;
-        if (context.controller().get().hasEstablishedCallsAt(server)) {
-            LOG.log(Level.WARNING, "server {0} could not be reached for {1} ms: its calls count as cut", name,
+    private void handleUnreachable() {
+        unreachableTimer = null;
+        if (context.controller().get().hasEstablishedCallsAt(serverId)) {
+            LOG.log(Level.WARNING, "server {0} has been unreachable for {1} ms: its calls are treated as lost", name,
                     Long.toString(context.limits().unreached().toMillis()));
-            context.controller().get().serverLost(server, false);
+            context.controller().get().serverLost(serverId, false);
         }
     }
 
     /**
-     * The last connection that was up or dialled has ended. Guards against calls that stood at a process that stopped or
-     * died: nobody is left to release them, and the list may say so too late.
+     * The last connection, open or connecting, has ended. If the server's process has stopped or crashed, nothing is left
+     * there to release its calls, and the server list may report it too late: its calls are treated as lost.
      */
-    void allEnded(CloseReason end, boolean draining) {
-        if (end == CloseReason.CONNECT_TIMED_OUT) {
-            failedDials++;
+    void allClosed(CloseReason reason, boolean isDraining) {
+        if (reason == CloseReason.CONNECT_TIMED_OUT) {
+            connectTimeouts++;
         }
-        boolean isCertain = end.provesProcessGone() && (!draining || leftByServer);
-        if (isCertain || failedDials >= MOST_FAILED_DIALS) {
-            context.controller().get().serverLost(server, isCertain);
+        boolean isCertain = reason.provesProcessGone() && (!isDraining || wasClosedByServer);
+        if (isCertain || connectTimeouts >= MAX_CONNECT_TIMEOUTS) {
+            context.controller().get().serverLost(serverId, isCertain);
         }
     }
 
-    /** Stops the timer: the server has been reached, or has gone from the list. */
+    /** Stops the timer: the server has been reached, or was removed from the list. */
     void stop() {
-        if (unreachable != null) {
-            unreachable.cancel();
-            unreachable = null;
+        if (unreachableTimer != null) {
+            unreachableTimer.cancel();
+            unreachableTimer = null;
         }
     }
 }
--- a/daemon/src/main/java/pathlane/platform/ReportPeriod.java
+++ b/daemon/src/main/java/pathlane/platform/ReportPeriod.java
@@ -3,48 +3,48 @@
 import java.time.Duration;
 
 /**
- * The period of session servers' capacity reports. No setting states it, so it is measured over all servers together: of two
- * consecutive intervals on one connection the shorter counts, so that one that a stall or a broken path drew out does not.
- * On the loop's thread.
+ * Estimates the period of session servers' capacity reports. No setting states it, so it is measured over all servers
+ * together: the shorter of two consecutive intervals on one connection, so that a single interval that was lengthened by a
+ * stall or a broken path does not count. On the loop's thread.
  */
 final class ReportPeriod {
 
-    /** Up to this part beyond the least, a measured interval is taken for the least and chance. */
-    private static final double CHANCE = 0.25;
+    /** A measured interval that exceeds the minimum by up to this fraction is attributed to jitter. */
+    private static final double JITTER_TOLERANCE = 0.25;
 
-    private final Duration least;
-    private final Duration mostOfFirst;
+    private final Duration minPeriod;
+    private final Duration maxOfFirstInterval;
     private Duration measured;
-    private boolean isMeasured;
+    private boolean hasTwoIntervals;
 
     /**
-     * Starts without a measurement: the least is taken then.
+     * Creates an estimate without measurements, which is the minimum period.
      *
-     * @param least no period counts as shorter
-     * @param mostOfFirst the most that a first interval alone can say
+     * @param minPeriod the shortest period assumed
+     * @param maxOfFirstInterval the longest period assumed while only single intervals have been measured
      */
-    ReportPeriod(Duration least, Duration mostOfFirst) {
-        this.least = least;
-        this.mostOfFirst = mostOfFirst;
+    ReportPeriod(Duration minPeriod, Duration maxOfFirstInterval) {
+        this.minPeriod = minPeriod;
+        this.maxOfFirstInterval = maxOfFirstInterval;
     }
 
-    /** A report came this long after the last one on its connection; {@code before} is the interval before, or null. */
-    void reported(Duration interval, Duration before) {
-        if (before != null) {
-            measured = interval.compareTo(before) < 0 ? interval : before;
-            isMeasured = true;
-        } else if (!isMeasured) {
-            measured = interval.compareTo(mostOfFirst) < 0 ? interval : mostOfFirst;
+    /** Adds the interval between two reports on one connection; {@code previous} is the interval before it, or null. */
+    void reported(Duration interval, Duration previous) {
+        if (previous != null) {
+            measured = interval.compareTo(previous) < 0 ? interval : previous;
+            hasTwoIntervals = true;
+        } else if (!hasTwoIntervals) {
+            measured = interval.compareTo(maxOfFirstInterval) < 0 ? interval : maxOfFirstInterval;
         }
     }
 
-    /** Whether a whole interval was measured on any connection. */
-    boolean isSeen() {
+    /** Whether at least one interval has been measured on any connection. */
+    boolean hasMeasurement() {
         return measured != null;
     }
 
-    /** The period by which servers are judged. */
+    /** The estimated period. */
     Duration length() {
-        return measured == null || measured.toNanos() <= least.toNanos() * (1 + CHANCE) ? least : measured;
+        return measured == null || measured.toNanos() <= minPeriod.toNanos() * (1 + JITTER_TOLERANCE) ? minPeriod : measured;
     }
 }
--- a/daemon/src/main/java/pathlane/platform/ServerDiscovery.java
+++ b/daemon/src/main/java/pathlane/platform/ServerDiscovery.java
@@ -2,9 +2,9 @@
 
 import pathlane.core.ServiceDirectory;
 
-/** Where the session servers are heard of in place of the event bus. */
+/** A source of the session servers that replaces the event bus. */
 public interface ServerDiscovery extends ServiceDirectory {
 
-    /** Whether a server that drains would be known by now. */
+    /** Whether the source would have reported by now that a server has begun to drain. */
     boolean isCurrent();
 }
--- a/daemon/src/main/java/pathlane/platform/ServerLink.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLink.java
@@ -16,25 +16,25 @@
 
 /**
  * The link to one session server: a few connections that all calls share. It chooses the connection for each message, keeps
- * what waits for one, and joins what its connections report. One that breaks, is spoilt or falls silent costs only the
- * set-ups that are out on it. On the loop's thread.
+ * the messages that wait for a connection, and combines what its connections report. A connection that breaks, receives
+ * invalid input or goes silent fails only the requests outstanding on it. On the loop's thread.
  */
 final class ServerLink implements ServerPort {
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
 
     private final ServerLinkContext context;
     private final ServerEndpoint server;
     private final String name;
     private final ConnectionPool pool;
     private final PendingMessages pending = new PendingMessages();
-    private final OutstandingSetUps outstanding = new OutstandingSetUps();
+    private final OutstandingRequests outstanding = new OutstandingRequests();
     private final DrainDetector drainDetector;
     private final Reachability reachability;
-    /** A server that drains reports no capacity and accepts no connections any more, and its calls go on all the same. */
-    private boolean draining;
+    /** A draining server reports no capacity and accepts no connections any more, but its calls continue. */
+    private boolean isDraining;
 
-    /** Dials the server at once where there are descriptors for it, and visits it later where there are not. */
+    /** Connects to the server at once if enough descriptors are free, or else later. */
     ServerLink(ServerEndpoint server, ServerLinkContext context) {
         this.context = context;
         this.server = server;
@@ -42,235 +42,239 @@
         this.drainDetector = new DrainDetector(context);
         this.reachability = new Reachability(context, server.id(), name);
         this.pool = new ConnectionPool(context, server.address(), () -> new ServerSession(this, context),
-                this::endWaiting);
-        pool.dialAtListing();
+                this::failPendingRequests);
+        pool.connectWhenListed();
     }
 
     @Override
-    public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
-        draining = false;   // nothing new comes here while it drains
-        byte[] bytes = new Message(Message.SET_UP, setUp.id())
-                .with(Message.CLASS, context.settings().classes().get(setUp.callClass()).name())
-                .with(Message.PATIENCE, Long.toString(Math.max(1, patience.toMillis())))
-                .with(Message.NUMBER, setUp.destination())
-                .with(Message.DESCRIPTION, setUp.payload()).bytes();
-        ServerSession session = drainDetector.mayBeDraining() ? null : pool.leastBusyFor(setUp.id());
+    public void sendRequest(CallRequest request, Duration remainingDeadline, boolean mayHaveRun) {
+        isDraining = false;   // no request is sent to a draining server, so it does not drain any more
+        byte[] bytes = new Message(Message.SET_UP, request.id())
+                .with(Message.CLASS, context.settings().classes().get(request.callClass()).name())
+                .with(Message.PATIENCE, Long.toString(Math.max(1, remainingDeadline.toMillis())))
+                .with(Message.NUMBER, request.destination())
+                .with(Message.DESCRIPTION, request.payload()).bytes();
+        ServerSession session = drainDetector.mayBeDraining() ? null : pool.leastBusyFor(request.id());
         if (session != null) {
-            pool.growBeside(session);
-            session.setUp(setUp.id(), bytes);
+            pool.growIfBusy(session);
+            session.sendRequest(request.id(), bytes);
             return;
         }
-        pending.addSetUp(setUp.id(), bytes);
-        if (!pool.dialForWaiting()) {
-            context.scheduler().after(Duration.ZERO, this::endWaiting);
+        pending.addRequest(request.id(), bytes);
+        if (!pool.connectForPending()) {
+            context.scheduler().after(Duration.ZERO, this::failPendingRequests);
         }
     }
 
     /**
-     * Guards the rule of one attempt, and session servers against work for callers that have gone: a set-up that has not
-     * begun to leave never does, and the give-up of one that has leaves before anything else is decided. Where it can't,
-     * the connection is broken off, which gives up what is out there.
+     * Cancels a request. A call may have only one attempt in progress, and session servers should not work for clients that
+     * have gone. A request that has not begun to be sent never is; the cancellation of one that has is sent before anything
+     * else is decided. Where that is impossible the connection is aborted, which cancels the requests outstanding on it.
      */
     @Override
-    public void cancel(String call) {
-        if (!pending.removeSetUp(call)) {
-            outstanding.remove(call).ifPresent(session -> session.giveUp(call));
+    public void cancel(String callId) {
+        if (!pending.removeRequest(callId)) {
+            outstanding.remove(callId).ifPresent(session -> session.cancel(callId));
         }
     }
 
     /**
-     * Guards the rule of one attempt where a connection is broken off: the server may have answered there unheard, so that
-     * the calls stand. What is written here leaves at once, and so ahead of the next attempts.
+     * Cancels the calls of a connection that is to be aborted on another connection. The server may have sent answers on the
+     * first that never arrived, so that it holds the calls as established beside their next attempts. The cancellations are
+     * flushed at once, and so precede the next attempts.
      */
-    void giveUpBeside(ServerSession broken, Collection<String> calls) {
-        ServerSession beside = pool.leastBusyBeside(broken);
-        if (beside != null) {
-            List.copyOf(calls).forEach(beside::tellGivenUp);
+    void cancelElsewhere(ServerSession aborted, Collection<String> callIds) {
+        ServerSession other = pool.leastBusyExcept(aborted);
+        if (other != null) {
+            List.copyOf(callIds).forEach(other::sendCancellation);
         }
     }
 
-    /** Whether an attempt of the call is out at this server, or waits for a connection to it, or the call stands. */
-    boolean isOutOrStands(String call) {
-        return outstanding.sessionOf(call).isPresent() || hasPendingSetUp(call) || stands(call);
+    /** Whether the call has a request that is outstanding at this server or waits for a connection, or is established. */
+    boolean isCallActive(String callId) {
+        return outstanding.sessionOf(callId).isPresent() || hasPendingRequest(callId) || isEstablished(callId);
     }
 
     @Override
-    public void release(String call, Outcome how, byte[] content) {
-        byte[] bytes = new Message(Message.RELEASE, call).withCause(Cause.ofRelease(how)).bytes();
-        ServerSession free = pool.leastBusyFor(call);
-        ServerSession session = free == null ? pool.leastBusy() : free;
+    public void release(String callId, Outcome outcome, byte[] content) {
+        byte[] bytes = new Message(Message.RELEASE, callId).withCause(Cause.ofEstablishedCall(outcome)).bytes();
+        ServerSession preferred = pool.leastBusyFor(callId);
+        ServerSession session = preferred == null ? pool.leastBusy() : preferred;
         if (session != null) {
-            session.release(call, bytes);
-        } else if (!pool.isClosed() && pending.addRelease(call, bytes, context.limits().waitingReleases())) {
-            pool.dialIfNone();
+            session.release(callId, bytes);
+        } else if (!pool.isClosed() && pending.addRelease(callId, bytes, context.limits().waitingReleases())) {
+            pool.connectIfNone();
         }
     }
 
     @Override
-    public Optional<byte[]> pendingRelease(String call) {
-        return pending.hasRelease(call) ? Optional.of(NOTHING) : Optional.empty();
+    public Optional<byte[]> pendingRelease(String callId) {
+        return pending.hasRelease(callId) ? Optional.of(EMPTY) : Optional.empty();
     }
 
-    /** What the server reported on the former controller's connection as it broke, it reports on the next one that opens. */
+    /**
+     * Opens a connection: the server repeats on the next one that opens what it reported on the previous controller's
+     * connection as that one broke.
+     */
     @Override
-    public void adopt(String call, byte[] ending) {
-        pool.visitAnew();
+    public void adopt(String callId, byte[] releaseToken) {
+        pool.openExtraConnection();
     }
 
     /**
-     * Guards hundreds of servers against a connection from each controller for each call that one of them set up before
-     * its restart: where none is up the release waits for the next, and there are only so many.
+     * Opens no connection: after a restart each controller would otherwise connect to hundreds of servers for each call that
+     * one of them had established before. The release waits for the next connection; the number of such releases is limited.
      */
     @Override
-    public void releaseUnknown(String call) {
+    public void releaseUnknown(String callId) {
         if (pool.leastBusy() != null) {
-            release(call, Outcome.COMPLETED, NOTHING);
+            release(callId, Outcome.COMPLETED, EMPTY);
         } else if (!pool.isClosed()) {
-            byte[] bytes = new Message(Message.RELEASE, call).withCause(Cause.OVER).bytes();
-            pending.addRelease(call, bytes, context.limits().waitingUnknown());
+            byte[] bytes = new Message(Message.RELEASE, callId).withCause(Cause.OVER).bytes();
+            pending.addRelease(callId, bytes, context.limits().waitingUnknown());
         }
     }
 
     /**
-     * Guards rule three against what was written in this turn, and what was written before and could not leave: it would,
-     * once the server reads again.
+     * The server drains: nothing new may be sent to it. Withdraws the requests that were written in this turn and those
+     * written before that could not be sent, which would be sent as soon as the server reads again.
      */
     @Override
     public void drain() {
-        draining = true;
-        endWaiting();
-        pool.sessions().forEach(ServerSession::withdrawSetUps);
+        isDraining = true;
+        failPendingRequests();
+        pool.sessions().forEach(ServerSession::withdrawRequests);
     }
 
     @Override
     public void close() {
         reachability.stop();
         pending.clearReleases();
-        List<ServerSession> left = pool.close();
-        endWaiting();
-        left.forEach(ServerSession::delist);
+        List<ServerSession> remaining = pool.close();
+        failPendingRequests();
+        remaining.forEach(ServerSession::abortDelisted);
     }
 
-    /** Ends the set-ups that wait for a connection: what never left is free to go elsewhere at once. */
-    private void endWaiting() {
-        pending.removeSetUps().forEach(call -> setUpEnded(call, Outcome.UNREACHABLE));
+    /** Fails the requests that wait for a connection: as they were never sent, they may go to another server at once. */
+    private void failPendingRequests() {
+        pending.removeRequests().forEach(callId -> serverReleased(callId, Outcome.UNREACHABLE));
     }
 
-    /** A connection has come up; it has taken no messages yet. */
+    /** A connection has opened; nothing has been sent on it yet. */
     void opened(ServerSession session) {
         pool.opened();
-        reachability.reached();
-        if (context.listCurrent().getAsBoolean() && !pool.isAnyUpBeside(session)) {
-            // Nothing could have been reported meanwhile, and a drain would be known.
-            drainDetector.accepted(context.now());
+        reachability.connected();
+        if (context.isListCurrent().getAsBoolean() && !pool.isAnyOtherOpen(session)) {
+            // The server had no connection on which to report its capacity, and the list would show a drain.
+            drainDetector.connectionAccepted(context.now());
         }
     }
 
-    /** Gives a connection that has come up what has waited for one. */
+    /** Sends the messages that waited for a connection on one that has opened. */
     void sendPending(ServerSession session) {
         List<String> released = List.copyOf(pending.releases().keySet());
         session.releaseAll(pending.releases());
         pending.clearReleases();
         released.forEach(controller()::releaseSent);
         if (!drainDetector.mayBeDraining()) {
-            sendPendingSetUps(session);
-        } else if (context.listCurrent().getAsBoolean()) {
-            endWaiting();
+            sendPendingRequests(session);
+        } else if (context.isListCurrent().getAsBoolean()) {
+            failPendingRequests();
         } else {
-            context.scheduler().after(context.limits().firstLines(), this::endUnlessReported);
+            context.scheduler().after(context.limits().firstLines(), this::failPendingUnlessReported);
         }
     }
 
-    /** A new connection on which no capacity is reported, while the bus is not reachable, shows nothing of a drain. */
-    private void endUnlessReported() {
+    /** While the bus is unreachable, a new connection without a capacity report does not rule out that the server drains. */
+    private void failPendingUnlessReported() {
         if (drainDetector.mayBeDraining()) {
-            endWaiting();
+            failPendingRequests();
         }
     }
 
-    private void sendPendingSetUps(ServerSession session) {
-        pending.sendSetUps(call -> !session.hasGivenUp(call), session::setUp);
+    private void sendPendingRequests(ServerSession session) {
+        pending.sendRequests(callId -> !session.hasCancelled(callId), session::sendRequest);
     }
 
     /**
-     * The server has reported its capacity on this connection, so it takes set-ups.
+     * The server has reported its capacity on this connection, and therefore takes requests.
      *
-     * @throws BadInput where the report can't be read
+     * @throws pathlane.wire.BadInput if the report is malformed
      */
-    void capacityReported(ServerSession session, String state) {
-        drainDetector.reported(context.now());
-        CapacityReport report = CapacityReport.parse(state);
-        if (!draining && session.isWritable()) {
-            sendPendingSetUps(session);
+    void capacityReported(ServerSession session, String text) {
+        drainDetector.capacityReported(context.now());
+        CapacityReport report = CapacityReport.parse(text);
+        if (!isDraining && session.isWritable()) {
+            sendPendingRequests(session);
         }
-        controller().capacityReported(server.id(), report.free(), report.size());
+        controller().capacityReported(server.id(), report.freeSlots(), report.slots());
     }
 
-    /** A connection has ended, or could not be dialled. */
-    void closed(ServerSession session, CloseReason end) {
-        if (session.isDialling()) {
-            pool.dialFailed();
+    /** A connection has ended or could not be opened. */
+    void closed(ServerSession session, CloseReason reason) {
+        if (session.isConnecting()) {
+            pool.connectFailed();
         } else {
-            reachability.lost(end, !pool.isAnyUpBeside(session));
+            reachability.connectionLost(reason, !pool.isAnyOtherOpen(session));
         }
-        session.endSetUps(end);
-        if (!end.isVoluntary()) {
+        session.failRequests(reason);
+        if (!reason.isVoluntary()) {
             session.unconfirmedReleases()
-                    .forEach((call, bytes) -> pending.addRelease(call, bytes, context.limits().waitingReleases()));
+                    .forEach((callId, bytes) -> pending.addRelease(callId, bytes, context.limits().waitingReleases()));
         }
         if (pool.isEmpty()) {
-            allEnded(end);
-        } else if (!pool.isDialling()) {
-            endWaiting();   // the one that was dialled for them did not come up
-            if (!session.isDialling() && !end.isVoluntary() && hasStandingCalls()) {
-                pool.visitAnew();
+            allClosed(reason);
+        } else if (!pool.isConnecting()) {
+            failPendingRequests();   // the connection that was opened for them failed
+            if (!session.isConnecting() && !reason.isVoluntary() && hasEstablishedCalls()) {
+                pool.openExtraConnection();
             }
         }
     }
 
-    /** Nothing is up or dialled any more. */
-    private void allEnded(CloseReason end) {
-        endWaiting();
-        reachability.allEnded(end, draining);
-        pool.redialAfter(end, hasStandingCalls() || pending.hasReleases());
+    /** No connection is open or connecting any more. */
+    private void allClosed(CloseReason reason) {
+        failPendingRequests();
+        reachability.allClosed(reason, isDraining);
+        pool.scheduleReconnect(reason, hasEstablishedCalls() || pending.hasReleases());
     }
 
-    /** A connection has ended, or could not be dialled: it counts no more. */
+    /** Removes a connection that has ended or could not be opened. */
     void remove(ServerSession session) {
         pool.remove(session);
     }
 
-    /** A set-up has ended without an answer, or the server has released a call that stood. */
-    void setUpEnded(String call, Outcome how) {
-        controller().serverReleased(server.id(), call, how, Duration.ZERO);
+    /** A request has ended without an answer, or the server has released an established call. */
+    void serverReleased(String callId, Outcome outcome) {
+        controller().serverReleased(server.id(), callId, outcome, Duration.ZERO);
     }
 
-    /** The server has answered a call's set-up. */
-    void answered(String call, byte[] description) {
-        controller().serverAnswered(server.id(), call, description);
+    /** The server has answered a call's request. */
+    void answered(String callId, byte[] description) {
+        controller().serverAnswered(server.id(), callId, description);
     }
 
-    /** Whether the call stands, at whichever server. */
-    boolean stands(String call) {
-        return controller().isEstablished(call);
+    /** Whether the call is established, at any server. */
+    boolean isEstablished(String callId) {
+        return controller().isEstablished(callId);
     }
 
-    /** Whether any call stands at this server. */
-    boolean hasStandingCalls() {
+    /** Whether any call is established at this server. */
+    boolean hasEstablishedCalls() {
         return controller().hasEstablishedCallsAt(server.id());
     }
 
-    /** Whether the call's set-up waits for a connection to this server. */
-    boolean hasPendingSetUp(String call) {
-        return pending.hasSetUp(call);
+    /** Whether the call's request waits for a connection to this server. */
+    boolean hasPendingRequest(String callId) {
+        return pending.hasRequest(callId);
     }
 
-    /** The set-ups that are out on any connection to this server. */
-    OutstandingSetUps outstanding() {
+    /** The requests outstanding on any connection to this server. */
+    OutstandingRequests outstanding() {
         return outstanding;
     }
 
-    /** All connections to this server, dialled or up. */
+    /** All connections to this server, open or connecting. */
     List<ServerSession> sessions() {
         return pool.sessions();
     }
@@ -281,10 +285,10 @@
     }
 
     boolean isDraining() {
-        return draining;
+        return isDraining;
     }
 
-    /** Whether the server has gone from the list. */
+    /** Whether the server has been removed from the list. */
     boolean isClosed() {
         return pool.isClosed();
     }
--- a/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
@@ -13,37 +13,37 @@
 import pathlane.transport.Connector;
 
 /**
- * What the links to all session servers have in common.
+ * Shared by the links to all session servers.
  *
- * @param settings the call classes and their deadlines, and the idle timeout of connections
+ * @param settings the call classes with their deadlines, and the idle timeout of connections
  * @param limits the limits of connections to one server
- * @param controller supplied late, since the controller creates its links itself
- * @param listCurrent whether the event bus would have reported by now that a server has begun to drain
- * @param connections the descriptors that all servers' connections share
- * @param reportPeriod the period of the servers' capacity reports
- * @param random spreads what the whole fleet would otherwise do at once
+ * @param controller supplied lazily, since the controller itself creates the links
+ * @param isListCurrent whether the event bus would have reported by now that a server has begun to drain
+ * @param connectionLimiter the limit of connections to all servers together, each of which takes a descriptor
+ * @param reportPeriod the measured period of the servers' capacity reports
+ * @param random adds jitter to actions that the fleet would otherwise take all at once
  * @param startedAt when the program started
  */
 record ServerLinkContext(Settings settings, ServerLimits limits, Supplier<CallController> controller,
-        BooleanSupplier listCurrent, Connector dialer, Scheduler scheduler, ConnectionLimiter connections,
+        BooleanSupplier isListCurrent, Connector connector, Scheduler scheduler, ConnectionLimiter connectionLimiter,
         ReportPeriod reportPeriod, SplittableRandom random, Instant startedAt) {
 
-    /** An idle connection is closed here after this part of the time after which the other side closes it. */
-    private static final int IDLE_PERCENT = 90;
+    /** Percentage of the other side's idle timeout after which this side closes an idle connection. */
+    private static final int IDLE_TIMEOUT_PERCENT = 90;
 
     Instant now() {
         return scheduler.now();
     }
 
-    /** How long a connection may be idle before it is closed here. */
+    /** How long a connection may be idle before this side closes it. */
     Duration idleTimeout() {
-        return settings.idleTimeout().multipliedBy(IDLE_PERCENT).dividedBy(100);
+        return settings.idleTimeout().multipliedBy(IDLE_TIMEOUT_PERCENT).dividedBy(100);
     }
 
-    /** How long nothing may be received on a connection: two reports are awaited where their period is known. */
-    Duration longestSilence() {
+    /** How long a connection may receive nothing: at least two report periods, where the period is known. */
+    Duration silenceTimeout() {
         Duration twoReports = reportPeriod.length().multipliedBy(2).plus(limits.linesVary());
-        boolean isLonger = reportPeriod.isSeen() && twoReports.compareTo(limits.silence()) > 0;
+        boolean isLonger = reportPeriod.hasMeasurement() && twoReports.compareTo(limits.silence()) > 0;
         return isLonger ? twoReports : limits.silence();
     }
 }
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -22,245 +22,245 @@
 import pathlane.wire.Message;
 
 /**
- * One connection to a session server: the set-ups that are out on it, what the server says of them, and when the connection
- * is to end. On the loop's thread.
+ * One connection to a session server: the requests outstanding on it, the messages that the server sends, and when the
+ * connection is to be closed. On the loop's thread.
  */
 final class ServerSession implements Protocol {
 
     private static final Logger LOG = System.getLogger("servers");
-    private static final byte[] NOTHING = {};
-    /** Longer than any connection without calls that stand is idle. */
-    private static final Duration GIVES_WAY_LAST = Duration.ofDays(1);
-    /** The least wait before an idle connection that may not be closed yet is looked at again. */
+    private static final byte[] EMPTY = {};
+    /** Longer than any connection without established calls is idle. */
+    private static final Duration EVICT_LAST_OFFSET = Duration.ofDays(1);
+    /** The minimum delay before the idle time is checked again on a connection that may not be closed yet. */
     private static final Duration IDLE_RECHECK = Duration.ofSeconds(1);
-    /** More releases at once would count as what the server leaves unread. */
-    private static final int RELEASES_AT_ONCE = 256;
+    /** More unflushed releases would count as data that the server does not read. */
+    private static final int RELEASES_PER_FLUSH = 256;
 
     private final ServerLink link;
     private final ServerLinkContext context;
     private final ServerLimits limits;
     private final Scheduler scheduler;
     private final Duration idleTimeout;
-    private final Duration longestPatience;
+    private final Duration longestDeadline;
     private final FrameAssembler assembler = Message.assembler();
     private final FrameDeadline frameDeadline;
-    /** Set-ups that are out on this connection, in the order in which they were sent. */
-    private final Map<String, SentMessage> sent = new LinkedHashMap<>();
-    /** Set-ups that were given up here and of which the server has said nothing since, and when. */
-    private final Map<String, Instant> givenUp = new LinkedHashMap<>();
+    /** Outstanding requests on this connection by call id, in the order of sending. */
+    private final Map<String, SentMessage> sentRequests = new LinkedHashMap<>();
+    /** When each attempt was cancelled on this connection about which the server has sent nothing since, by call id. */
+    private final Map<String, Instant> cancelledAt = new LinkedHashMap<>();
     private final UnconfirmedReleases unconfirmedReleases;
-    private final ReportIntervals reports;
+    private final ReportIntervals reportIntervals;
     private final OvertakenCheck overtakenCheck;
     private Connection connection;
     private Scheduler.Timer idleTimer;
     private Scheduler.Timer silenceTimer;
     /** When a message was last written or bytes were last received. */
     private Instant lastUsed;
-    /** When the last whole message was received. */
+    /** When the last complete message was received. */
     private Instant lastReceived;
-    private boolean ending;
+    private boolean isClosing;
 
-    /** A connection that is yet to be dialled. */
+    /** Creates a session whose connection has yet to be opened. */
     ServerSession(ServerLink link, ServerLinkContext context) {
         this.link = link;
         this.context = context;
         this.limits = context.limits();
         this.scheduler = context.scheduler();
         this.idleTimeout = context.idleTimeout();
-        this.longestPatience = context.settings().longestDeadline();
-        this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(), () -> end(CloseReason.UNFINISHED));
+        this.longestDeadline = context.settings().longestDeadline();
+        this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(), () -> close(CloseReason.UNFINISHED));
         this.unconfirmedReleases = new UnconfirmedReleases(limits.waitingReleases());
-        this.reports = new ReportIntervals(context.reportPeriod());
-        this.overtakenCheck = new OvertakenCheck(context, link.outstanding(), () -> lastReceived, this::endAsOvertaken);
+        this.reportIntervals = new ReportIntervals(context.reportPeriod());
+        this.overtakenCheck = new OvertakenCheck(context, link.outstanding(), () -> lastReceived, this::closeAsOvertaken);
     }
 
-    /** Whether the connection has not come up, and has not since failed to. */
-    boolean isDialling() {
+    /** Whether the connection has not opened yet; stays true if it could not be opened. */
+    boolean isConnecting() {
         return connection == null;
     }
 
-    boolean isUp() {
-        return connection != null && !ending;
+    boolean isOpen() {
+        return connection != null && !isClosing;
     }
 
-    boolean isEnding() {
-        return ending;
+    boolean isClosing() {
+        return isClosing;
     }
 
-    /** Whether it is up and all that was written before this turn has left. */
+    /** Whether it is open and everything written before this turn of the loop has been sent. */
     boolean isWritable() {
-        return isUp() && !connection.isBlocked();
+        return isOpen() && !connection.isBlocked();
     }
 
-    /** Whether a set-up is out on it. */
+    /** Whether it has outstanding requests. */
     boolean isBusy() {
-        return !sent.isEmpty();
+        return !sentRequests.isEmpty();
     }
 
-    int setUpsOut() {
-        return sent.size();
+    int outstandingCount() {
+        return sentRequests.size();
     }
 
-    /** Whether the server may still answer an attempt of this call that was given up. */
-    boolean hasGivenUp(String call) {
-        return givenUp.containsKey(call);
+    /** Whether the server may still answer a cancelled attempt of this call. */
+    boolean hasCancelled(String callId) {
+        return cancelledAt.containsKey(callId);
     }
 
     /**
-     * Whether a set-up may go here: all that was written has left, so that the set-up does not leave after a drain, and the
-     * server can't answer an attempt of the same call that was given up.
+     * Whether a call's request may be sent here: all that was written before has been sent, so that the request is not sent
+     * late, after the server began to drain, and the server can't answer a cancelled attempt of the same call.
      */
-    boolean mayTakeSetUp(String call) {
-        return isWritable() && !overtakenCheck.isSuspected() && !hasGivenUp(call);
+    boolean mayTakeRequest(String callId) {
+        return isWritable() && !overtakenCheck.isSuspected() && !hasCancelled(callId);
     }
 
-    /** One with nothing out on it may give way to a connection to another server; one with calls last. */
+    /** Without outstanding requests it may be evicted for a connection to another server; with established calls last. */
     @Override
     public Optional<Instant> idleSince() {
-        return !isUp() || isBusy() ? Optional.empty()
-                : Optional.of(link.hasStandingCalls() ? lastUsed.plus(GIVES_WAY_LAST) : lastUsed);
+        return !isOpen() || isBusy() ? Optional.empty()
+                : Optional.of(link.hasEstablishedCalls() ? lastUsed.plus(EVICT_LAST_OFFSET) : lastUsed);
     }
 
     @Override
-    public void opened(Connection up) {
-        connection = up;
+    public void opened(Connection opened) {
+        connection = opened;
         if (link.isClosed()) {
-            up.close(CloseReason.DELISTED);
+            opened.close(CloseReason.DELISTED);
             return;
         }
         lastUsed = scheduler.now();
         lastReceived = lastUsed;
         link.opened(this);
         idleTimer = scheduler.after(idleTimeout, this::closeIfIdle);
-        silenceTimer = scheduler.after(context.longestSilence(), this::closeIfSilent);
-        LOG.log(Level.INFO, "server {0} at {1} is up", link.name(), up.remote());
+        silenceTimer = scheduler.after(context.silenceTimeout(), this::closeIfSilent);
+        LOG.log(Level.INFO, "connected to server {0} at {1}", link.name(), opened.remote());
         link.sendPending(this);
     }
 
-    void setUp(String call, byte[] bytes) {
-        sent.put(call, new SentMessage(scheduler.now(), bytes));
-        link.outstanding().sent(call, this);
+    void sendRequest(String callId, byte[] bytes) {
+        sentRequests.put(callId, new SentMessage(scheduler.now(), bytes));
+        link.outstanding().sent(callId, this);
         write(bytes);
     }
 
-    /** Withdraws a set-up, or tells the server that it is given up, or breaks the connection off. */
-    void giveUp(String call) {
-        SentMessage setUp = sent.remove(call);
-        Connection.Withdrawal withdrawal = connection.cancelWrite(setUp.bytes());
+    /** Withdraws a request that was not sent, notifies the server of one that was, or else aborts the connection. */
+    void cancel(String callId) {
+        SentMessage request = sentRequests.remove(callId);
+        Connection.Withdrawal withdrawal = connection.cancelWrite(request.bytes());
         if (withdrawal == Connection.Withdrawal.WITHDRAWN) {
             return;
         }
         if (withdrawal == Connection.Withdrawal.BOUND || !isWritable()) {
-            ending = true;
+            isClosing = true;
             connection.abort(CloseReason.OVERFLOW);
             return;
         }
-        tellGivenUp(call);
-        overtakenCheck.look(setUp.sentAt());
+        sendCancellation(callId);
+        overtakenCheck.check(request.sentAt());
     }
 
-    /** Tells the server that an attempt is given up, sent here or elsewhere; forgets those of calls long past. */
-    void tellGivenUp(String call) {
+    /** Notifies the server that an attempt sent here or on another connection is cancelled; drops records of old calls. */
+    void sendCancellation(String callId) {
         Instant now = scheduler.now();
-        givenUp.values().removeIf(at -> at.isBefore(now.minus(longestPatience)));
-        givenUp.put(call, now);
-        write(overRelease(call));
+        cancelledAt.values().removeIf(at -> at.isBefore(now.minus(longestDeadline)));
+        cancelledAt.put(callId, now);
+        write(cancellation(callId));
         connection.flush();
     }
 
     /**
-     * The server drains. What has not begun to leave is free to go elsewhere; what would leave whenever the server reads
-     * again is broken off.
+     * The server drains. Requests that have not begun to be sent may go to another server; if others would still be sent
+     * once the server reads again, the connection is aborted.
      */
-    void withdrawSetUps() {
-        if (!isUp()) {
+    void withdrawRequests() {
+        if (!isOpen()) {
             return;
         }
         boolean isAnyBound = false;
-        for (Map.Entry<String, SentMessage> setUp : List.copyOf(sent.entrySet())) {
-            String call = setUp.getKey();
-            if (connection.cancelWrite(setUp.getValue().bytes()) == Connection.Withdrawal.WITHDRAWN) {
-                sent.remove(call);
-                link.outstanding().remove(call);
-                link.setUpEnded(call, Outcome.UNREACHABLE);
+        for (Map.Entry<String, SentMessage> request : List.copyOf(sentRequests.entrySet())) {
+            String callId = request.getKey();
+            if (connection.cancelWrite(request.getValue().bytes()) == Connection.Withdrawal.WITHDRAWN) {
+                sentRequests.remove(callId);
+                link.outstanding().remove(callId);
+                link.serverReleased(callId, Outcome.UNREACHABLE);
             } else {
                 isAnyBound = true;
             }
         }
         if (isAnyBound && connection.isBlocked()) {
-            end(CloseReason.OVERFLOW);
+            close(CloseReason.OVERFLOW);
         }
     }
 
-    /** Releases a call; should nothing more be received before the connection ends, it is released on the next too. */
-    void release(String call, byte[] bytes) {
-        unconfirmedReleases.add(call, new SentMessage(scheduler.now(), bytes));
+    /** Releases a call; if nothing more is received before the connection ends, the release is repeated on the next one. */
+    void release(String callId, byte[] bytes) {
+        unconfirmedReleases.add(callId, new SentMessage(scheduler.now(), bytes));
         write(bytes);
     }
 
-    /** Releases calls, in portions. */
+    /** Releases calls in batches. */
     void releaseAll(Map<String, byte[]> releases) {
         int written = 0;
         for (Map.Entry<String, byte[]> release : releases.entrySet()) {
             release(release.getKey(), release.getValue());
-            if (++written % RELEASES_AT_ONCE == 0) {
+            if (++written % RELEASES_PER_FLUSH == 0) {
                 connection.flush();
             }
         }
     }
 
-    /** Guards against set-ups that cross the other side's close of a connection that idled too long. */
+    /** Closes an idle connection before the other side's idle timeout, so that no request crosses the other side's close. */
     private void closeIfIdle() {
-        Duration left = Duration.between(scheduler.now(), lastUsed.plus(idleTimeout));
-        if (left.compareTo(Duration.ZERO) > 0 || isBusy() || link.isDraining()) {
-            idleTimer = scheduler.after(left.compareTo(IDLE_RECHECK) > 0 ? left : IDLE_RECHECK, this::closeIfIdle);
+        Duration remaining = Duration.between(scheduler.now(), lastUsed.plus(idleTimeout));
+        if (remaining.compareTo(Duration.ZERO) > 0 || isBusy() || link.isDraining()) {
+            idleTimer = scheduler.after(remaining.compareTo(IDLE_RECHECK) > 0 ? remaining : IDLE_RECHECK, this::closeIfIdle);
         } else {
-            end(CloseReason.IDLE);
+            close(CloseReason.IDLE);
         }
     }
 
     /**
-     * Guards against calls left standing, and set-ups sent for nothing, at a machine that vanished: it gives no sign, and
-     * its connection stays open. A new connection shows whether it is there.
+     * Closes a silent connection. A machine that vanishes leaves its connections open without any sign: its calls would
+     * count as established for good, and requests sent to it would be lost. A new connection shows whether it still exists.
      */
     private void closeIfSilent() {
-        Duration left = Duration.between(scheduler.now(), lastReceived.plus(context.longestSilence()));
-        if (left.compareTo(Duration.ZERO) > 0) {
-            silenceTimer = scheduler.after(left, this::closeIfSilent);
-        } else if (reports.hasStarted() && !link.isDraining()) {
-            end(CloseReason.SILENT);
+        Duration remaining = Duration.between(scheduler.now(), lastReceived.plus(context.silenceTimeout()));
+        if (remaining.compareTo(Duration.ZERO) > 0) {
+            silenceTimer = scheduler.after(remaining, this::closeIfSilent);
+        } else if (reportIntervals.hasStarted() && !link.isDraining()) {
+            close(CloseReason.SILENT);
         } else {
-            silenceTimer = scheduler.after(context.longestSilence(), this::closeIfSilent);
+            silenceTimer = scheduler.after(context.silenceTimeout(), this::closeIfSilent);
         }
     }
 
-    private void lookIfOvertaken() {
-        if (isUp() && isBusy()) {
-            overtakenCheck.look(sent.values().iterator().next().sentAt());
+    private void checkOvertaken() {
+        if (isOpen() && isBusy()) {
+            overtakenCheck.check(sentRequests.values().iterator().next().sentAt());
         }
     }
 
-    /** What the server has not been heard to answer here is given up on another connection, ahead of the next attempts. */
-    private void endAsOvertaken() {
-        if (isUp()) {
-            link.giveUpBeside(this, sent.keySet());
-            link.giveUpBeside(this, givenUp.keySet().stream().filter(call -> !link.isOutOrStands(call)).toList());
-            end(CloseReason.OVERTAKEN);
+    /** Cancels, on another connection and ahead of the calls' next attempts, those not known to be answered, and closes. */
+    private void closeAsOvertaken() {
+        if (isOpen()) {
+            link.cancelElsewhere(this, sentRequests.keySet());
+            link.cancelElsewhere(this, cancelledAt.keySet().stream().filter(callId -> !link.isCallActive(callId)).toList());
+            close(CloseReason.OVERTAKEN);
         }
     }
 
     /**
-     * Ends the connection. One that is merely not needed any more is closed in order, and read to its end where the end of a
-     * call that stands may cross the close. Others are broken off at once, since what is out on them waits for their end.
+     * Closes the connection: gracefully if it is merely not needed any more, and still reading if the end of an established
+     * call may arrive on it; else by an immediate abort, since the calls of its outstanding requests wait for these to end.
      */
-    void end(CloseReason why) {
-        ending = true;
-        if (!why.isVoluntary()) {
-            connection.abort(why);
-        } else if (link.hasStandingCalls()) {
-            connection.finish(why);
+    void close(CloseReason reason) {
+        isClosing = true;
+        if (!reason.isVoluntary()) {
+            connection.abort(reason);
+        } else if (link.hasEstablishedCalls()) {
+            connection.finish(reason);
         } else {
-            connection.close(why);
+            connection.close(reason);
         }
     }
 
@@ -273,96 +273,96 @@
     public void received(ByteBuffer bytes) {
         lastUsed = scheduler.now();
         try {
-            frameDeadline.bytesReceived(assembler.feed(bytes, frame -> message(Message.read(frame))), assembler.begun());
+            frameDeadline.bytesReceived(assembler.feed(bytes, frame -> handle(Message.read(frame))), assembler.begun());
         } catch (BadInput e) {
-            LOG.log(Level.WARNING, "server {0} closed for bad input: {1}", link.name(), e.getMessage());
+            LOG.log(Level.WARNING, "connection to server {0} closed for invalid input: {1}", link.name(), e.getMessage());
             bytes.position(bytes.limit());
-            end(CloseReason.PROTOCOL_ERROR);
+            close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
-    private void message(Message message) {
+    private void handle(Message message) {
         lastReceived = scheduler.now();
         unconfirmedReleases.confirm(lastReceived.minus(limits.firstLines()));
         switch (message.type) {
-            case Message.ANSWER -> answer(message.id(), message.value(Message.DESCRIPTION));
-            case Message.RELEASE -> released(message.id(), message);
-            case Message.RELEASE_HEARD -> givenUp.remove(message.id());   // nothing more comes of what was given up
+            case Message.ANSWER -> handleAnswer(message.id(), message.value(Message.DESCRIPTION));
+            case Message.RELEASE -> handleRelease(message.id(), message);
+            case Message.RELEASE_HEARD -> cancelledAt.remove(message.id());   // no answer to the cancelled attempt follows
             case Message.PROGRESS, Message.TEST_RESULT -> {}
             case Message.GROUP_STATE -> {
-                reports.reported(scheduler.now());
+                reportIntervals.reported(scheduler.now());
                 link.capacityReported(this, message.text(Message.STATE));
             }
-            default -> throw new BadInput("a message of type " + message.type);
+            default -> throw new BadInput("unexpected message of type " + message.type);
         }
     }
 
-    private void answer(String call, byte[] description) {
-        if (isOfEarlierAttempt(call)) {
+    private void handleAnswer(String callId, byte[] description) {
+        if (isOfEarlierAttempt(callId)) {
             return;
         }
-        if (description == null && sent.containsKey(call)) {
-            unusable(call, "no description");
+        if (description == null && sentRequests.containsKey(callId)) {
+            handleInvalid(callId, "no description");
             return;
         }
-        setUpEnded(call);
-        link.answered(call, description == null ? NOTHING : description);
+        requestEnded(callId);
+        link.answered(callId, description == null ? EMPTY : description);
     }
 
-    private void released(String call, Message message) {
-        if (isOfEarlierAttempt(call)) {
+    private void handleRelease(String callId, Message message) {
+        if (isOfEarlierAttempt(callId)) {
             return;
         }
-        if (!message.hasCause() && (sent.containsKey(call) || link.stands(call))) {
-            unusable(call, "no cause of one byte");
+        if (!message.hasCause() && (sentRequests.containsKey(callId) || link.isEstablished(callId))) {
+            handleInvalid(callId, "no valid cause");
             return;
         }
-        setUpEnded(call);
-        link.setUpEnded(call, Cause.ending(message.cause(), message.text(Message.NOTE)));
+        requestEnded(callId);
+        link.serverReleased(callId, Cause.outcomeOf(message.cause(), message.text(Message.NOTE)));
     }
 
     /**
-     * Guards a call's attempt that is out on another connection to this server, or waits for one: what is said here is of
-     * an earlier one, which was given up here, and another attempt would be sent beside it.
+     * Whether a message belongs to an earlier attempt, cancelled here: the current one is outstanding on another connection
+     * or waits for one. Taken for the current attempt's, the message could cause a further attempt to be sent beside it.
      */
-    private boolean isOfEarlierAttempt(String call) {
-        givenUp.remove(call);
-        return link.outstanding().sessionOf(call)
+    private boolean isOfEarlierAttempt(String callId) {
+        cancelledAt.remove(callId);
+        return link.outstanding().sessionOf(callId)
                 .map(current -> current != this)
-                .orElseGet(() -> link.hasPendingSetUp(call));
+                .orElseGet(() -> link.hasPendingRequest(callId));
     }
 
     /**
-     * Ends one call by a message that is whole and can't be used; the others on this connection have no part in it. The
-     * server may hold the call's place: it is released.
+     * Ends one call for which a well-formed but invalid message was received; the other calls on this connection are not
+     * affected. The call is released, as the server may hold a slot for it.
      */
-    private void unusable(String call, String why) {
-        LOG.log(Level.WARNING, "server {0}: what it said of call {1} can''t be used: {2}", link.name(), call, why);
-        setUpEnded(call);
-        release(call, overRelease(call));
-        link.setUpEnded(call, Outcome.RESET);
+    private void handleInvalid(String callId, String reason) {
+        LOG.log(Level.WARNING, "server {0}: invalid message for call {1}: {2}", link.name(), callId, reason);
+        requestEnded(callId);
+        release(callId, cancellation(callId));
+        link.serverReleased(callId, Outcome.RESET);
     }
 
-    private static byte[] overRelease(String call) {
-        return new Message(Message.RELEASE, call).withCause(Cause.OVER).bytes();
+    private static byte[] cancellation(String callId) {
+        return new Message(Message.RELEASE, callId).withCause(Cause.OVER).bytes();
     }
 
-    /** A set-up of this connection has come to its end, and shows what the server has got to. */
-    private void setUpEnded(String call) {
-        SentMessage setUp = sent.remove(call);
-        if (setUp != null) {
-            link.outstanding().answered(call, setUp.sentAt());
-            link.sessions().forEach(ServerSession::lookIfOvertaken);
+    /** A request on this connection has ended, which shows how far the server has processed its requests. */
+    private void requestEnded(String callId) {
+        SentMessage request = sentRequests.remove(callId);
+        if (request != null) {
+            link.outstanding().answered(callId, request.sentAt());
+            link.sessions().forEach(ServerSession::checkOvertaken);
         }
     }
 
-    /** The server has gone from the list: what is out here is free to go elsewhere. */
-    void delist() {
+    /** The server was removed from the list: outstanding requests may go to another server. */
+    void abortDelisted() {
         stopTimers();
         if (connection != null) {
             connection.abort(CloseReason.DELISTED);
         }
-        endSetUps(CloseReason.DELISTED);
+        failRequests(CloseReason.DELISTED);
     }
 
     private void stopTimers() {
@@ -374,12 +374,12 @@
         }
     }
 
-    /** What was out here has come to its end with the connection. */
-    void endSetUps(CloseReason end) {
-        List<String> broken = List.copyOf(sent.keySet());
-        sent.clear();
-        broken.forEach(link.outstanding()::remove);
-        broken.forEach(call -> link.setUpEnded(call, end.outcome()));
+    /** Ends the outstanding requests with the connection. */
+    void failRequests(CloseReason reason) {
+        List<String> failed = List.copyOf(sentRequests.keySet());
+        sentRequests.clear();
+        failed.forEach(link.outstanding()::remove);
+        failed.forEach(callId -> link.serverReleased(callId, reason.outcome()));
     }
 
     /** The releases that the server may not have read. */
@@ -388,12 +388,12 @@
     }
 
     @Override
-    public void closed(CloseReason end) {
+    public void closed(CloseReason reason) {
         link.remove(this);
         stopTimers();
         if (!link.isClosed()) {
-            LOG.log(Level.INFO, "server {0} is down: {1}", link.name(), end);
-            link.closed(this, end);
+            LOG.log(Level.INFO, "connection to server {0} closed: {1}", link.name(), reason);
+            link.closed(this, reason);
         }
     }
 }
--- a/daemon/src/main/java/pathlane/platform/UnconfirmedReleases.java
+++ b/daemon/src/main/java/pathlane/platform/UnconfirmedReleases.java
@@ -6,22 +6,22 @@
 import java.util.function.BiConsumer;
 
 /**
- * Releases that were written to a connection and that the server may not have read: nothing has been received since. Once
- * the connection has ended they are sent on the next one too, so that no call stands for good.
+ * Releases that were written to a connection and that the server may not have read, as nothing has been received since. When
+ * the connection ends they are sent again on the next one, so that no call stays established indefinitely.
  */
 final class UnconfirmedReleases {
 
     private final Map<String, SentMessage> releases = new LinkedHashMap<>();
-    private final int most;
+    private final int maxEntries;
 
-    /** Remembers so many at the most. */
-    UnconfirmedReleases(int most) {
-        this.most = most;
+    /** Creates an empty collection; releases beyond {@code maxEntries} are not remembered. */
+    UnconfirmedReleases(int maxEntries) {
+        this.maxEntries = maxEntries;
     }
 
-    void add(String call, SentMessage release) {
-        if (releases.size() < most) {
-            releases.put(call, release);
+    void add(String callId, SentMessage release) {
+        if (releases.size() < maxEntries) {
+            releases.put(callId, release);
         }
     }
 
@@ -31,6 +31,6 @@
     }
 
     void forEach(BiConsumer<String, byte[]> receiver) {
-        releases.forEach((call, release) -> receiver.accept(call, release.bytes()));
+        releases.forEach((callId, release) -> receiver.accept(callId, release.bytes()));
     }
 }
--- a/daemon/src/main/java/pathlane/platform/UnknownReleases.java
+++ b/daemon/src/main/java/pathlane/platform/UnknownReleases.java
@@ -8,53 +8,53 @@
 import pathlane.transport.RateLimiter;
 
 /**
- * Releases of calls that are not known here, of one caller's connection. Each session server hears of each of them, so
- * they are passed on at a bounded rate; what comes faster waits, since a call whose release is lost stands for good. On the
- * loop's thread.
+ * Releases, received on one client connection, of calls that this controller does not know. Each of them is forwarded to
+ * every session server, so the rate is limited. Releases beyond the rate are queued, since a call whose release is lost
+ * stays established indefinitely. On the loop's thread.
  */
 final class UnknownReleases {
 
-    /** Bounds the memory of one connection; what is beyond it is dropped. */
-    private static final int MOST_WAITING = 256;
+    /** Limits the memory of one connection; releases beyond it are dropped. */
+    private static final int MAX_QUEUED = 256;
 
-    private final RateLimiter limit;
-    private final Duration every;
+    private final RateLimiter limiter;
+    private final Duration interval;
     private final Scheduler scheduler;
     private final Consumer<String> receiver;
-    private final Queue<String> waiting = new ArrayDeque<>();
+    private final Queue<String> queue = new ArrayDeque<>();
 
     /**
-     * Passes nothing on yet.
+     * Creates an empty queue.
      *
-     * @param atOnce releases that are passed on at once
-     * @param every one more is passed on each time so long has passed
-     * @param receiver is given the id of each call, in the order in which they came
+     * @param burst releases that are forwarded at once
+     * @param interval after which one more release may be forwarded
+     * @param receiver is passed the id of each call, in the order of arrival
      */
-    UnknownReleases(int atOnce, Duration every, Scheduler scheduler, Consumer<String> receiver) {
-        this.limit = new RateLimiter(atOnce, every, scheduler);
-        this.every = every;
+    UnknownReleases(int burst, Duration interval, Scheduler scheduler, Consumer<String> receiver) {
+        this.limiter = new RateLimiter(burst, interval, scheduler);
+        this.interval = interval;
         this.scheduler = scheduler;
         this.receiver = receiver;
     }
 
-    /** A release came. */
-    void add(String call) {
-        if (waiting.isEmpty() && limit.tryAcquire()) {
-            receiver.accept(call);
-        } else if (waiting.size() < MOST_WAITING) {
-            waiting.add(call);
-            if (waiting.size() == 1) {
-                scheduler.after(every, this::passOn);
+    /** Forwards a release that was received, now or as soon as the rate allows. */
+    void add(String callId) {
+        if (queue.isEmpty() && limiter.tryAcquire()) {
+            receiver.accept(callId);
+        } else if (queue.size() < MAX_QUEUED) {
+            queue.add(callId);
+            if (queue.size() == 1) {
+                scheduler.after(interval, this::forwardQueued);
             }
         }
     }
 
-    private void passOn() {
-        while (!waiting.isEmpty() && limit.tryAcquire()) {
-            receiver.accept(waiting.poll());
+    private void forwardQueued() {
+        while (!queue.isEmpty() && limiter.tryAcquire()) {
+            receiver.accept(queue.poll());
         }
-        if (!waiting.isEmpty()) {
-            scheduler.after(every, this::passOn);
+        if (!queue.isEmpty()) {
+            scheduler.after(interval, this::forwardQueued);
         }
     }
 }
--- a/daemon/src/test/java/pathlane/platform/ReportPeriodTest.java
+++ b/daemon/src/test/java/pathlane/platform/ReportPeriodTest.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How often lines are told is learnt, and no single wait changes it. */
+/** The report period is learnt from the intervals between reports, and no single interval changes a known period. */
 class ReportPeriodTest {
 
     private final ReportPeriod period = new ReportPeriod(ms(1000), ms(2500));
@@ -17,16 +17,16 @@
     }
 
     @Test
-    void beforeAnyIsSeenTheLeastIsTakenAndAFirstAloneSaysOnlySoMuch() {
+    void startsFromTheMinimumAndLimitsAFirstInterval() {
         assertEquals(ms(1000), period.length());
-        assertFalse(period.isSeen());
+        assertFalse(period.hasMeasurement());
         period.reported(ms(9000), null);
         assertEquals(ms(2500), period.length());
-        assertTrue(period.isSeen());
+        assertTrue(period.hasMeasurement());
     }
 
     @Test
-    void aLongerPeriodIsLearntAndChanceIsNot() {
+    void learnsALongerPeriodAndIgnoresJitter() {
         period.reported(ms(1900), null);
         assertEquals(ms(1900), period.length());
         period.reported(ms(1930), ms(1900));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aPathThatWasBrokenOnceLengthensNothing() {
+    void anIntervalLengthenedByABrokenPathIsIgnored() {
         period.reported(ms(1000), null);
         period.reported(ms(6000), ms(1000));
         assertEquals(ms(1000), period.length());
--- a/net/src/main/java/pathlane/net/EventLoop.java
+++ b/net/src/main/java/pathlane/net/EventLoop.java
@@ -9,21 +9,21 @@
 import java.util.concurrent.TimeUnit;
 import pathlane.core.Scheduler;
 
-/** The one thread on which everything runs, and its sense of time. */
+/** The single-threaded event loop on which all protocol and call handling runs, with its clock and timers. */
 public final class EventLoop implements Scheduler {
 
-    private static final Duration BEAT = Duration.ofMillis(25);
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(25);
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            WholeMillis.around(NioIoHandler.newFactory()));
+            MillisRoundingIoHandler.wrap(NioIoHandler.newFactory()));
     private final io.netty.channel.EventLoop loop = group.next();
-    private Instant latest = Instant.EPOCH;
-    private long beatAt;
+    private Instant lastNow = Instant.EPOCH;
+    private long lastHeartbeatNanos;
 
-    /** Starts the beat by which own stalls are noticed. */
+    /** Starts the loop and the periodic heartbeat by which {@link #lag} detects that the loop was blocked. */
     public EventLoop() {
-        beatAt = System.nanoTime();
-        loop.scheduleAtFixedRate(() -> beatAt = System.nanoTime(), 0, BEAT.toNanos(), TimeUnit.NANOSECONDS);
+        lastHeartbeatNanos = System.nanoTime();
+        loop.scheduleAtFixedRate(() -> lastHeartbeatNanos = System.nanoTime(), 0, HEARTBEAT_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     io.netty.channel.EventLoop netty() {
@@ -33,15 +33,15 @@
     @Override
     public Instant now() {
         Instant now = Instant.now();
-        latest = now.isAfter(latest) ? now : latest;
-        return latest;
+        lastNow = now.isAfter(lastNow) ? now : lastNow;
+        return lastNow;
     }
 
     @Override
     public Duration lag() {
-        // What is read before an overdue beat came while the loop could not look.
-        Duration late = Duration.ofNanos(System.nanoTime() - beatAt).minus(BEAT.multipliedBy(2));
-        return late.isNegative() ? Duration.ZERO : late;
+        // Input that is read before an overdue heartbeat runs may have waited for as long as the heartbeat is overdue.
+        Duration overdue = Duration.ofNanos(System.nanoTime() - lastHeartbeatNanos).minus(HEARTBEAT_INTERVAL.multipliedBy(2));
+        return overdue.isNegative() ? Duration.ZERO : overdue;
     }
 
     @Override
@@ -55,7 +55,7 @@
         loop.execute(task);
     }
 
-    /** Ends the loop; what is open is dropped. */
+    /** Stops the loop; open connections are dropped. */
     public void close() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
--- a/net/src/main/java/pathlane/net/Network.java
+++ b/net/src/main/java/pathlane/net/Network.java
@@ -33,29 +33,29 @@
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
 
-/** Listens and dials for both fronts, on one event loop. */
+/** Accepts and opens TCP connections and sends datagrams, all on one event loop. */
 public final class Network implements Connector, Datagrams {
 
     private static final int BACKLOG = 512;
-    /** Connections accepted at once, each with a descriptor before it is known whether there is room for it. */
-    private static final int MOST_ACCEPTS = 8;
-    private static final int FIRST_READ = 512;
-    private static final int USUAL_READ = 2048;
-    private static final int LONGEST_READ = 16 * 1024;
-    /** Reads from one caller before the others have their turn. */
-    private static final int MOST_READS = 2;
-    /** What may wait to be written to a server or a bus: four of the longest messages, at hundreds of servers at once. */
-    private static final long MOST_UNWRITTEN = 64 * 1024;
+    /** Accepted in one turn: each holds a descriptor before it is checked against the connection limit. */
+    private static final int MAX_ACCEPTS_PER_TURN = 8;
+    private static final int MIN_READ_BYTES = 512;
+    private static final int INITIAL_READ_BYTES = 2048;
+    private static final int MAX_READ_BYTES = 16 * 1024;
+    /** Reads from one accepted connection in one turn, before the other connections are read. */
+    private static final int MAX_READS_PER_TURN = 2;
+    /** The default for outgoing connections, of which there may be hundreds: four messages of maximum size. */
+    private static final long MAX_UNSENT_BYTES = 64 * 1024;
     private final EventLoop loop;
     private final RateLimitedLog limitedLog;
-    /** Connections that are up or dialled, those that were accepted among them. On the loop's thread. */
-    private final Set<Driver> drivers = new HashSet<>();
-    private final Set<Driver> accepted = new HashSet<>();
-    private final List<Channel> listening = new ArrayList<>();
-    /** How many connections were ever accepted. */
-    private long taken;
-    /** The one socket that datagrams leave by, once there are any. */
-    private ChannelFuture datagrams;
+    /** All connections, open or connecting, the accepted ones included. On the loop's thread. */
+    private final Set<NettyConnection> connections = new HashSet<>();
+    private final Set<NettyConnection> acceptedConnections = new HashSet<>();
+    private final List<Channel> listeningChannels = new ArrayList<>();
+    /** Accepted since the start. */
+    private long acceptedCount;
+    /** The socket from which all datagrams are sent; opened when the first one is. */
+    private ChannelFuture datagramSocket;
 
     public Network(EventLoop loop) {
         this.loop = loop;
@@ -63,38 +63,38 @@
     }
 
     /**
-     * Listens on this address only; each connection gets a state machine of its own, up to as many as the limit allows.
-     * Off the loop's thread.
+     * Listens on an address; each accepted connection gets a protocol instance of its own. Must not be called on the loop's
+     * thread.
      *
-     * @param most connections at once
-     * @param mostUnwritten bytes that may wait to be written on one of them; more closes it
-     * @return the address, with the port that was given out where none was asked for
-     * @throws IllegalArgumentException where the address can't be had
+     * @param maxConnections open at once on this address
+     * @param maxUnsentBytes on one connection; it is closed when more is waiting to be sent
+     * @return the bound address, with the assigned port if the requested port was 0
+     * @throws IllegalArgumentException if the address can't be bound
      */
-    public InetSocketAddress listen(InetSocketAddress address, Supplier<Protocol> protocols, int most,
-            long mostUnwritten) {
-        ConnectionLimiter admission = new ConnectionLimiter(most);
+    public InetSocketAddress listen(InetSocketAddress address, Supplier<Protocol> protocols, int maxConnections,
+            long maxUnsentBytes) {
+        ConnectionLimiter limiter = new ConnectionLimiter(maxConnections);
         ServerBootstrap server = new ServerBootstrap().group(loop.netty()).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MOST_ACCEPTS))
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_TURN))
                 .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
                 .childOption(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
-                // Reads until nothing is there: a caller's close is read with what it wrote just before.
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(FIRST_READ, USUAL_READ,
-                        LONGEST_READ).respectMaybeMoreData(false).maxMessagesPerRead(MOST_READS))
+                // Reads until no input is left, so that a client's close is seen together with what it sent just before.
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES,
+                        MAX_READ_BYTES).respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        taken++;
+                        acceptedCount++;
                         Protocol protocol = protocols.get();
-                        Driver driver = new Driver(protocol, mostUnwritten, limitedLog);
-                        if (admission.isFull()) {
-                            // Guards a connection that seems idle, with a set-up in it that has not been read yet: what
-                            // is there by now is read before one of them gives way.
-                            channel.eventLoop().execute(() -> admit(admission, protocol, driver, channel));
+                        NettyConnection connection = new NettyConnection(protocol, maxUnsentBytes, limitedLog);
+                        if (limiter.isFull()) {
+                            // An open connection that seems idle may hold a request that has not been read yet: all
+                            // input that has arrived is read before an idle connection is evicted.
+                            channel.eventLoop().execute(() -> admit(limiter, protocol, connection, channel));
                         } else {
-                            admit(admission, protocol, driver, channel);
+                            admit(limiter, protocol, connection, channel);
                         }
                     }
                 });
@@ -105,105 +105,105 @@
         bound.channel().pipeline().addLast(new ChannelInboundHandlerAdapter() {
             @Override
             public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                // The acceptor before this one has stopped accepting for a second: what comes waits in the backlog.
+                // Netty's acceptor, earlier in the pipeline, pauses for a second: new connections wait in the backlog.
                 limitedLog.warn("no connection can be accepted now: {0}", cause.getMessage());
             }
         });
-        loop.execute(() -> listening.add(bound.channel()));
+        loop.execute(() -> listeningChannels.add(bound.channel()));
         return (InetSocketAddress) bound.channel().localAddress();
     }
 
-    private void admit(ConnectionLimiter admission, Protocol protocol, Driver driver, SocketChannel channel) {
+    private void admit(ConnectionLimiter limiter, Protocol protocol, NettyConnection connection, SocketChannel channel) {
         if (!channel.isActive()) {
-            return;   // it has gone again, unheard
+            return;   // closed before anything was read
         }
-        if (!admission.tryAdmit(protocol, driver::close)) {
-            limitedLog.warn("connection from {0} turned away: {1} are open, all with calls",
-                    channel.remoteAddress(), Integer.toString(admission.size()));
+        if (!limiter.tryAdmit(protocol, connection::close)) {
+            limitedLog.warn("connection from {0} rejected: {1} connections are open, all with open calls",
+                    channel.remoteAddress(), Integer.toString(limiter.size()));
             channel.close();
             protocol.closed(CloseReason.LIMIT_REACHED);
             return;
         }
-        accepted.add(driver);
+        acceptedConnections.add(connection);
         channel.closeFuture().addListener(closed -> {
-            admission.closed(protocol);
-            accepted.remove(driver);
+            limiter.closed(protocol);
+            acceptedConnections.remove(connection);
         });
-        track(driver, channel);
-        channel.pipeline().addLast(driver);
-        driver.begin(channel);
+        track(connection, channel);
+        channel.pipeline().addLast(connection);
+        connection.activate(channel);
         channel.config().setAutoRead(true);
     }
 
-    private void track(Driver driver, Channel channel) {
-        drivers.add(driver);
-        channel.closeFuture().addListener(closed -> drivers.remove(driver));
+    private void track(NettyConnection connection, Channel channel) {
+        connections.add(connection);
+        channel.closeFuture().addListener(closed -> connections.remove(connection));
     }
 
-    /** How many connections were ever accepted. On the loop's thread. */
+    /** The number of connections accepted since the start. On the loop's thread. */
     public long accepted() {
-        return taken;
+        return acceptedCount;
     }
 
-    /** Whether all that was written anywhere has left. On the loop's thread. */
+    /** Whether no connection has unsent bytes. On the loop's thread. */
     public boolean hasWritten() {
-        return drivers.stream().allMatch(driver -> driver.unwritten() == 0);
+        return connections.stream().allMatch(connection -> connection.unsentBytes() == 0);
     }
 
-    /** Takes nothing more from those who dialled here, and ends their connections in order. On the loop's thread. */
+    /** Stops listening, drops further input on accepted connections and closes them gracefully. On the loop's thread. */
     public void partFromCallers() {
-        listening.forEach(Channel::close);
-        List.copyOf(accepted).forEach(driver -> driver.part(CloseReason.SHUTDOWN));
+        listeningChannels.forEach(Channel::close);
+        List.copyOf(acceptedConnections).forEach(connection -> connection.finishDroppingInput(CloseReason.SHUTDOWN));
     }
 
-    /** Whether nobody who dialled here is connected any more. On the loop's thread. */
+    /** Whether all accepted connections are closed. On the loop's thread. */
     public boolean hasParted() {
-        return accepted.isEmpty();
+        return acceptedConnections.isEmpty();
     }
 
     @Override
     public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
-        connect(address, timeout, protocol, MOST_UNWRITTEN);
+        connect(address, timeout, protocol, MAX_UNSENT_BYTES);
     }
 
-    /** A dialer whose connections may have so many bytes waiting to be written. */
-    public Connector dialer(long mostUnwritten) {
-        return (address, timeout, protocol) -> connect(address, timeout, protocol, mostUnwritten);
+    /** A connector whose connections are closed when more than this many bytes are waiting to be sent. */
+    public Connector dialer(long maxUnsentBytes) {
+        return (address, timeout, protocol) -> connect(address, timeout, protocol, maxUnsentBytes);
     }
 
-    private void connect(InetSocketAddress address, Duration timeout, Protocol protocol, long mostUnwritten) {
-        Driver driver = new Driver(protocol, mostUnwritten, limitedLog);
+    private void connect(InetSocketAddress address, Duration timeout, Protocol protocol, long maxUnsentBytes) {
+        NettyConnection connection = new NettyConnection(protocol, maxUnsentBytes, limitedLog);
         Bootstrap client = new Bootstrap().group(loop.netty()).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeout.toMillis()))
                 .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(FIRST_READ, USUAL_READ, LONGEST_READ))
+                        new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES))
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        track(driver, channel);
-                        channel.pipeline().addLast(driver);
+                        track(connection, channel);
+                        channel.pipeline().addLast(connection);
                     }
                 });
-        loop.execute(() -> client.connect(address).addListener(done -> {
-            if (!done.isSuccess()) {
-                protocol.closed(end(done.cause()));
+        loop.execute(() -> client.connect(address).addListener(attempt -> {
+            if (!attempt.isSuccess()) {
+                protocol.closed(closeReason(attempt.cause()));
             }
         }));
     }
 
     @Override
     public void send(InetSocketAddress to, byte[] datagram) {
-        if (datagrams == null) {
-            datagrams = new Bootstrap().group(loop.netty()).channel(NioDatagramChannel.class)
+        if (datagramSocket == null) {
+            datagramSocket = new Bootstrap().group(loop.netty()).channel(NioDatagramChannel.class)
                     .handler(new ChannelInboundHandlerAdapter()).bind(0);
         }
-        datagrams.addListener(bound -> datagrams.channel()
+        datagramSocket.addListener(bound -> datagramSocket.channel()
                 .writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to)));
     }
 
-    private static CloseReason end(Throwable cause) {
+    private static CloseReason closeReason(Throwable cause) {
         if (cause instanceof ConnectTimeoutException) {
             return CloseReason.CONNECT_TIMED_OUT;
         }
--- a/net/src/main/java/pathlane/net/package-info.java
+++ b/net/src/main/java/pathlane/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sockets: one event loop, listening, dialling and datagrams, and a driver for each connection that feeds a protocol's state
- * machine. Knows no protocol and no configuration file.
+ * Network I/O on one event loop: listening, connecting and datagrams. Each connection is driven by an adapter that passes
+ * input to a protocol's state machine. Independent of any protocol and of configuration files.
  */
 package pathlane.net;
--- a/net/src/test/java/pathlane/net/WholeMillisTest.java
+++ b/net/src/test/java/pathlane/net/MillisRoundingIoHandlerTest.java
@@ -11,34 +11,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A wait that ends before its timer is due has the loop turn on the spot. */
-class WholeMillisTest {
+/** Guards against waits that end before the next timer is due: the event loop would spin until it is. */
+class MillisRoundingIoHandlerTest {
 
     @Test
-    void noWaitEndsBeforeItsTimerIsDue() {
+    void waitsAreRoundedUpToFullMilliseconds() {
         long[] delays = {1, 499_999, 500_000, 1_000_000, 1_000_001, 24_400_000, 24_600_000};
-        List<Long> asked = new ArrayList<>();
+        List<Long> waits = new ArrayList<>();
         for (long delay : delays) {
-            run(delay, asked);
+            run(delay, waits);
         }
-        assertEquals(List.of(1_000_000L, 1_000_000L, 1_000_000L, 1_000_000L, 2_000_000L, 25_000_000L, 25_000_000L), asked);
+        assertEquals(List.of(1_000_000L, 1_000_000L, 1_000_000L, 1_000_000L, 2_000_000L, 25_000_000L, 25_000_000L), waits);
     }
 
     @Test
-    void whatIsDueAndWhatIsNeverStay() {
-        List<Long> asked = new ArrayList<>();
-        run(0, asked);
-        run(-5, asked);
-        run(Long.MAX_VALUE, asked);
-        assertEquals(List.of(0L, -5L, Long.MAX_VALUE), asked);
+    void dueAndInfiniteWaitsStayUnchanged() {
+        List<Long> waits = new ArrayList<>();
+        run(0, waits);
+        run(-5, waits);
+        run(Long.MAX_VALUE, waits);
+        assertEquals(List.of(0L, -5L, Long.MAX_VALUE), waits);
     }
 
-    /** What the handler within is told of a next timer that is so far away. */
-    private static void run(long delay, List<Long> asked) {
-        IoHandler within = new IoHandler() {
+    /** Runs the handler once with a timer due after {@code delayNanos} and records the wait that its delegate receives. */
+    private static void run(long delayNanos, List<Long> waits) {
+        IoHandler delegate = new IoHandler() {
             @Override
             public int run(IoHandlerContext context) {
-                asked.add(context.delayNanos(System.nanoTime()));
+                waits.add(context.delayNanos(System.nanoTime()));
                 return 0;
             }
 
@@ -55,9 +55,9 @@
                 return true;
             }
         };
-        IoHandler around = WholeMillis.around(executor -> within).newHandler(null);
-        assertNotNull(around);
-        around.run(new IoHandlerContext() {
+        IoHandler rounding = MillisRoundingIoHandler.wrap(executor -> delegate).newHandler(null);
+        assertNotNull(rounding);
+        rounding.run(new IoHandlerContext() {
             @Override
             public boolean canBlock() {
                 return true;
@@ -65,12 +65,12 @@
 
             @Override
             public long delayNanos(long now) {
-                return delay;
+                return delayNanos;
             }
 
             @Override
             public long deadlineNanos() {
-                return delay;
+                return delayNanos;
             }
         });
     }
--- a/wire/src/main/java/pathlane/bus/BusFeed.java
+++ b/wire/src/main/java/pathlane/bus/BusFeed.java
@@ -19,242 +19,253 @@
 import pathlane.wire.FrameAssembler;
 
 /**
- * Follows the event bus from the last event on, over as many connections as it takes. The bus may move to another
- * address; the numbers of its events go on.
+ * Subscribes to the event bus and resumes after the last known event on each reconnect. The bus may move to another address;
+ * event numbers continue there.
  */
 public final class BusFeed {
 
     private static final Logger LOG = System.getLogger("bus");
     private static final int LENGTH_BYTES = 4;
-    private static final int HEAD = 9;
-    /** Some 9,000 servers in one event; a longer one is no event, and is refused before it is gathered. */
-    private static final int LONGEST = 256 * 1024;
-    private static final int NOTHING_NEW = 0;
-    private static final int WHOLE = 1;
+    private static final int HEADER_BYTES = 9;
+    /** Room for about 9,000 servers in one event; a longer frame is rejected before it is buffered. */
+    private static final int MAX_FRAME_BYTES = 256 * 1024;
+    private static final int NO_NEW_EVENT = 0;
+    private static final int COMPLETE_LIST = 1;
     private static final int CHANGES = 2;
-    private static final Duration DIAL_TIMEOUT = Duration.ofMillis(500);
-    /** Half of it at the least, so that a fleet which lost the bus at once does not come back at once. */
-    private static final Duration REDIAL = Duration.ofMillis(200);
-    /** While the bus can't be reached, whether it is to be found elsewhere is asked at this pace. */
-    private static final Duration LOOK_ELSEWHERE = Duration.ofSeconds(1);
-    /** It says something each second, up to a third of 24 ms late by the platform's figures; twice that is left. */
-    private static final Duration CURRENT = Duration.ofMillis(1020);
-    /** The bus says something each second; an event counts as told 7 s on, whether it arrived or not. */
-    private static final Duration MOST_SILENCE = Duration.ofMillis(2500);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+    /** The maximum; the minimum is half of it. The spread keeps a fleet that lost the bus from reconnecting all at once. */
+    private static final Duration RECONNECT_DELAY = Duration.ofMillis(200);
+    /** The minimum interval between two calls of the callback for an unreachable bus. */
+    private static final Duration UNREACHABLE_CALLBACK_INTERVAL = Duration.ofSeconds(1);
+    /**
+     * The bus sends at least one frame per second; by the platform's figures jitter delays it by up to a third of 24 ms. The
+     * 20 ms beyond the second are more than twice that.
+     */
+    private static final Duration FRESHNESS_LIMIT = Duration.ofMillis(1020);
+    /**
+     * The bus sends at least one frame per second. The platform counts an event as known to its subscribers 7 s after it was
+     * sent, whether it arrived or not, so a silent connection has to be replaced well before that.
+     */
+    private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2500);
 
     /**
-     * What the bus has in store for a new connection has come by then. The way there and back takes 63 ms at the most by
-     * the platform's figures (24 ms one way, a third more by jitter); this leaves three times that.
+     * By this time after a connection opened, the events that the bus had queued for it have arrived. A round trip takes at
+     * most 63 ms by the platform's figures (24 ms one way, plus a third of jitter); this allows three times as much.
      */
-    private static final Duration CATCH_UP = Duration.ofMillis(200);
+    private static final Duration CATCH_UP_TIME = Duration.ofMillis(200);
 
-    private final Connector dialer;
+    private final Connector connector;
     private final Scheduler scheduler;
     private final SplittableRandom random;
     private final Consumer<ServerList> events;
-    private final Runnable unreachable;
-    private Instant lookedElsewhere = Instant.MIN;
-    /** When the bus last said something whole. */
+    private final Runnable onUnreachable;
+    /** No unreachable callback is made before this. */
+    private Instant nextUnreachableCallback = Instant.MIN;
+    /** When the last complete frame was received. */
     private Instant lastFrame = Instant.MIN;
+    /** When the last complete frame was received, or the connection opened whose catch-up time passed last. */
     private Instant lastReceived = Instant.MIN;
-    private InetSocketAddress bus;
-    private long last;
-    private boolean wasUp;
-    /** The number of the last event that could not be read; it has been asked for once more. */
-    private long unreadable = -1;
-    /** The one connection that is followed or dialled; whatever another one still does concerns nobody. */
+    private InetSocketAddress busAddress;
+    private long lastEvent;
+    private boolean wasConnected;
+    /** The number of the last event that could not be parsed; it has been requested once more. */
+    private long malformedEvent = -1;
+    /** The current connection, connecting or open; whatever an earlier one still reports is ignored. */
     private Session session;
     private final CompletableFuture<Void> current = new CompletableFuture<>();
     private final CompletableFuture<Void> caughtUp = new CompletableFuture<>();
 
     /**
-     * Starts to follow nothing yet.
+     * Creates a feed that does not connect until {@link #follow} is called.
      *
-     * @param last the number of the last event that is known
-     * @param unreachable run on the loop, once a second at the most, while the bus is dialled in vain; it may call
-     *                    {@link #follow}
+     * @param lastEvent the number of the last known event
+     * @param onUnreachable run on the event loop, at most once per second, while connection attempts to the bus fail; it may
+     *                      call {@link #follow}
      */
-    public BusFeed(long last, Connector dialer, Scheduler scheduler, SplittableRandom random,
-            Consumer<ServerList> events, Runnable unreachable) {
-        this.unreachable = unreachable;
-        this.last = last;
-        this.dialer = dialer;
+    public BusFeed(long lastEvent, Connector connector, Scheduler scheduler, SplittableRandom random,
+            Consumer<ServerList> events, Runnable onUnreachable) {
+        this.onUnreachable = onUnreachable;
+        this.lastEvent = lastEvent;
+        this.connector = connector;
         this.scheduler = scheduler;
         this.random = random;
         this.events = events;
     }
 
-    /** Follows the bus at this address from now on, and lets go of the one that was followed before. */
+    /** Connects to the bus at this address and closes the connection to the previous address, if any. */
     public void follow(InetSocketAddress address) {
-        if (address.equals(bus)) {
+        if (address.equals(busAddress)) {
             return;
         }
         LOG.log(Level.INFO, "event bus is at {0}", address);
-        bus = address;
-        Session before = session;
-        dial();
-        if (before != null && before.connection != null) {
-            before.connection.close(CloseReason.REPLACED);
+        busAddress = address;
+        Session previous = session;
+        connect();
+        if (previous != null && previous.connection != null) {
+            previous.connection.close(CloseReason.REPLACED);
         }
     }
 
-    /** Done, on the loop, once all that the bus had to tell at the first connection has been read. */
+    /** Completed, on the event loop, once the events that the bus had queued for the first connection have been applied. */
     public CompletableFuture<Void> current() {
         return current;
     }
 
     /**
-     * Done, on the loop, once the bus itself has said that it has nothing newer than what it told. Unlike {@link #current}
-     * it never takes time for an answer: a bus that stalls in the middle of its list has not told it.
+     * Completed, on the event loop, once the bus itself has reported that it has no newer event. Unlike {@link #current} it
+     * never completes by elapsed time: a bus that stalls in the middle of its list has not delivered it.
      */
     public CompletableFuture<Void> caughtUp() {
         return caughtUp;
     }
 
     /**
-     * When the bus itself last said something whole; {@link Instant#MIN} before. Unlike {@link #isCurrent} it takes no
-     * connection for a word: a bus that accepts connections and tells nothing is silent.
+     * When the last complete frame was received; {@link Instant#MIN} before the first. Unlike {@link #isCurrent} it does not
+     * count an open connection as a sign of life: a bus that accepts connections and sends nothing is silent.
      */
     public Instant lastFrame() {
         return lastFrame;
     }
 
-    /** Whether the bus was heard so lately that it would have told of a change; always where none is followed. */
+    /**
+     * Whether the bus was last received from so recently that any change would have arrived; always true before
+     * {@link #follow} is called.
+     */
     public boolean isCurrent() {
-        return bus == null || !lastReceived.plus(CURRENT).isBefore(scheduler.now());
+        return busAddress == null || !lastReceived.plus(FRESHNESS_LIMIT).isBefore(scheduler.now());
     }
 
-    private void dial() {
+    private void connect() {
         session = new Session();
-        dialer.connect(bus, DIAL_TIMEOUT, session);
+        connector.connect(busAddress, CONNECT_TIMEOUT, session);
     }
 
-    private void lookElsewhere() {
+    private void notifyUnreachable() {
         Instant now = scheduler.now();
-        if (!now.isBefore(lookedElsewhere)) {
-            lookedElsewhere = now.plus(LOOK_ELSEWHERE);
-            unreachable.run();
+        if (!now.isBefore(nextUnreachableCallback)) {
+            nextUnreachableCallback = now.plus(UNREACHABLE_CALLBACK_INTERVAL);
+            onUnreachable.run();
         }
     }
 
     private final class Session implements Protocol {
 
-        private final FrameAssembler assembler = new FrameAssembler(LENGTH_BYTES, HEAD, LONGEST);
+        private final FrameAssembler assembler = new FrameAssembler(LENGTH_BYTES, HEADER_BYTES, MAX_FRAME_BYTES);
         private Connection connection;
-        private Scheduler.Timer silence;
-        private boolean ended;
+        private Scheduler.Timer silenceTimer;
+        private boolean isClosed;
 
         @Override
-        public void opened(Connection up) {
+        public void opened(Connection opened) {
             if (session != this) {
-                up.close(CloseReason.REPLACED);
+                opened.close(CloseReason.REPLACED);
                 return;
             }
-            connection = up;
-            wasUp = true;
-            LOG.log(Level.INFO, "event bus is up, from event {0}", Long.toString(last));
-            up.write(ByteBuffer.allocate(Long.BYTES).putLong(last).array());
-            await();
+            connection = opened;
+            wasConnected = true;
+            LOG.log(Level.INFO, "connected to event bus, last known event is {0}", Long.toString(lastEvent));
+            opened.write(ByteBuffer.allocate(Long.BYTES).putLong(lastEvent).array());
+            startSilenceTimer();
             Instant openedAt = scheduler.now();
-            scheduler.after(CATCH_UP, () -> {
-                if (session == this && !ended) {
+            scheduler.after(CATCH_UP_TIME, () -> {
+                if (session == this && !isClosed) {
                     lastReceived = lastReceived.isAfter(openedAt) ? lastReceived : openedAt;
                     current.complete(null);
                 }
             });
         }
 
-        /** Guards against a bus that went without a word: nothing would ever tell. */
-        private void await() {
-            silence = scheduler.after(MOST_SILENCE, () -> connection.close(CloseReason.SILENT));
+        /** Closes a connection on which the bus has gone silent; nothing else would detect it. */
+        private void startSilenceTimer() {
+            silenceTimer = scheduler.after(SILENCE_TIMEOUT, () -> connection.close(CloseReason.SILENT));
         }
 
         @Override
         public void received(ByteBuffer bytes) {
             if (session != this) {
                 bytes.position(bytes.limit());
-                return;   // guards the new bus's events against what the old one still says
+                return;   // events of the previous bus must not mix with those of the new one
             }
             try {
-                if (assembler.feed(bytes, this::frame) > 0) {
+                if (assembler.feed(bytes, this::frameReceived) > 0) {
                     lastReceived = scheduler.now();
                     lastFrame = lastReceived;
-                    silence.cancel();   // a whole event came: half of one that then stops is silence too
-                    await();
+                    silenceTimer.cancel();   // restarted by complete frames alone: a stalled frame is silence
+                    startSilenceTimer();
                 }
             } catch (BadInput e) {
-                LOG.log(Level.WARNING, "event bus closed for bad input: {0}", e.getMessage());
+                LOG.log(Level.WARNING, "event bus connection closed for invalid input: {0}", e.getMessage());
                 bytes.position(bytes.limit());
                 connection.close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
-        private void frame(ByteBuffer frame) {
+        private void frameReceived(ByteBuffer frame) {
             long number = frame.getLong();
             int kind = frame.get() & 0xff;
-            if (kind == NOTHING_NEW) {
+            if (kind == NO_NEW_EVENT) {
                 current.complete(null);
                 caughtUp.complete(null);
                 return;
             }
-            if (kind != WHOLE && kind != CHANGES) {
-                throw new BadInput("an event of kind " + kind);
+            if (kind != COMPLETE_LIST && kind != CHANGES) {
+                throw new BadInput("unknown event kind " + kind);
             }
-            if (Long.compareUnsigned(number, last) <= 0) {
-                return;   // had it before
+            if (Long.compareUnsigned(number, lastEvent) <= 0) {
+                return;   // already applied
             }
-            if (kind == CHANGES && number != last + 1) {
-                // Guards against a list with a hole in it: the missing events are asked for again.
-                throw new BadInput("event " + number + " after " + last);
+            if (kind == CHANGES && number != lastEvent + 1) {
+                // Applying it would leave the list without the missing changes: reconnecting requests them again.
+                throw new BadInput("events are missing: event " + number + " after " + lastEvent);
             }
-            ServerList list = read(number, kind, frame);
-            last = number;
-            list.lines().forEach(line -> LOG.log(Level.INFO, "event {0}: server {1} at {2} is {3}",
-                    Long.toString(number), ServerList.serverName(line.id()), line.address(), line.status()));
+            ServerList list = parseEvent(number, kind, frame);
+            lastEvent = number;
+            list.lines().forEach(endpoint -> LOG.log(Level.INFO, "event {0}: server {1} at {2} is {3}",
+                    Long.toString(number), ServerList.serverName(endpoint.id()), endpoint.address(), endpoint.status()));
             events.accept(list);
         }
 
         /**
-         * Reads an event. Guards against one that came spoilt, which is asked for again, and against one that can't
-         * be read however often it comes, which must not keep all later ones out: it is passed over.
+         * Parses an event. A malformed one may have been corrupted in transit and is requested once more. If it is malformed
+         * the second time as well, it is skipped, so that it does not block all later events.
          */
-        private ServerList read(long number, int kind, ByteBuffer frame) {
+        private ServerList parseEvent(long number, int kind, ByteBuffer frame) {
             try {
-                return ServerList.read(kind == WHOLE, frame);
+                return ServerList.read(kind == COMPLETE_LIST, frame);
             } catch (BadInput e) {
-                if (number != unreadable) {
-                    unreadable = number;
+                if (number != malformedEvent) {
+                    malformedEvent = number;
                     throw e;
                 }
-                LOG.log(Level.WARNING, "event {0} can''t be read, again, and is passed over: {1}",
+                LOG.log(Level.WARNING, "event {0} skipped, since it is malformed for the second time: {1}",
                         Long.toString(number), e.getMessage());
                 return new ServerList(false, List.of());
             }
         }
 
         @Override
-        public void closed(CloseReason end) {
-            ended = true;
-            if (silence != null) {
-                silence.cancel();
+        public void closed(CloseReason reason) {
+            isClosed = true;
+            if (silenceTimer != null) {
+                silenceTimer.cancel();
             }
             if (session != this) {
-                return;   // guards against a bus that was let go being dialled again, beside the new one
+                return;   // replaced by a connection to the new address, so the old one is not reopened
             }
-            if (wasUp) {
-                LOG.log(Level.WARNING, "event bus is down: {0}; dialling again", end);
+            if (wasConnected) {
+                LOG.log(Level.WARNING, "event bus connection closed: {0}; reconnecting", reason);
             }
-            wasUp = false;
+            wasConnected = false;
             if (connection == null) {
-                lookElsewhere();
+                notifyUnreachable();
             }
             if (session != this) {
-                return;   // it is followed elsewhere now
+                return;   // the callback switched to another address
             }
-            long half = REDIAL.toNanos() / 2;
-            scheduler.after(Duration.ofNanos(half + random.nextLong(half)), () -> {
+            long minDelayNanos = RECONNECT_DELAY.toNanos() / 2;
+            scheduler.after(Duration.ofNanos(minDelayNanos + random.nextLong(minDelayNanos)), () -> {
                 if (session == this) {
-                    dial();
+                    connect();
                 }
             });
         }
--- a/wire/src/main/java/pathlane/bus/ServerList.java
+++ b/wire/src/main/java/pathlane/bus/ServerList.java
@@ -12,51 +12,52 @@
 import pathlane.wire.BadInput;
 
 /**
- * An event of the list of session servers.
+ * An event of the event bus: the list of session servers or changes to it.
  *
- * @param whole whether the lines are the whole list, or what has changed
+ * @param whole true for the complete list, false for the changed entries alone
+ * @param lines the entries, one for each server
  */
 public record ServerList(boolean whole, List<ServerEndpoint> lines) {
 
-    private static final int RECORD = 27;
-    private static final int ADDRESS = 4;
-    private static final double THOUSAND = 1000;
+    private static final int RECORD_BYTES = 27;
+    private static final int ADDRESS_BYTES = 4;
+    private static final double WEIGHT_SCALE = 1000;
 
-    /** Reads the records that fill the rest of a frame. */
-    static ServerList read(boolean whole, ByteBuffer records) {
-        if (records.remaining() % RECORD != 0) {
-            throw new BadInput("records of " + records.remaining() + " bytes together");
+    /** Decodes the server records that fill the rest of an event's frame. */
+    static ServerList read(boolean isComplete, ByteBuffer records) {
+        if (records.remaining() % RECORD_BYTES != 0) {
+            throw new BadInput("server records of " + records.remaining() + " bytes are not a multiple of the record size");
         }
-        List<ServerEndpoint> lines = new ArrayList<>();
+        List<ServerEndpoint> endpoints = new ArrayList<>();
         while (records.hasRemaining()) {
             long id = records.getInt() & 0xffffffffL;
-            byte[] address = new byte[ADDRESS];
+            byte[] address = new byte[ADDRESS_BYTES];
             records.get(address);
             int port = records.getShort() & 0xffff;
             int state = records.get() & 0xff;
             if (state >= ServerStatus.values().length) {
-                throw new BadInput("a server in state " + state);
+                throw new BadInput("unknown server state " + state);
             }
-            records.getShort();   // zone and kind: nothing here depends on them
-            int cell = records.getShort() & 0xffff;
-            double weight = (records.getInt() & 0xffffffffL) / THOUSAND;
-            long started = records.getLong();
-            lines.add(new ServerEndpoint(id, socket(address, port), ServerStatus.values()[state], cell, weight,
-                    Instant.ofEpochMilli(started)));
+            records.getShort();   // zone and kind, which are not used
+            int pool = records.getShort() & 0xffff;
+            double weight = (records.getInt() & 0xffffffffL) / WEIGHT_SCALE;
+            long startedMillis = records.getLong();
+            endpoints.add(new ServerEndpoint(id, socketAddress(address, port), ServerStatus.values()[state], pool, weight,
+                    Instant.ofEpochMilli(startedMillis)));
         }
-        return new ServerList(whole, lines);
+        return new ServerList(isComplete, endpoints);
     }
 
-    /** The server's id as every page and log writes it: {@code s-} and 8 hex digits. */
+    /** The server's name in logs and reports: {@code s-} and the id as 8 hex digits. */
     public static String serverName(long id) {
         return String.format("s-%08x", id);
     }
 
-    private static InetSocketAddress socket(byte[] address, int port) {
+    private static InetSocketAddress socketAddress(byte[] address, int port) {
         try {
             return new InetSocketAddress(InetAddress.getByAddress(address), port);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException(e);   // four bytes are always an address
+            throw new IllegalStateException(e);   // can't happen: four bytes are always a valid address
         }
     }
 }
--- a/wire/src/main/java/pathlane/bus/package-info.java
+++ b/wire/src/main/java/pathlane/bus/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The event bus: the list of session servers as numbered events, followed over as many connections as it takes.
- * A state machine fed bytes; it knows no socket and not who uses the list.
+ * Client of the event bus, which publishes the list of session servers as a sequence of numbered events. A state machine
+ * that is fed bytes: it performs no I/O itself and does not depend on the users of the list.
  */
 package pathlane.bus;
--- a/wire/src/main/java/pathlane/wire/BadInput.java
+++ b/wire/src/main/java/pathlane/wire/BadInput.java
@@ -1,10 +1,10 @@
 package pathlane.wire;
 
-/** Bytes that break the protocol; the message says how, and the connection they came on ends. */
+/** Received bytes violate the protocol. The message states how; the connection they arrived on is closed. */
 public final class BadInput extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     public BadInput(String message) {
-        super(message, null, false, false);   // bad clients throw it at will: no stack trace
+        super(message, null, false, false);   // remote peers can trigger it at any rate: no stack trace
     }
 }
--- a/wire/src/main/java/pathlane/wire/Cause.java
+++ b/wire/src/main/java/pathlane/wire/Cause.java
@@ -2,26 +2,26 @@
 
 import pathlane.decision.Outcome;
 
-/** The causes of releases and what they mean to the module, both ways. */
+/** Maps the cause values of release messages to outcomes, and outcomes to cause values. */
 public final class Cause {
 
     public static final int OVER = 16;
     public static final int FAILED = 31;
     public static final int CUT = 41;
-    public static final int TURNED_AWAY = 42;
+    public static final int REJECTED = 42;
 
     private static final int BUSY = 17;
-    private static final int FULL = 34;
+    private static final int NO_RESOURCES = 34;
     private static final int OUT_OF_ORDER = 47;
     private static final int NOT_SENT = 102;
 
     private Cause() {}
 
-    /** How an attempt or a standing call ended, from a session server's release. */
-    public static Outcome ending(int cause, String note) {
+    /** The outcome of an attempt or of an established call that a session server's release reports. */
+    public static Outcome outcomeOf(int cause, String detail) {
         return switch (cause) {
-            case FULL -> note.equals("no_path") ? Outcome.NO_CAPACITY : Outcome.REJECTED;
-            case BUSY, OUT_OF_ORDER -> note.equals("line_taken") ? Outcome.BUSY : Outcome.ERROR;
+            case NO_RESOURCES -> detail.equals("no_path") ? Outcome.NO_CAPACITY : Outcome.REJECTED;
+            case BUSY, OUT_OF_ORDER -> detail.equals("line_taken") ? Outcome.BUSY : Outcome.ERROR;
             case NOT_SENT -> Outcome.NOT_SENT;
             case CUT -> Outcome.RESET;
             case OVER -> Outcome.COMPLETED;
@@ -29,13 +29,13 @@
         };
     }
 
-    /** Whether this is the cause of a release of a call that stood, and not of a final answer. */
-    public static boolean endsStanding(int cause) {
+    /** Whether a release with this cause ends an established call; any other cause is a final answer to a request. */
+    public static boolean endsEstablishedCall(int cause) {
         return cause == CUT || cause == OVER;
     }
 
-    /** The cause of a release of a call that stood. */
-    public static int ofRelease(Outcome how) {
-        return how == Outcome.RESET ? CUT : OVER;
+    /** The cause to send when an established call is released. */
+    public static int ofEstablishedCall(Outcome outcome) {
+        return outcome == Outcome.RESET ? CUT : OVER;
     }
 }
--- a/wire/src/main/java/pathlane/wire/FrameAssembler.java
+++ b/wire/src/main/java/pathlane/wire/FrameAssembler.java
@@ -5,61 +5,72 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of bytes into frames that begin with their length, whatever the pieces it comes in: frames in
- * parts, several at once, and too long ones, which are refused before they are gathered.
+ * Splits a byte stream into length-prefixed frames. Input may arrive in chunks of any size, with partial frames or several
+ * frames in one chunk. A frame with a length out of range is rejected as soon as its length is known, before it is buffered.
  */
 public final class FrameAssembler {
 
-    private static final int FIRST_SIZE = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     private final int lengthBytes;
-    private final int shortest;
-    private final int longest;
-    private byte[] gathered = new byte[FIRST_SIZE];
+    private final int minLength;
+    private final int maxLength;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
 
-    /** Lengths are big-endian, {@code lengthBytes} wide, and count what follows them. */
-    public FrameAssembler(int lengthBytes, int shortest, int longest) {
+    /**
+     * Creates an assembler without input.
+     *
+     * @param lengthBytes the width of the length field, which is big-endian and does not count itself
+     * @param minLength the smallest valid value of the length field
+     * @param maxLength the largest valid value of the length field
+     */
+    public FrameAssembler(int lengthBytes, int minLength, int maxLength) {
         this.lengthBytes = lengthBytes;
-        this.shortest = shortest;
-        this.longest = longest;
+        this.minLength = minLength;
+        this.maxLength = maxLength;
     }
 
-    /** Whether a frame has begun and not ended. */
+    /** Whether part of a frame has been received and the rest has not. */
     public boolean begun() {
         return size > 0;
     }
 
-    /** Takes bytes; hands on each whole frame, without its length, before the next is looked at. Returns how many. */
+    /**
+     * Consumes all bytes and passes on each completed frame, without its length field, before the bytes after it are parsed.
+     *
+     * @return the number of frames completed
+     * @throws BadInput if a frame's length is out of range
+     */
     public int feed(ByteBuffer bytes, Consumer<ByteBuffer> frames) {
-        int ended = 0;
+        int completed = 0;
         while (bytes.hasRemaining()) {
-            int wanted = size < lengthBytes ? lengthBytes : lengthBytes + length();
-            int taken = Math.min(wanted - size, bytes.remaining());
-            if (size + taken > gathered.length) {
-                gathered = Arrays.copyOf(gathered, Math.max(size + taken, Math.min(wanted, 2 * gathered.length)));
+            int needed = size < lengthBytes ? lengthBytes : lengthBytes + length();
+            int taken = Math.min(needed - size, bytes.remaining());
+            if (size + taken > buffer.length) {
+                buffer = Arrays.copyOf(buffer, Math.max(size + taken, Math.min(needed, 2 * buffer.length)));
             }
-            bytes.get(gathered, size, taken);
+            bytes.get(buffer, size, taken);
             size += taken;
             if (size >= lengthBytes && size == lengthBytes + length()) {
                 int end = size;
                 size = 0;
-                byte[] frame = Arrays.copyOfRange(gathered, lengthBytes, end);
-                gathered = gathered.length > longest / 2 ? new byte[FIRST_SIZE] : gathered;
-                ended++;
+                byte[] frame = Arrays.copyOfRange(buffer, lengthBytes, end);
+                buffer = buffer.length > maxLength / 2 ? new byte[INITIAL_BUFFER_BYTES] : buffer;
+                completed++;
                 frames.accept(ByteBuffer.wrap(frame));
             }
         }
-        return ended;
+        return completed;
     }
 
     private int length() {
         long length = 0;
         for (int i = 0; i < lengthBytes; i++) {
-            length = length << 8 | gathered[i] & 0xff;
+            length = length << 8 | buffer[i] & 0xff;
         }
-        if (length < shortest || length > longest) {
-            throw new BadInput("a frame of " + length + " bytes");
+        if (length < minLength || length > maxLength) {
+            throw new BadInput("frame length of " + length + " bytes is out of range");
         }
         return (int) length;
     }
--- a/wire/src/main/java/pathlane/wire/Message.java
+++ b/wire/src/main/java/pathlane/wire/Message.java
@@ -6,7 +6,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One message between callers, call controllers and session servers. */
+/**
+ * One message between clients, call controllers and session servers: a type, a call id and parameters. On the wire: a 2-byte
+ * length, 1 byte of type, the 8-byte call id, then each parameter as 1 byte of code, 2 bytes of length and its value. All
+ * numbers are big-endian.
+ */
 public final class Message {
 
     public static final int SET_UP = 1;
@@ -28,10 +32,10 @@
     public static final int CAUSE = 171;
     public static final int DESCRIPTION = 174;
 
-    /** A message begins with its length in so many bytes. */
+    /** The width of the length field that precedes each message. */
     public static final int LENGTH_BYTES = 2;
-    private static final int HEAD = 1 + Long.BYTES;
-    private static final int LONGEST = 16 * 1024;
+    private static final int HEADER_BYTES = 1 + Long.BYTES;
+    private static final int MAX_BYTES = 16 * 1024;
 
     public final int type;
     public final long call;
@@ -42,25 +46,31 @@
         this.call = call;
     }
 
+    /** Creates a message for a call whose id is given as 16 hex digits. */
     public Message(int type, String call) {
         this(type, Long.parseUnsignedLong(call, 16));
     }
 
-    /** The assembler for a connection that carries these messages. */
+    /** Creates a frame assembler for a connection that carries these messages. */
     public static FrameAssembler assembler() {
-        return new FrameAssembler(LENGTH_BYTES, HEAD, LONGEST);
+        return new FrameAssembler(LENGTH_BYTES, HEADER_BYTES, MAX_BYTES);
     }
 
+    /**
+     * Decodes a frame, without its length field.
+     *
+     * @throws BadInput if the frame is malformed
+     */
     public static Message read(ByteBuffer frame) {
         Message message = new Message(frame.get() & 0xff, frame.getLong());
         while (frame.hasRemaining()) {
             if (frame.remaining() < 1 + LENGTH_BYTES) {
-                throw new BadInput("a parameter that is cut short");
+                throw new BadInput("truncated parameter header");
             }
             int code = frame.get() & 0xff;
             int length = frame.getShort() & 0xffff;
             if (length > frame.remaining()) {
-                throw new BadInput("parameter " + code + " is longer than its message");
+                throw new BadInput("parameter " + code + " exceeds the length of its message");
             }
             byte[] value = new byte[length];
             frame.get(value);
@@ -69,7 +79,7 @@
         return message;
     }
 
-    /** The call's id in text: 16 hex digits. */
+    /** The call id as 16 hex digits. */
     public String id() {
         StringBuilder id = new StringBuilder(Long.toHexString(call));
         return id.insert(0, "0".repeat(Long.BYTES * 2 - id.length())).toString();
@@ -88,34 +98,40 @@
         return with(CAUSE, new byte[] {(byte) cause});
     }
 
-    /** The raw value, or null where there is none. */
+    /** The parameter's raw value, or null if it is absent. */
     public byte[] value(int code) {
         return parameters.get(code);
     }
 
-    /** The value as text, empty where there is none. */
+    /** The parameter's value as UTF-8 text, or an empty string if it is absent. */
     public String text(int code) {
         byte[] value = parameters.get(code);
         return value == null ? "" : new String(value, StandardCharsets.UTF_8);
     }
 
-    /** Whether there is a cause, of one byte as it must be. */
+    /** Whether a valid cause is present: a value of exactly one byte. */
     public boolean hasCause() {
         byte[] value = parameters.get(CAUSE);
         return value != null && value.length == 1;
     }
 
+    /**
+     * The cause of a release.
+     *
+     * @throws BadInput if it is absent or not exactly one byte long
+     */
     public int cause() {
         byte[] value = parameters.get(CAUSE);
         if (!hasCause()) {
-            throw new BadInput("a message of type " + type + " without a cause of one byte");
+            throw new BadInput("message of type " + type + " has no valid cause");
         }
         return value[0] & 0xff;
     }
 
+    /** Encodes the message, with its length field. */
     public byte[] bytes() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(ByteBuffer.allocate(LENGTH_BYTES + HEAD).putShort((short) 0).put((byte) type)
+        out.writeBytes(ByteBuffer.allocate(LENGTH_BYTES + HEADER_BYTES).putShort((short) 0).put((byte) type)
                 .putLong(call).array());
         parameters.forEach((code, value) -> {
             out.write(code);
@@ -125,8 +141,8 @@
         });
         byte[] bytes = out.toByteArray();
         int length = bytes.length - LENGTH_BYTES;
-        if (length > LONGEST) {
-            throw new IllegalStateException("a message of " + length + " bytes");
+        if (length > MAX_BYTES) {
+            throw new IllegalStateException("message of " + length + " bytes is too long");
         }
         ByteBuffer.wrap(bytes).putShort((short) length);
         return bytes;
--- a/wire/src/main/java/pathlane/wire/package-info.java
+++ b/wire/src/main/java/pathlane/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The platform's messages: their bytes, both ways, and what the causes of releases mean. Knows no socket, no call and
- * no front; whoever is fed bytes uses it (daemon, stand-in, client).
+ * The platform's signalling messages: framing, encoding and decoding, and the mapping of release causes to outcomes.
+ * Performs no I/O and keeps no call state. Used by the daemon, the stand-in servers and the test clients.
  */
 package pathlane.wire;
