--- a/net/src/main/java/pathlane/net/EventLoop.java
+++ b/net/src/main/java/pathlane/net/EventLoop.java
@@ -23,7 +23,8 @@
     /** Starts the loop and the periodic heartbeat by which {@link #lag} detects that the loop was blocked. */
     public EventLoop() {
         lastHeartbeatNanos = System.nanoTime();
-        loop.scheduleAtFixedRate(() -> lastHeartbeatNanos = System.nanoTime(), 0, HEARTBEAT_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
+        loop.scheduleAtFixedRate(() -> lastHeartbeatNanos = System.nanoTime(), 0, HEARTBEAT_INTERVAL.toNanos(),
+                TimeUnit.NANOSECONDS);
     }
 
     io.netty.channel.EventLoop netty() {
@@ -40,7 +41,8 @@
     @Override
     public Duration lag() {
         // Input that is read before an overdue heartbeat runs may have waited for as long as the heartbeat is overdue.
-        Duration overdue = Duration.ofNanos(System.nanoTime() - lastHeartbeatNanos).minus(HEARTBEAT_INTERVAL.multipliedBy(2));
+        Duration overdue =
+                Duration.ofNanos(System.nanoTime() - lastHeartbeatNanos).minus(HEARTBEAT_INTERVAL.multipliedBy(2));
         return overdue.isNegative() ? Duration.ZERO : overdue;
     }
 
--- a/net/src/main/java/pathlane/net/MillisRoundingIoHandler.java
+++ b/net/src/main/java/pathlane/net/MillisRoundingIoHandler.java
@@ -29,7 +29,8 @@
 
     /** Rounds up to a full millisecond; zero or less (already due) and values near the maximum (never) stay. */
     static long roundUp(long nanos) {
-        return nanos <= 0 || nanos > Long.MAX_VALUE - MILLI_NANOS ? nanos : (nanos + MILLI_NANOS - 1) / MILLI_NANOS * MILLI_NANOS;
+        return nanos <= 0 || nanos > Long.MAX_VALUE - MILLI_NANOS ? nanos
+                : (nanos + MILLI_NANOS - 1) / MILLI_NANOS * MILLI_NANOS;
     }
 
     @Override
--- a/net/src/main/java/pathlane/net/Network.java
+++ b/net/src/main/java/pathlane/net/Network.java
@@ -81,8 +81,9 @@
                 .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
                 .childOption(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
                 // Reads until no input is left, so that a client's close is seen together with what it sent just before.
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES,
-                        MAX_READ_BYTES).respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN))
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR,
+                        new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES,
+                                MAX_READ_BYTES).respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
