--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -168,10 +168,7 @@
         connection.flush();
     }
 
-    /**
-     * The server drains. Requests that have not begun to be sent may go to another server; if others would still be sent
-     * once the server reads again, the connection is aborted.
-     */
+    /** Withdraws unsent requests from a draining server; aborts if others would still be sent once it reads again. */
     void withdrawRequests() {
         if (!isOpen()) {
             return;
@@ -287,7 +284,7 @@
         switch (message.type) {
             case Message.ANSWER -> handleAnswer(message.id(), message.value(Message.DESCRIPTION));
             case Message.RELEASE -> handleRelease(message.id(), message);
-            case Message.RELEASE_HEARD -> cancelledAt.remove(message.id());   // no answer to the cancelled attempt follows
+            case Message.RELEASE_HEARD -> cancelledAt.remove(message.id());   // no answer follows
             case Message.PROGRESS, Message.TEST_RESULT -> {}
             case Message.GROUP_STATE -> {
                 reportIntervals.reported(scheduler.now());
