--- a/group/src/main/java/pathlane/group/AuthenticatedLink.java
+++ b/group/src/main/java/pathlane/group/AuthenticatedLink.java
@@ -18,12 +18,14 @@
 import pathlane.wire.FrameAssembler;
 
 /**
- * One connection of the group's: frames that are each signed by a key that both sides have (HMAC-SHA-256, RFC 2104, cut
- * to 16 bytes), over what both sides said at the opening and the frame's place in the order, so that none can be forged,
- * changed, left out, or played again here or on another connection. A state machine fed bytes, on the loop's thread.
+ * An authenticated connection between members of a group. Each frame carries a MAC under a shared key (HMAC-SHA-256, RFC
+ * 2104, truncated to 16 bytes) over the handshake frames of both sides and the frame's sequence number, so that no frame can
+ * be forged, altered, dropped or replayed, on this connection or another. A state machine that is fed bytes, confined to the
+ * event loop's thread.
  *
- * <p>A frame is length:4 payload mac:16, big-endian. Each side begins with an open frame of "PLG1", the name of its key,
- * its own name and 16 random bytes, and then signs an empty one; what comes before that has been checked reaches nobody.
+ * <p>A frame is length:4 payload mac:16, big-endian. Each side begins with a handshake frame without a MAC that holds
+ * "PLG1", the name of its key, its own name and a random nonce of 16 bytes, and then sends an empty frame with a MAC.
+ * Nothing reaches the listener before that MAC is verified.
  */
 public final class AuthenticatedLink implements Protocol {
 
@@ -31,29 +33,29 @@
     private static final int LENGTH_BYTES = 4;
     private static final int MAC_BYTES = 16;
     private static final int NONCE_BYTES = 16;
-    /** Records of a shard with tens of thousands of calls. */
+    /** Large enough for the records of a shard with tens of thousands of calls. */
     private static final int LONGEST = 4 << 20;
     private static final int LONGEST_OPENING = 512;
     private static final String ALGORITHM = "HmacSHA256";
     private static final Duration OPENING = Duration.ofSeconds(2);
 
-    /** What the frames are for. */
+    /** Receives the authenticated payloads of a link. */
     public interface Listener {
-        /** The other side has shown that it has a key; it says that its name is this. */
+        /** The peer has proven that it holds a shared key; the name is the one that it claims. */
         void authenticated(AuthenticatedLink link, String name);
 
-        /** @throws BadInput where it can't be used; the connection then ends */
+        /** @throws BadInput if the payload is malformed; the connection is then closed */
         void received(byte[] payload);
 
-        /** It has ended, or never came up; called once, and last. */
+        /** The connection is closed or was never established; the last notification, sent once. */
         void closed(CloseReason end);
     }
 
     /**
-     * What all links of a process share.
+     * The context that all links of a process share.
      *
-     * @param keys asked for at each opening, so that a reload holds for the next one
-     * @param random fills 16 bytes that are never the same again
+     * @param keys read at each handshake, so that reloaded keys apply to new connections
+     * @param random supplies nonces of 16 bytes, each of them new
      */
     public record Context(String name, Supplier<KeyRing> keys, Supplier<byte[]> random, Scheduler scheduler,
             RateLimitedLog log) {}
@@ -74,7 +76,11 @@
     private boolean proven;
     private boolean ended;
 
-    /** {@code dialled} tells the two sides apart: what one signed is never taken for the other's. */
+    /**
+     * Creates a link that is not connected yet.
+     *
+     * @param dialled whether this side connects; it goes into each MAC, so that no frame can be reflected to its sender
+     */
     public AuthenticatedLink(AuthenticatedLink.Context common, boolean dialled, AuthenticatedLink.Listener upper) {
         this.common = common;
         this.dialled = dialled;
@@ -102,7 +108,7 @@
             mac.init(new SecretKeySpec(secret, ALGORITHM));
             return mac;
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);   // every JDK has it
+            throw new IllegalStateException(e);   // can't happen: every JDK provides HmacSHA256
         }
     }
 
@@ -128,12 +134,13 @@
             return;
         }
         if (bytes.length < MAC_BYTES) {
-            throw new BadInput("a frame without a signature");
+            throw new BadInput("frame too short to hold a MAC");
         }
         int size = bytes.length - MAC_BYTES;
         byte[] expected = sign(checks, otherOpening, ownOpening, !dialled, read++, bytes, size);
         if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(bytes, size, bytes.length))) {
-            throw new BadInput(proven ? "a frame that is forged, changed or out of its order" : "another key than it says");
+            throw new BadInput(proven ? "MAC mismatch: frame forged, altered or out of order"
+                    : "MAC mismatch: the peer does not hold the key that it names");
         }
         if (!proven) {
             proven = true;
@@ -148,30 +155,30 @@
         ByteBuffer read = ByteBuffer.wrap(bytes);
         byte[] magic = new byte[MAGIC.length];
         if (bytes.length > LONGEST_OPENING || bytes.length < MAGIC.length + 2 + NONCE_BYTES) {
-            throw new BadInput("not an opening of the group's");
+            throw new BadInput("handshake frame of invalid length");
         }
         read.get(magic);
         if (!Arrays.equals(magic, MAGIC)) {
-            throw new BadInput("not the group's protocol, or another version of it");
+            throw new BadInput("unknown protocol or protocol version");
         }
         String key = text(read);
         otherName = text(read);
         if (read.remaining() != NONCE_BYTES) {
-            throw new BadInput("an opening that is cut short");
+            throw new BadInput("handshake frame with a nonce of invalid length");
         }
         byte[] secret = common.keys().get().find(key);
         if (secret == null) {
-            throw new BadInput("a key '" + key + "' that is not in the file");
+            throw new BadInput("key '" + key + "' is not in the key file");
         }
         otherOpening = bytes;
         checks = mac(secret);
-        send(new byte[0]);   // shows that the key is there
+        send(new byte[0]);   // proves that this side holds the key
     }
 
     private static String text(ByteBuffer from) {
         byte[] text = new byte[from.get() & 0xff];
         if (text.length > from.remaining()) {
-            throw new BadInput("an opening that is cut short");
+            throw new BadInput("truncated handshake frame");
         }
         from.get(text);
         return new String(text, StandardCharsets.UTF_8);
@@ -187,12 +194,12 @@
         return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
     }
 
-    /** Whether the other side has shown who it is. */
+    /** Whether the peer is authenticated and the link is open. */
     public boolean isAuthenticated() {
         return proven && !ended;
     }
 
-    /** Signs and sends. */
+    /** Sends a payload with its MAC. */
     public void send(byte[] payload) {
         if (ended) {
             return;
@@ -202,12 +209,12 @@
                 .putInt(payload.length + MAC_BYTES).put(payload).put(mac).array());
     }
 
-    /** Whether the other side has stopped reading. */
+    /** Whether the peer has stopped reading. */
     public boolean isBlocked() {
         return connection != null && connection.isBlocked();
     }
 
-    /** Closes it; {@link AuthenticatedLink.Listener#closed} follows. */
+    /** Closes the link; {@link AuthenticatedLink.Listener#closed} follows. */
     public void close(CloseReason why) {
         ended = true;
         if (opening != null) {
--- a/group/src/main/java/pathlane/group/Command.java
+++ b/group/src/main/java/pathlane/group/Command.java
@@ -2,48 +2,46 @@
 
 import java.util.List;
 
-/**
- * What the registry is asked to do. Each may be applied twice with the effect of once, so that one whose reply got lost is
- * submitted again.
- */
+/** A command to the registry. All commands are idempotent, so one whose reply was lost can be submitted again. */
 public sealed interface Command {
 
     /**
-     * A call controller asks for a lease.
+     * Requests a lease for a call controller.
      *
-     * @param previousToken the token that this process held before, or 0 after its start
-     * @param replicaCount how many members are to hold a replica of a record; the same in the whole group
-     * @param areReplicasDropped whether all replica holders of the last lease's records have said that they dropped them
+     * @param previousToken the latest token of this process, or 0 after its start
+     * @param replicaCount the number of replica holders of a record; the same in the entire group
+     * @param areReplicasDropped whether all replica holders of the previous lease have confirmed dropping its records
      */
     record Join(String name, long incarnation, String address, long previousToken, int replicaCount,
             boolean areReplicasDropped) implements Command {}
 
-    /** Leases go on. Gathered by the leader over a short span. */
+    /** Renews leases. The leader batches the renewals of a short interval into one command. */
     record Renew(List<Renewal> renewals) implements Command {}
 
-    /** One lease goes on; the number grows with each renewal. */
+    /** The renewal of one lease; the number increases with each renewal. */
     record Renewal(long token, long number) {}
 
-    /** A planned end: whatever is left may be claimed at once. */
+    /** Ends a lease on request of its holder; the remaining shards may be claimed at once. */
     record Leave(long token) implements Command {}
 
-    /** The leader has not seen this lease renewed for so long that it has surely ended; void if it was renewed since. */
+    /** Ends a lease that the leader has not seen renewed in time; no effect if its renewal number differs by now. */
     record Expire(long token, long number) implements Command {}
 
-    /** All of a member's records are where this view places them. */
+    /** Reports that all records of a member are replicated where this view places them. */
     record Replicated(long token, long view) implements Command {}
 
-    /** A member wants to own shards of one that has gone; {@code orphan} is that one's token. */
+    /** Claims orphaned shards for a member; the second token is that of their former owner. */
     record Claim(long claimer, long orphan, List<Integer> shards) implements Command {}
 
     /**
-     * The process whose lease ended has a new one, and takes back what nobody has claimed: nobody can from then on.
+     * Reclaims the unclaimed shards of an ended lease for the same process under its new lease; no member can claim them
+     * from then on.
      *
-     * @param token its new lease
-     * @param former the one that has ended
+     * @param token the token of the new lease
+     * @param former the token of the lease that has ended
      */
     record Reclaim(long token, long former, List<Integer> shards) implements Command {}
 
-    /** Claimed shards' calls are in the claimer's own records now: the former owner's can be dropped. */
+    /** Reports that the calls of claimed shards are in the claimer's own records: the former owner's can be dropped. */
     record Complete(long claimer, long orphan, List<Integer> shards) implements Command {}
 }
--- a/group/src/main/java/pathlane/group/KeyRing.java
+++ b/group/src/main/java/pathlane/group/KeyRing.java
@@ -8,21 +8,21 @@
 import java.util.Set;
 
 /**
- * The group's secrets, from an operator's file: a line a key, {@code NAME HEX}, lines that begin with {@code #} left out.
- * The first signs; all are accepted. To rotate: add the new one as second everywhere, then put it first everywhere, then
- * take the old one out, with a reload after each.
+ * The shared keys of a group, from an operator's file: one key per line as {@code NAME HEX}; lines that begin with
+ * {@code #} are ignored. The first key signs; all are accepted. To rotate: add the new key as the second one everywhere,
+ * then move it to the first place everywhere, then remove the old key, with a reload after each step.
  */
 public record KeyRing(List<Key> keys) {
 
     private static final int LEAST_BYTES = 16;
 
-    /** One secret; 16 bytes at the least. */
+    /** A named secret of at least 16 bytes. */
     public record Key(String name, byte[] secret) {}
 
     /**
-     * Reads the file's text.
+     * Parses the text of the file.
      *
-     * @throws IllegalArgumentException with a sentence that names the line, never the key
+     * @throws IllegalArgumentException if it is invalid; the message names the line and never contains a secret
      */
     public static KeyRing read(String text) {
         List<Key> keys = new ArrayList<>();
@@ -36,15 +36,15 @@
             }
             String[] parts = plain.split("\\s+");
             if (parts.length != 2 || parts[0].getBytes(StandardCharsets.UTF_8).length > Byte.MAX_VALUE) {
-                throw new IllegalArgumentException("line " + number + " of the keys is not a name and hex digits");
+                throw new IllegalArgumentException("line " + number + " of the key file is not 'NAME HEX'");
             }
             keys.add(new Key(parts[0], secret(parts[1], number)));
             if (!names.add(parts[0])) {
-                throw new IllegalArgumentException("line " + number + " of the keys names '" + parts[0] + "' again");
+                throw new IllegalArgumentException("line " + number + " of the key file repeats the key name '" + parts[0] + "'");
             }
         }
         if (keys.isEmpty()) {
-            throw new IllegalArgumentException("the keys' file holds none");
+            throw new IllegalArgumentException("the key file holds no keys");
         }
         return new KeyRing(List.copyOf(keys));
     }
@@ -54,21 +54,21 @@
         try {
             secret = HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("line " + number + " of the keys has a key that is not hex digits");
+            throw new IllegalArgumentException("line " + number + " of the key file has a key that is not hexadecimal");
         }
         if (secret.length < LEAST_BYTES) {
-            throw new IllegalArgumentException("line " + number + " of the keys has a key of " + secret.length
-                    + " bytes; at least 16 are needed");
+            throw new IllegalArgumentException("line " + number + " of the key file has a key of " + secret.length
+                    + " bytes; at least 16 are required");
         }
         return secret;
     }
 
-    /** The one that signs. */
+    /** The key that signs. */
     Key signingKey() {
         return keys.get(0);
     }
 
-    /** The secret of a name, or null. */
+    /** The secret of the key with this name, or null if there is none. */
     byte[] find(String name) {
         return keys.stream().filter(key -> key.name().equals(name)).map(Key::secret).findFirst().orElse(null);
     }
--- a/group/src/main/java/pathlane/group/LeaseExpiryTracker.java
+++ b/group/src/main/java/pathlane/group/LeaseExpiryTracker.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Tells which leases have surely ended, at whichever voter leads. It counts from when this voter applied a renewal,
- * never from when the renewal was sent, and a voter that has just read the register from elsewhere counts from then.
- * What it proposes is void if a renewal gets in between: the register compares the number.
+ * Finds the leases that are certain to have ended, at the voter that leads. It counts from the moment this voter applied a
+ * renewal, never from when the renewal was sent; a voter that has just loaded the registry from a snapshot counts from
+ * that load. A proposed expiry has no effect if a renewal is applied first: the registry compares the renewal number.
  */
 public final class LeaseExpiryTracker {
 
@@ -18,12 +18,12 @@
     private final LeaseTerms terms;
     private final Map<Long, Seen> seen = new HashMap<>();
 
-    /** Has seen no lease yet. */
+    /** Creates a tracker that has observed no lease yet. */
     public LeaseExpiryTracker(LeaseTerms terms) {
         this.terms = terms;
     }
 
-    /** Looks at the register, after each command or each so often; returns what is to be proposed. */
+    /** Observes the registry's renewal numbers, at each tick of the voter; returns the expiries to propose. */
     public List<Command.Expire> dueLeases(LeaseRegistry register, long nowNanos) {
         List<Command.Expire> due = new ArrayList<>();
         for (Member member : register.members()) {
@@ -43,7 +43,7 @@
         return due;
     }
 
-    /** What this voter knows of times is worth nothing: it did not follow the register for a while. */
+    /** Discards all observed times, after a span in which this voter could not apply renewals as they came. */
     public void reset() {
         seen.clear();
     }
--- a/group/src/main/java/pathlane/group/LeaseHolder.java
+++ b/group/src/main/java/pathlane/group/LeaseHolder.java
@@ -9,11 +9,11 @@
 import pathlane.core.Scheduler;
 
 /**
- * A call controller's own lease: requested, renewed, lapsed, lost, and requested anew. It alone says whether the lease is
- * valid. On the loop's thread.
+ * Requests, renews and tracks the lease of this call controller, and requests a new one after a loss. It alone decides
+ * whether the lease is valid. Confined to the event loop's thread.
  *
- * <p>A lease that lapses is not lost: nobody may know yet, and a renewal that the register takes makes it valid again.
- * It is lost once the register says that it has ended.
+ * <p>A lapsed lease is not lost yet: the registry may not have expired it, and the next renewal that the registry accepts
+ * makes it valid again. It is lost once the registry reports that it has ended.
  */
 public final class LeaseHolder {
 
@@ -22,18 +22,18 @@
     private static final Duration GRAIN = Duration.ofMillis(1);
     private static final Duration REFUSED_AGAIN = Duration.ofSeconds(5);
 
-    /** Whoever acts by the lease, notified of its states. */
+    /** Notified of the states of the lease by which it acts. */
     public interface Listener {
-        /** A lease was granted; the one before it, if any, was reported as lost. */
+        /** A lease was granted; the previous one, if any, was reported as lost before. */
         void granted(long token);
 
-        /** The lease is no longer valid: nothing may be done by it. */
+        /** The lease is no longer valid: its holder must not act by it. */
         void lapsed();
 
-        /** The lease that lapsed is valid again, and nobody has acted for this member meanwhile. */
+        /** The lapsed lease is valid again, and no other member has acted for this one in the meantime. */
         void validAgain();
 
-        /** The lease has ended in the register: others may act for this member, or do. */
+        /** The lease has ended in the registry: other members may already act for this one. */
         void lost(long token);
     }
 
@@ -46,9 +46,9 @@
     private final Scheduler scheduler;
     private final LongSupplier nanos;
     private final Listener listener;
-    /** The lease that this process has, 0 while it has none. */
+    /** The token of the current lease, 0 while there is none. */
     private long token;
-    /** The last one that it had. */
+    /** The token of the latest lease of this process, 0 before the first. */
     private long last;
     private long renewals;
     private long validUntil = Long.MIN_VALUE;
@@ -60,7 +60,7 @@
     private Scheduler.Timer next;
 
     /**
-     * Asks for nothing yet.
+     * Creates a holder without a lease; {@link #start} requests one.
      *
      * @param nanos the monotonic clock
      */
@@ -77,32 +77,32 @@
         this.listener = listener;
     }
 
-    /** Asks for a lease, and goes on asking and renewing. */
+    /** Requests a lease, then keeps renewing it or requesting a new one. */
     public void start() {
         turn();
     }
 
-    /** The lease's token, valid or not; 0 while there is none. */
+    /** The token of the current lease, valid or not; 0 while there is none. */
     public long token() {
         return token;
     }
 
-    /** Whether the lease is valid now. Asked where bytes are written: what passes after this is the write lag. */
+    /** Whether the lease is valid now. Checked right before a write: the time from here to the write is the write lag. */
     public boolean isValid() {
         return token != 0 && !leaving && nanos.getAsLong() < validUntil;
     }
 
-    /** Whether there is a lease, and it has lapsed. */
+    /** Whether there is a lease and it has lapsed. */
     public boolean hasLapsed() {
         return token != 0 && !leaving && !isValid();
     }
 
-    /** All that kept records for this member have said that they dropped them: nobody can act for it any more. */
+    /** All replica holders have confirmed that they dropped this member's records: no member can act for it any more. */
     public void replicasDropped() {
         emptied = true;
     }
 
-    /** A planned end: from now on nothing is done by the lease, and what is left may be claimed at once. */
+    /** Gives the lease up: it is invalid from now on, and the remaining shards may be claimed at once. */
     public void leave() {
         if (leaving) {
             return;
@@ -122,7 +122,7 @@
         });
     }
 
-    /** One renewal, or one try for a lease; then the next. */
+    /** Submits one renewal, or one request for a lease; its reply schedules the next. */
     private void turn() {
         if (leaving || asking) {
             return;
@@ -164,7 +164,7 @@
             watchLapse();
             next(terms.renewInterval());
         } else if (answered.isPresent() && answered.get() instanceof Reply.Refused refused) {
-            LOG.log(Level.WARNING, "no lease for {0}: {1}", name, refused.why());
+            LOG.log(Level.WARNING, "lease request of {0} was refused: {1}", name, refused.why());
             next(REFUSED_AGAIN);
         } else {
             next(ASK_AGAIN);
@@ -176,7 +176,7 @@
             return;
         }
         if (asked != token) {
-            next(Duration.ZERO);   // seen to have ended while the answer was on its way
+            next(Duration.ZERO);   // the lease was seen to have ended while the reply was in flight
         } else if (answered.isPresent() && answered.get() instanceof Reply.Ended ended && ended.tokens().contains(asked)) {
             lose();
             next(Duration.ZERO);
@@ -184,7 +184,7 @@
             validUntil = Math.max(validUntil, sentAt + terms.validFor().toNanos());
             if (lapsed && isValid()) {
                 lapsed = false;
-                emptied = false;   // records are sent again from now on
+                emptied = false;   // records are replicated again from now on
                 LOG.log(Level.INFO, "lease {0} is valid again", Long.toString(token));
                 listener.validAgain();
             }
@@ -195,7 +195,7 @@
         }
     }
 
-    /** The register was seen to have ended the lease. */
+    /** The registry was seen to have ended this lease. */
     public void observedEnd(long ended) {
         if (ended == token && token != 0 && !leaving) {
             lose();
@@ -210,14 +210,15 @@
         token = 0;
         validUntil = Long.MIN_VALUE;
         cancelLapse();
-        LOG.log(Level.WARNING, "lease {0} has ended in the register; {1} asks for another", Long.toString(ended), name);
+        LOG.log(Level.WARNING, "lease {0} has ended in the registry; {1} requests a new one", Long.toString(ended), name);
         listener.lost(ended);
     }
 
     private void watchLapse() {
         cancelLapse();
         Duration left = Duration.ofNanos(validUntil - nanos.getAsLong());
-        // The two clocks differ: a timer that comes early is set again, and must not come at once each time.
+        // The scheduler's clock differs from the lease's: a timer that fires early is set again, and must not fire at once
+        // each time.
         lapse = scheduler.after(left.compareTo(GRAIN) > 0 ? left : GRAIN, this::lapseIfDue);
     }
 
@@ -230,7 +231,7 @@
             return;
         }
         lapsed = true;
-        LOG.log(Level.WARNING, "lease {0} has lapsed: the register was not reached in time", Long.toString(token));
+        LOG.log(Level.WARNING, "lease {0} has lapsed: the registry did not confirm a renewal in time", Long.toString(token));
         listener.lapsed();
     }
 
--- a/group/src/main/java/pathlane/group/LeaseRegistry.java
+++ b/group/src/main/java/pathlane/group/LeaseRegistry.java
@@ -25,9 +25,8 @@
  * without a clock: the same commands in the same order give the same state at every voter, and at every member that follows
  * them. Not thread-safe.
  *
- * <p>Invariants, which the tests check after each command: a token is granted once and tokens only grow; an orphaned shard
- * has at most one owner with a live lease; its owner is one of the replica holders that the former owner's last replicated
- * view names.
+ * <p>Invariants after each command: a token is granted once and tokens only increase; an orphaned shard has at most one
+ * owner with a live lease; that owner is one of the replica holders in the former owner's last replicated view.
  */
 public final class LeaseRegistry {
 
@@ -35,7 +34,7 @@
     static final class Lease {
         final Member member;
         long renewals;
-        /** The view by which all its records are placed; 0 while none are. */
+        /** The view in which all records of the member are replicated; 0 while none are. */
         long replicatedView;
 
         Lease(Member member) {
@@ -46,35 +45,35 @@
     private final UnclaimableShards unclaimable = new UnclaimableShards();
     private final SortedMap<Long, Lease> leases = new TreeMap<>();
     private final SortedMap<Long, OrphanedShards> orphans = new TreeMap<>();
-    /** The members of the present view, and of each one that still places records. */
+    /** The members of the current view and of each earlier view by which records are still placed. */
     private final SortedMap<Long, List<Member>> views = new TreeMap<>();
     private long lastToken;
     private long view;
     private int replicaCount;
 
-    /** An empty registry. */
+    /** Creates an empty registry. */
     public LeaseRegistry() {
         views.put(view, List.of());
     }
 
-    // ---- its state
+    // ---- queries
 
-    /** The number of the present view; it grows whenever a lease begins or ends. */
+    /** The number of the current view; it increases whenever a lease begins or ends. */
     public long view() {
         return view;
     }
 
-    /** The members of the present view, by token. */
+    /** The members of the current view, by token. */
     public List<Member> members() {
         return views.get(view);
     }
 
-    /** The greatest token that was granted. */
+    /** The greatest token granted so far. */
     public long lastToken() {
         return lastToken;
     }
 
-    /** How many members hold a replica of each record. */
+    /** The number of replica holders of each record. */
     public int replicaCount() {
         return replicaCount;
     }
@@ -84,7 +83,7 @@
         return leases.containsKey(token);
     }
 
-    /** The live member of this name, the latest where a former process's lease still runs. */
+    /** The live member of this name; the latest one if the lease of an earlier process has not ended yet. */
     public Optional<Member> memberNamed(String name) {
         return members().stream().filter(member -> member.name().equals(name)).reduce((first, second) -> second);
     }
@@ -94,29 +93,29 @@
         return Optional.ofNullable(leases.get(token)).map(lease -> lease.member);
     }
 
-    /** How often a lease was renewed; -1 where it has ended. */
+    /** The number of the latest renewal of a lease; -1 if the lease has ended. */
     public long renewals(long token) {
         Lease lease = leases.get(token);
         return lease == null ? -1 : lease.renewals;
     }
 
-    /** The view by which a live member's records are placed; 0 while none are replicated, or it has no lease. */
+    /** The view in which all records of a live member are replicated; 0 while none are, or if it has no lease. */
     public long replicatedView(long token) {
         Lease lease = leases.get(token);
         return lease == null ? 0 : lease.replicatedView;
     }
 
-    /** The orphaned shards that are not completed, by the token of their former owner. */
+    /** The orphaned shards that are not completed, ordered by the token of their former owner. */
     public Collection<OrphanedShards> orphans() {
         return Collections.unmodifiableCollection(orphans.values());
     }
 
-    /** The orphaned shards of one that has gone. */
+    /** The orphaned shards of a former member. */
     public Optional<OrphanedShards> orphan(long token) {
         return Optional.ofNullable(orphans.get(token));
     }
 
-    /** The replica holders of a member's shard by a view that is still known, the first successor first. */
+    /** The replica holders of a member's shard in a view that is still known, the first successor first. */
     public List<Member> replicaHolders(long owner, int shard, long inView) {
         return ShardPlacement.replicaHolders(shard, views.getOrDefault(inView, List.of()), owner, replicaCount);
     }
@@ -127,7 +126,7 @@
                 .filter(member -> isLive(member.token())).toList();
     }
 
-    /** Who acts on a shard of one that may have gone: the live owner, by following the claims; empty where nobody does. */
+    /** The live owner of a shard of a current or former member, found by following the claims; empty if there is none. */
     public Optional<Member> currentOwner(long token, int shard) {
         long at = token;
         for (int hops = 0; hops <= orphans.size(); hops++) {
@@ -144,15 +143,15 @@
         return Optional.empty();
     }
 
-    /** Whether a shard of one that has gone is unclaimed, or left to nobody: its process may yet take it back. */
+    /** Whether a shard of a former member is unclaimed or unclaimable, so that its own process may still reclaim it. */
     public boolean isReclaimable(long token, int shard) {
         OrphanedShards orphan = orphans.get(token);
         return orphan != null && orphan.isUnclaimed(shard) || unclaimable.contains(token, shard);
     }
 
-    // ---- its commands
+    // ---- commands
 
-    /** Carries a command out. */
+    /** Carries out a command. */
     public Reply apply(Command command) {
         if (command instanceof Join join) {
             return join(join);
@@ -184,13 +183,13 @@
             return early.get();
         }
         replicaCount = join.replicaCount();
-        // One that listens where the former one did shows that its process is gone; else that lease runs out by itself.
+        // A process that listens at the same address shows that the earlier one has ended; otherwise that lease must expire.
         known.filter(member -> member.incarnation() == join.incarnation() || member.address().equals(join.address()))
                 .ifPresent(member -> end(member.token(),
                         join.areReplicasDropped() && member.token() == join.previousToken()));
         OrphanedShards previous = orphans.get(join.previousToken());
         if (join.areReplicasDropped() && previous != null && previous.isUnclaimed()) {
-            orphans.remove(join.previousToken());   // nobody has any of its records any more
+            orphans.remove(join.previousToken());   // no member has any of its records any more
         }
         unclaimable.removeReplaced(join.name(), join.incarnation(), join.address());
         Member member = new Member(join.name(), join.incarnation(), join.address(), ++lastToken);
@@ -199,14 +198,14 @@
         return new Reply.Granted(member.token());
     }
 
-    /** What a process hears at once whose name a live member has. */
+    /** The immediate reply to a join under the name of a live member, if there is one. */
     private static Optional<Reply> answerKnown(Join join, Member member) {
         boolean isSameProcess = member.incarnation() == join.incarnation();
         if (isSameProcess && join.previousToken() < member.token()) {
-            return Optional.of(new Reply.Granted(member.token()));   // its answer got lost
+            return Optional.of(new Reply.Granted(member.token()));   // the previous reply was lost
         }
         if (!isSameProcess && join.previousToken() > 0) {
-            // A process that was stopped has woken up after another one was started in its place.
+            // A suspended process has resumed after another one was started in its place.
             return Optional.of(new Reply.Refused("another process has joined as " + join.name()));
         }
         return Optional.empty();
@@ -273,7 +272,7 @@
             Optional<OrphanedShards> orphan = orphan(reclaim.former());
             for (int shard : reclaim.shards()) {
                 if (wasTakenOverBy(reclaim.former(), shard)) {
-                    continue;   // what it had taken over is still looked up in its records
+                    continue;   // calls that it had adopted are still looked up in its records
                 }
                 boolean isUnclaimed = orphan.filter(shards -> shards.isUnclaimed(shard)).isPresent();
                 if (isUnclaimed) {
@@ -301,8 +300,8 @@
         if (orphan != null) {
             for (int shard : complete.shards()) {
                 Long owner = orphan.owners().get(shard);
-                // What the former owner had itself taken over is looked up in its records by whoever took that over from it:
-                // two would go on with one call.
+                // Calls that the former owner had itself adopted are looked up in its records by their next owner: if the
+                // shard were removed here, two members would continue one call.
                 if (owner != null && owner == complete.claimer() && isLive(owner)
                         && !wasTakenOverBy(complete.orphan(), shard)) {
                     orphan.remove(shard);
@@ -317,7 +316,7 @@
         return orphans.values().stream().anyMatch(orphan -> orphan.hasBeenOwnedBy(token, shard));
     }
 
-    /** A lease has ended; what it replicated is orphaned, unless nobody has any of its records. */
+    /** Ends a lease: its replicated shards become orphaned, or unclaimable if no member has its records. */
     private void end(long token, boolean areReplicasDropped) {
         Lease lease = leases.remove(token);
         if (lease == null) {
@@ -340,7 +339,7 @@
         forgetUnusedViews();
     }
 
-    /** Shards whose replica holders have all gone are lost with them: records are kept in memory alone. */
+    /** Drops shards without a live replica holder: records exist in memory only, so they are lost with their holders. */
     private void dropLostShards() {
         for (OrphanedShards orphan : List.copyOf(orphans.values())) {
             BitSet lost = new BitSet();
@@ -363,9 +362,9 @@
         views.keySet().retainAll(used);
     }
 
-    // ---- as a snapshot
+    // ---- snapshots
 
-    /** The whole state, for {@link RegistryCodec}. */
+    /** The complete state, for {@link RegistryCodec}. */
     record Snapshot(long lastToken, long view, int replicaCount, SortedMap<Long, Lease> leases,
             SortedMap<Long, OrphanedShards> orphans, SortedMap<Long, UnclaimableShards.Entry> unclaimable,
             SortedMap<Long, List<Member>> views) {}
--- a/group/src/main/java/pathlane/group/LeaseTerms.java
+++ b/group/src/main/java/pathlane/group/LeaseTerms.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * What a lease lasts, and what is assumed of clocks and processes. The holder counts from when it sent the renewal and
- * stops early; the register counts from when it applied the renewal, which is later, and ends the lease late. Between
- * the two lies what the clocks may drift apart, and what may pass between a check and the bytes that it allowed.
+ * The length of a lease and the bounds assumed for clocks and processes. The holder counts from the moment it sent a
+ * renewal and stops early. The registry counts from the moment it applied the renewal, which is later, and expires the
+ * lease late. The gap between the two covers clock drift and the time from a validity check to the write that it allows.
  *
- * @param length of a lease, from 300 ms
- * @param drift by how much a monotonic clock may run fast or slow, as a part; from 0 to 0.2
- * @param writeLag how long after its check a write may still leave; from 0 to a quarter of the length
+ * @param length of a lease, at least 300 ms
+ * @param drift the largest relative error of a monotonic clock, fast or slow; from 0 to 0.2
+ * @param writeLag the longest time from a validity check to its write; from 0 to a quarter of the length
  */
 public record LeaseTerms(Duration length, double drift, Duration writeLag) {
 
@@ -18,34 +18,34 @@
     private static final int RENEWALS = 3;
     private static final int PARTS = 4;
 
-    /** Three seconds, a clock that is off by a hundredth, 100 ms from a check to its bytes. */
+    /** A lease of 3 s, clocks that are off by at most 1 %, and 100 ms from a check to its write. */
     public static final LeaseTerms DEFAULT = new LeaseTerms(Duration.ofSeconds(3), 0.01, Duration.ofMillis(100));
 
-    /** @throws IllegalArgumentException with a sentence where a figure is out of its range */
+    /** @throws IllegalArgumentException if a value is out of range; the message says which */
     public LeaseTerms {
         if (length.compareTo(LEAST) < 0) {
-            throw new IllegalArgumentException("a lease of " + length.toMillis() + " ms is under the 300 ms that it takes");
+            throw new IllegalArgumentException("lease length of " + length.toMillis() + " ms is below the minimum of 300 ms");
         }
         if (!(drift >= 0 && drift <= MOST_DRIFT)) {
-            throw new IllegalArgumentException("a drift of " + drift + " is not from 0 to 0.2");
+            throw new IllegalArgumentException("clock drift of " + drift + " is not between 0 and 0.2");
         }
         if (writeLag.isNegative() || writeLag.multipliedBy(PARTS).compareTo(length) > 0) {
-            throw new IllegalArgumentException("a write lag of " + writeLag.toMillis()
-                    + " ms is not from 0 to a quarter of the lease");
+            throw new IllegalArgumentException("write lag of " + writeLag.toMillis()
+                    + " ms is not between 0 and a quarter of the lease length");
         }
     }
 
-    /** How long the holder may act, from when it sent its renewal, by its own clock. */
+    /** How long the holder may act after it sent a renewal, by its own clock. */
     public Duration validFor() {
         return Duration.ofNanos((long) (length.toNanos() * (1 - drift))).minus(writeLag);
     }
 
-    /** How long the register waits from when it applied a renewal, by whichever voter's clock, to end the lease. */
+    /** How long after applying a renewal the registry expires the lease, by the clock of the leading voter. */
     public Duration expireAfter() {
         return Duration.ofNanos((long) (length.toNanos() * (1 + drift)));
     }
 
-    /** How often a holder renews: twice it may fail before the lease is no longer valid. */
+    /** The interval between renewals: a third of the length, so that two may fail before the lease lapses. */
     public Duration renewInterval() {
         return length.dividedBy(RENEWALS);
     }
--- a/group/src/main/java/pathlane/group/Member.java
+++ b/group/src/main/java/pathlane/group/Member.java
@@ -1,11 +1,11 @@
 package pathlane.group;
 
 /**
- * One call controller as the register knows it, for as long as one lease lasts.
+ * A call controller in the registry, for the duration of one lease.
  *
- * @param name its name, the same after a restart; the places of records hang on it
- * @param incarnation drawn anew at each start of its process
- * @param address where other members reach it, as {@code host:port}
- * @param token the number of its lease: greater than that of every lease before
+ * @param name the same after a restart; it determines the placement of records
+ * @param incarnation drawn anew at each start of the process
+ * @param address where other members connect to it, as {@code host:port}
+ * @param token the token of its lease: greater than that of every earlier lease
  */
 public record Member(String name, long incarnation, String address, long token) {}
--- a/group/src/main/java/pathlane/group/OrphanedShards.java
+++ b/group/src/main/java/pathlane/group/OrphanedShards.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 
 /**
- * The calls, by shard, of a member whose lease has ended. Part of {@link LeaseRegistry}, which alone changes it; not
- * thread-safe.
+ * The shards of calls of a member whose lease has ended, and who has claimed them. Part of {@link LeaseRegistry}, which
+ * alone changes it; not thread-safe.
  */
 public final class OrphanedShards {
 
-    /** The token of a shard's owner while nobody has claimed it. */
+    /** The owner token of a shard that no member has claimed. */
     public static final long NOBODY = 0;
 
     private final Member former;
@@ -26,7 +26,7 @@
         this.view = view;
     }
 
-    /** All shards of a member that has gone, none of them claimed. */
+    /** All shards of a former member, none of them claimed. */
     static OrphanedShards unclaimed(Member former, long view) {
         OrphanedShards orphan = new OrphanedShards(former, view);
         for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
@@ -35,7 +35,7 @@
         return orphan;
     }
 
-    /** A copy of another registry's state. */
+    /** Creates an instance from a snapshot. */
     static OrphanedShards restore(Member former, long view, Map<Integer, Long> owners,
             Map<Integer, List<Long>> previousOwners) {
         OrphanedShards orphan = new OrphanedShards(former, view);
@@ -44,44 +44,44 @@
         return orphan;
     }
 
-    /** Whose calls they were. */
+    /** The member that owned the shards until its lease ended. */
     public Member former() {
         return former;
     }
 
-    /** The view by which the replicas of the calls are placed. */
+    /** The view that determines where the replicas of the shards are placed. */
     public long view() {
         return view;
     }
 
-    /** Shards that are not completed, with the token of who has claimed each, or {@link #NOBODY}. */
+    /** The shards that are not completed, each with the token of its claimer or {@link #NOBODY}. */
     public Map<Integer, Long> owners() {
         return Collections.unmodifiableMap(owners);
     }
 
-    /** The tokens of those that owned a shard and have gone in their turn, the first first. */
+    /** The tokens of the claimers of a shard whose own leases have ended since, in order of their claims. */
     public List<Long> previousOwners(int shard) {
         return previousOwners.getOrDefault(shard, List.of());
     }
 
-    /** Whether a shard is not completed and nobody has claimed it. */
+    /** Whether a shard is neither completed nor claimed. */
     boolean isUnclaimed(int shard) {
         Long owner = owners.get(shard);
         return owner != null && owner == NOBODY;
     }
 
-    /** Whether nobody has claimed any shard. */
+    /** Whether no shard is claimed. */
     boolean isUnclaimed() {
         return owners.values().stream().allMatch(owner -> owner == NOBODY);
     }
 
-    /** Whether a member owns a shard that is not completed, or owned it and has gone. */
+    /** Whether a member owns an uncompleted shard, or owned it before its own lease ended. */
     boolean hasBeenOwnedBy(long token, int shard) {
         Long owner = owners.get(shard);
         return owner != null && (owner == token || previousOwners(shard).contains(token));
     }
 
-    /** A member owns a shard from now on. What a former owner of it began is in that one's own records. */
+    /** Makes a member the owner of a shard. The calls that a previous owner has adopted are in that owner's own records. */
     void assign(int shard, long token) {
         long before = owners.put(shard, token);
         if (before != NOBODY && before != token) {
@@ -89,12 +89,12 @@
         }
     }
 
-    /** A shard is completed, taken back or lost: nobody can claim it any more. */
+    /** Removes a shard that is completed, reclaimed or lost: it can't be claimed any more. */
     void remove(int shard) {
         owners.remove(shard);
     }
 
-    /** Whether no shard is left. */
+    /** Whether no shards remain. */
     boolean isEmpty() {
         return owners.isEmpty();
     }
--- a/group/src/main/java/pathlane/group/RegistryAccess.java
+++ b/group/src/main/java/pathlane/group/RegistryAccess.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The narrow way to the register: whatever agrees on it stands behind this. On the loop's thread. */
+/** Access to the registry, independent of how voters agree on it. Confined to the event loop's thread. */
 public interface RegistryAccess {
 
     /**
-     * Asks for a command. The answer comes once, never within this call; empty where it is not known whether the command
-     * was carried out. It may be asked again then: commands can be applied twice.
+     * Submits a command. The callback runs once, never within this call; it is empty if it is unknown whether the command
+     * was carried out. The command may be submitted again then: commands are idempotent.
      */
     void submit(Command command, Consumer<Optional<Reply>> answered);
 
-    /** The register as far as it was followed; it may be behind, so it proves nothing but what no change can undo. */
+    /** The local replica of the registry. It may be behind: rely only on facts that no later command can undo. */
     LeaseRegistry registry();
 }
--- a/group/src/main/java/pathlane/group/RegistryClient.java
+++ b/group/src/main/java/pathlane/group/RegistryClient.java
@@ -18,12 +18,12 @@
 import pathlane.wire.BadInput;
 
 /**
- * A member's way to the register: one connection to the voter that leads, found by asking one after the other. It asks
- * commands there and follows what the register does. On the loop's thread.
+ * A member's client of the registry: one connection to the leading voter, found by trying one voter after the other. It
+ * submits commands there and follows the registry in a local replica. Confined to the event loop's thread.
  *
- * <p>Messages are MessagePack. To a voter: {@code ASK id command}. From it: {@code ANSWER id reply}, {@code ELSEWHERE}
- * where it does not lead, {@code STATE index register}, {@code APPLIED index command} for each command after it but
- * renewals, and {@code ALIVE index} each so often.
+ * <p>Messages are MessagePack. To a voter: {@code REQUEST id command}. From it: {@code REPLY id reply}, {@code NOT_LEADER}
+ * if it does not lead, {@code SNAPSHOT index registry}, {@code APPLIED index command} for each later command except
+ * renewals, and {@code HEARTBEAT index} at a fixed interval.
  */
 public final class RegistryClient implements RegistryAccess {
 
@@ -37,7 +37,7 @@
 
     private static final Duration DIAL_TIMEOUT = Duration.ofMillis(500);
     private static final Duration NEXT_VOTER = Duration.ofMillis(100);
-    /** A leader says that it is there five times in this. */
+    /** A leader sends five heartbeats in this time. */
     static final Duration SILENCE = Duration.ofSeconds(1);
     private static final Duration UNANSWERED = Duration.ofSeconds(1);
 
@@ -57,9 +57,9 @@
     private record Waiting(Consumer<Optional<Reply>> answered, Scheduler.Timer timer) {}
 
     /**
-     * Dials nothing yet.
+     * Creates a client without a connection; {@link #start} connects.
      *
-     * @param changed run after each change of the register that was followed
+     * @param changed run after each change of the local replica of the registry
      */
     public RegistryClient(List<InetSocketAddress> voters, Connector dialer, AuthenticatedLink.Context common,
             Runnable changed) {
@@ -70,12 +70,12 @@
         this.changed = changed;
     }
 
-    /** Begins to look for the voter that leads. */
+    /** Starts to connect to the voters in turn until one leads. */
     public void start() {
         dial();
     }
 
-    /** Ends; nothing is answered any more. */
+    /** Closes the connection for good; later commands get no reply. */
     public void stop() {
         stopped = true;
         if (session != null) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Whether a voter that leads is connected and was heard lately. */
+    /** Whether the client is connected to a leading voter and follows it. */
     public boolean isConnected() {
         return session != null && session.following;
     }
@@ -167,13 +167,13 @@
                 case STATE -> {
                     long at = unpacker.unpackLong();
                     if (at < index) {
-                        link.close(CloseReason.OVERTAKEN);   // it led once, and does not know that it is behind
+                        link.close(CloseReason.OVERTAKEN);   // a former leader that has not noticed that it is behind
                         return;
                     }
                     seen = RegistryCodec.register(binary(unpacker));
                     index = at;
                     if (!following) {
-                        LOG.log(Level.INFO, "register is led by the voter at {0}", voters.get(voter));
+                        LOG.log(Level.INFO, "connected to the voter at {0}, which leads the registry", voters.get(voter));
                     }
                     following = true;
                     changed.run();
@@ -184,7 +184,7 @@
                     changed.run();
                 }
                 case ALIVE -> {}
-                default -> throw new BadInput("a message of kind " + kind + " from a voter");
+                default -> throw new BadInput("unknown message kind " + kind + " from a voter");
             }
         }
 
@@ -197,7 +197,7 @@
                 return;
             }
             if (following) {
-                LOG.log(Level.WARNING, "the voter at {0}, which led the register, is lost: {1}", voters.get(voter), end);
+                LOG.log(Level.WARNING, "the voter at {0}, which led the registry, is lost: {1}", voters.get(voter), end);
             }
             following = false;
             List.copyOf(waiting.keySet()).forEach(id -> answer(id, Optional.empty()));
--- a/group/src/main/java/pathlane/group/RegistryCodec.java
+++ b/group/src/main/java/pathlane/group/RegistryCodec.java
@@ -13,7 +13,7 @@
 import org.msgpack.core.MessageUnpacker;
 import pathlane.wire.BadInput;
 
-/** The register's commands, answers and whole state as MessagePack: arrays, each with its kind first. */
+/** Encodes the registry's commands, replies and snapshots as MessagePack: a kind, then the fields in a fixed order. */
 public final class RegistryCodec {
 
     private static final int JOIN = 1;
@@ -31,37 +31,37 @@
     private static final int DONE = 4;
     private static final int REFUSED = 5;
 
-    /** Guards memory against lengths that no group has. */
+    /** Bounds the memory that a malformed array length can make a reader allocate; no group reaches it. */
     private static final int MOST_ITEMS = 1 << 20;
 
     private RegistryCodec() {}
 
-    /** A command's bytes. */
+    /** Encodes a command. */
     public static byte[] bytes(Command command) {
         return packed(packer -> write(packer, command));
     }
 
-    /** @throws BadInput where it is none */
+    /** @throws BadInput if the bytes are not a command */
     public static Command command(byte[] bytes) {
         return read(bytes, RegistryCodec::command);
     }
 
-    /** A reply's bytes. */
+    /** Encodes a reply. */
     public static byte[] bytes(Reply reply) {
         return packed(packer -> write(packer, reply));
     }
 
-    /** @throws BadInput where it is none */
+    /** @throws BadInput if the bytes are not a reply */
     public static Reply reply(byte[] bytes) {
         return read(bytes, RegistryCodec::reply);
     }
 
-    /** The bytes of the whole state. */
+    /** Encodes a snapshot of the registry. */
     public static byte[] bytes(LeaseRegistry register) {
         return packed(packer -> write(packer, register.snapshot()));
     }
 
-    /** @throws BadInput where it is none */
+    /** @throws BadInput if the bytes are not a snapshot */
     public static LeaseRegistry register(byte[] bytes) {
         return read(bytes, unpacker -> LeaseRegistry.restore(whole(unpacker)));
     }
@@ -79,7 +79,7 @@
             writer.write(packer);
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new UncheckedIOException(e);   // a buffer in memory has none
+            throw new UncheckedIOException(e);   // can't happen: an in-memory buffer does no I/O
         }
     }
 
@@ -87,14 +87,14 @@
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(unpacker);
         } catch (IOException | MessagePackException e) {
-            throw new BadInput("not a message of the group: " + e.getMessage());
+            throw new BadInput("not a valid registry message: " + e.getMessage());
         }
     }
 
     static int items(MessageUnpacker unpacker) throws IOException {
         int items = unpacker.unpackArrayHeader();
         if (items > MOST_ITEMS) {
-            throw new BadInput(items + " items");
+            throw new BadInput(items + " items exceed the limit of 1048576");
         }
         return items;
     }
@@ -105,8 +105,8 @@
                     .packLong(join.previousToken()).packInt(join.replicaCount()).packBoolean(join.areReplicasDropped());
         } else if (command instanceof Command.Renew renew) {
             packer.packInt(RENEW).packArrayHeader(renew.renewals().size());
-            for (Command.Renewal one : renew.renewals()) {
-                packer.packLong(one.token()).packLong(one.number());
+            for (Command.Renewal renewal : renew.renewals()) {
+                packer.packLong(renewal.token()).packLong(renewal.number());
             }
         } else if (command instanceof Command.Leave leave) {
             packer.packInt(LEAVE).packLong(leave.token());
@@ -160,7 +160,7 @@
             case SETTLE -> {
                 return new Command.Complete(unpacker.unpackLong(), unpacker.unpackLong(), shards(unpacker));
             }
-            default -> throw new BadInput("a command of kind " + kind);
+            default -> throw new BadInput("unknown command kind " + kind);
         }
     }
 
@@ -216,7 +216,7 @@
             case REFUSED -> {
                 return new Reply.Refused(unpacker.unpackString());
             }
-            default -> throw new BadInput("an answer of kind " + kind);
+            default -> throw new BadInput("unknown reply kind " + kind);
         }
     }
 
@@ -249,9 +249,9 @@
             }
         }
         packer.packArrayHeader(whole.unclaimable().size());
-        for (UnclaimableShards.Entry one : whole.unclaimable().values()) {
-            write(packer, one.former());
-            byte[] shards = one.shards().toByteArray();
+        for (UnclaimableShards.Entry entry : whole.unclaimable().values()) {
+            write(packer, entry.former());
+            byte[] shards = entry.shards().toByteArray();
             packer.packBinaryHeader(shards.length);
             packer.writePayload(shards);
         }
--- a/group/src/main/java/pathlane/group/Reply.java
+++ b/group/src/main/java/pathlane/group/Reply.java
@@ -2,24 +2,24 @@
 
 import java.util.List;
 
-/** What the registry says to a command. */
+/** The registry's reply to a command. */
 public sealed interface Reply {
 
-    /** The lease is granted, under this token. */
+    /** A lease was granted with this token. */
     record Granted(long token) implements Reply {}
 
-    /** Of the leases that were asked for, these have ended. */
+    /** Those leases of the command that have ended. */
     record Ended(List<Long> tokens) implements Reply {}
 
-    /** Of the shards that were asked for, these are the asker's from now on. */
+    /** Those shards of the command that the member owns from now on. */
     record Owned(List<Integer> shards) implements Reply {}
 
-    /** Done, or nothing was left to do. */
+    /** The command is carried out, or there was nothing to do. */
     record Done() implements Reply {}
 
-    /** It can't be done, for this reason; asking again does not help. */
+    /** The command can't be carried out for this reason; a retry does not help. */
     record Refused(String why) implements Reply {}
 
-    /** The only instance that is needed. */
+    /** The shared instance. */
     Reply DONE = new Done();
 }
--- a/group/src/main/java/pathlane/group/ShardPlacement.java
+++ b/group/src/main/java/pathlane/group/ShardPlacement.java
@@ -7,30 +7,30 @@
 import java.util.List;
 
 /**
- * Which members keep the records of which calls: rendezvous hashing (Thaler and Ravishankar, 1998) of shards over names,
- * so that a member that goes or comes moves only its own share, and a call controller's calls are spread over all the
- * others. Pure: the same members give the same places everywhere.
+ * Places the replicas of call records on members by rendezvous hashing (Thaler and Ravishankar, 1998) of shards and member
+ * names, so that a member that joins or leaves moves only its own share, and the calls of one controller are spread over
+ * all others. Pure: the same members give the same placement everywhere.
  */
 public final class ShardPlacement {
 
-    /** Calls are placed by shard; each shard of a member that has gone is claimed by itself. */
+    /** The number of shards. Calls are placed by shard, and each orphaned shard is claimed separately. */
     public static final int SHARDS = 256;
 
     private static final Hasher64 HASH = Hashing.komihash5_0();
 
     private ShardPlacement() {}
 
-    /** The shard of a call, from 0 to {@link #SHARDS} less one. */
+    /** The shard of a call, from 0 to {@link #SHARDS} - 1. */
     public static int shardOf(String call) {
         return (int) Long.remainderUnsigned(HASH.hashCharsToLong(call), SHARDS);
     }
 
     /**
-     * The members that keep a shard's records for an owner, first the one that is to take over.
+     * The members that hold the replicas of an owner's shard, the first successor first.
      *
-     * @param members those of one view
-     * @param owner the token of the member whose calls they are; it is none of its own holders
-     * @param copies how many keep a record; fewer where there are fewer members
+     * @param members the members of one view
+     * @param owner the token of the member that owns the calls; it is never one of their replica holders
+     * @param copies the number of replica holders; fewer are returned where there are fewer members
      */
     public static List<Member> replicaHolders(int shard, List<Member> members, long owner, int copies) {
         record Scored(Member member, long score) {}
--- a/group/src/main/java/pathlane/group/UnclaimableShards.java
+++ b/group/src/main/java/pathlane/group/UnclaimableShards.java
@@ -7,30 +7,30 @@
 import java.util.TreeMap;
 
 /**
- * Shards of members that have gone which nobody can claim, since nobody has their records: a member's own process alone may
- * take them back. Part of {@link LeaseRegistry}; not thread-safe.
+ * Shards of former members that no member can claim, since none has their records: only the former member's own process
+ * may reclaim them. Part of {@link LeaseRegistry}; not thread-safe.
  */
 final class UnclaimableShards {
 
-    /** The shards of one member. */
+    /** The unclaimable shards of one former member. */
     record Entry(Member former, BitSet shards) {}
 
-    /** Names that never come back do not make the registry grow: the oldest go first. */
+    /** Bounds the registry's memory against members that never return; the oldest entries are evicted first. */
     private static final int MOST_MEMBERS = 1_024;
 
     private final SortedMap<Long, Entry> entries = new TreeMap<>();
 
-    /** The entries, by the token of the member that has gone. */
+    /** The entries, by the token of the former member. */
     SortedMap<Long, Entry> entries() {
         return Collections.unmodifiableSortedMap(entries);
     }
 
-    /** Puts an entry of another registry's state. */
+    /** Adds an entry from a snapshot. */
     void restore(Entry entry) {
         entries.put(entry.former.token(), entry);
     }
 
-    /** Nobody has the records of these shards of a member that has gone. */
+    /** Adds shards of a former member whose records no member has. */
     void add(Member former, BitSet shards) {
         if (!shards.isEmpty()) {
             entries.computeIfAbsent(former.token(), token -> new Entry(former, new BitSet())).shards.or(shards);
@@ -41,18 +41,18 @@
         }
     }
 
-    /** Whose shards they are. */
+    /** The former member with this token, if it has an entry. */
     Optional<Member> former(long token) {
         return Optional.ofNullable(entries.get(token)).map(Entry::former);
     }
 
-    /** Whether a shard of a member that has gone is among them. */
+    /** Whether a shard of a former member is unclaimable. */
     boolean contains(long token, int shard) {
         Entry entry = entries.get(token);
         return entry != null && entry.shards.get(shard);
     }
 
-    /** Its process takes a shard back; false where it is not among them. */
+    /** Gives a shard back to the former member's process; false if the shard is not unclaimable. */
     boolean takeBack(long token, int shard) {
         boolean isContained = contains(token, shard);
         if (isContained) {
@@ -61,7 +61,7 @@
         return isContained;
     }
 
-    /** A process has started where the one that had them ran: they are gone with that. */
+    /** Removes the shards of a process that a new one replaced at the same name and address: its calls died with it. */
     void removeReplaced(String name, long incarnation, String address) {
         entries.values().removeIf(entry -> entry.former.name().equals(name) && entry.former.incarnation() != incarnation
                 && entry.former.address().equals(address));
--- a/group/src/main/java/pathlane/group/Voter.java
+++ b/group/src/main/java/pathlane/group/Voter.java
@@ -20,8 +20,9 @@
 import pathlane.wire.BadInput;
 
 /**
- * A voter's part towards members: it holds the register as the agreed log makes it, carries out what members ask while it
- * leads, lets them follow, gathers their renewals, and ends leases that were not renewed. On the loop's thread.
+ * The member-facing side of a voter: it holds the registry as built from the replicated log and, while it leads, submits the
+ * commands of members, streams changes to them, batches their renewals, and expires leases that were not renewed. Confined
+ * to the event loop's thread.
  */
 public final class Voter {
 
@@ -30,7 +31,7 @@
     private static final Duration TICK = Duration.ofMillis(50);
     private static final Duration OWN_STALL = Duration.ofMillis(500);
     private static final int ALIVE_EACH = 4;
-    /** Guards a follower that does not read against taking the voter's memory. */
+    /** Bounds the memory that a member which does not read its replies can take. */
     private static final int MOST_ASKS = 10_000;
 
     private final AuthenticatedLink.Context common;
@@ -57,32 +58,32 @@
         this.expiry = new LeaseExpiryTracker(terms);
     }
 
-    /** Begins to serve, on this log. */
+    /** Starts to serve members, on this log. */
     public void start(CommandLog agreed) {
         log = agreed;
         tickedAt = nanos.getAsLong();
         tick();
     }
 
-    /** Ends all connections; nothing is served any more. */
+    /** Closes all connections and stops serving. */
     public void stop() {
         stopped = true;
         List.copyOf(sessions).forEach(session -> session.link.close(CloseReason.DISCONNECTED));
     }
 
-    /** The state machine for a connection that a member has opened. */
+    /** Creates the state machine for a connection that a member has opened. */
     public Protocol accept() {
         return new Session().link;
     }
 
-    /** The registry as the log has made it so far. */
+    /** The registry after the commands applied so far. */
     public LeaseRegistry register() {
         return register;
     }
 
-    // ---- from the log
+    // ---- log
 
-    /** The next command of the log. */
+    /** Applies the next command of the log and sends it to the members that follow. */
     public Reply applied(long at, Command command) {
         index = at;
         boolean wasLive = command instanceof Command.Expire expire && register.isLive(expire.token());
@@ -99,8 +100,8 @@
     }
 
     /**
-     * What members are told of a command. They don't follow renewals, so they could not judge by themselves whether an end
-     * was void: one that took place is told as an end without a condition.
+     * The command to send to members. They don't follow renewals, so they can't decide whether an expiry took effect: one
+     * that did is sent as an unconditional end of the lease.
      */
     private Optional<Command> announcement(Command command, boolean wasLive) {
         if (command instanceof Command.Expire expire) {
@@ -110,7 +111,7 @@
         return command instanceof Command.Renew ? Optional.empty() : Optional.of(command);
     }
 
-    /** The log begins anew from this. */
+    /** Replaces the registry with a snapshot; members reconnect to load it. */
     public void restored(long at, byte[] state) {
         index = at;
         register = RegistryCodec.register(state);
@@ -119,12 +120,12 @@
         List.copyOf(sessions).forEach(session -> session.link.close(CloseReason.OVERTAKEN));
     }
 
-    /** All of the register, for a new beginning of the log. */
+    /** A snapshot of the registry, from which the log can restart. */
     public byte[] snapshot() {
         return RegistryCodec.bytes(register);
     }
 
-    // ---- from the clock
+    // ---- clock
 
     private void tick() {
         if (stopped) {
@@ -133,20 +134,20 @@
         boolean leads = log.isLeader();
         long now = nanos.getAsLong();
         if (now - tickedAt > OWN_STALL.toNanos()) {
-            expiry.reset();   // guards leases against an own stall: what came meanwhile has not been read
+            expiry.reset();   // after a stall of this process: renewals that arrived meanwhile are still unread
         }
         tickedAt = now;
         if (leads != led) {
-            LOG.log(Level.INFO, leads ? "{0} leads the register" : "{0} leads the register no more", common.name());
+            LOG.log(Level.INFO, leads ? "{0} leads the registry" : "{0} no longer leads the registry", common.name());
             led = leads;
-            // Guards leases against the time without a leader, in which nobody could renew: they count from now.
+            // Nobody could renew in the time without a leader: leases count from now.
             expiry.reset();
             if (!leads) {
                 byte[] elsewhere = RegistryCodec.packed(packer -> packer.packInt(RegistryClient.ELSEWHERE));
                 sessions.forEach(session -> session.link.send(elsewhere));
             }
         }
-        // Each voter counts from when it applied a renewal itself, so that one that begins to lead has its own times.
+        // Followers track expiry too, each from its own applied renewals, so that a new leader has its own times.
         List<Command.Expire> due = expiry.dueLeases(register, now);
         if (leads) {
             for (Command.Expire one : due) {
@@ -165,11 +166,11 @@
     private void expired(Command.Expire one, Optional<Reply> applied) {
         expiring.remove(one.token());
         if (applied.isPresent() && !register.isLive(one.token())) {
-            LOG.log(Level.WARNING, "lease {0} has ended: it was not renewed", Long.toString(one.token()));
+            LOG.log(Level.WARNING, "lease {0} has expired: it was not renewed in time", Long.toString(one.token()));
         }
     }
 
-    // ---- from members
+    // ---- members
 
     private void ask(Command command, Consumer<Optional<Reply>> answered) {
         if (!(command instanceof Command.Renew renew)) {
@@ -229,15 +230,15 @@
         private void received(MessageUnpacker unpacker) throws IOException {
             int kind = unpacker.unpackInt();
             if (kind != RegistryClient.ASK) {
-                throw new BadInput("a message of kind " + kind + " from a member");
+                throw new BadInput("unknown message kind " + kind + " from a member");
             }
             long id = unpacker.unpackLong();
             Command command = RegistryCodec.command(RegistryClient.binary(unpacker));
             if (command instanceof Command.Expire) {
-                throw new BadInput("a member that wants to end leases");
+                throw new BadInput("members may not expire leases");
             }
             if (++asks > MOST_ASKS) {
-                throw new BadInput("more asked at once than any member does");
+                throw new BadInput("more than 10000 pending requests of one member");
             }
             ask(command, applied -> {
                 asks--;
--- a/group/src/main/java/pathlane/group/package-info.java
+++ b/group/src/main/java/pathlane/group/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who is in a group of call controllers and who may act for whom: leases with tokens that only grow, and claims on the
- * work of those that have gone. Decisions and state machines; it knows no socket, no file, no clock and no call.
+ * Membership of a group of call controllers, and which member may act for which: leases with increasing tokens, and claims
+ * on the shards of former members. Decisions and state machines only, without sockets, files, clocks or calls.
  */
 package pathlane.group;
--- a/group/src/test/java/pathlane/group/LeaseExplorationTest.java
+++ b/group/src/test/java/pathlane/group/LeaseExplorationTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every order in which leases are renewed, lapse and end, claims are made, answers are lost, and processes are stopped,
- * go on, die and start anew, for 3 controllers and 2 calls, over the real {@link LeaseRegistry} and {@link LeaseTerms}: in
- * no state may two controllers act on one call. Time goes in steps, as many as two leases last.
+ * Guards against two controllers that act on one call. Explores every order in which leases are renewed, lapse and end,
+ * shards are claimed, replies are lost, and processes are suspended, resumed, killed and restarted, for 3 controllers and 2
+ * calls, over the real {@link LeaseRegistry} and {@link LeaseTerms}. Time advances in steps, up to two lease lengths.
  */
 class LeaseExplorationTest {
 
@@ -28,16 +28,16 @@
     private static final int STEP = 400;
     private static final int END = 2000;
     private static final int CONTROLLERS = 3;
-    /** The calls are the first controller's; each is in a slot of its own. */
+    /** The shard of each call; both calls belong to the first controller. */
     private static final int[] SLOTS = {3, 200};
     private static final int MOST_STATES = 3_000_000;
 
-    /** What is left out, to see that the exploration would notice. */
+    /** The safeguard that is left out, to verify that the exploration detects its absence. */
     private enum Without {
         NOTHING, WAITING_FOR_THE_END, THE_OWN_CHECK, AGREEMENT, AGREEMENT_ON_TAKING_BACK
     }
 
-    /** {@code noted} has, as TOKEN:CALL, by which leases there are records of which calls. */
+    /** The records are entries TOKEN:CALL: the lease under which a record of a call exists. */
     private record State(int now, byte[] register, List<Self> selves, Set<String> onTheWay, boolean started,
             Set<String> noted) {
 
@@ -50,8 +50,8 @@
     /**
      * A controller.
      *
-     * @param sureUntil by when its lease is no longer valid, in its own clock, which is right here
-     * @param holds which of the calls it believes to be its own to act on
+     * @param validUntil the time from which its lease is no longer valid, by its own clock, which has no drift here
+     * @param holds the calls that it believes it owns
      */
     private record Self(long token, int validUntil, int renewals, boolean stopped, boolean dead, Set<Integer> holds) {}
 
@@ -84,7 +84,7 @@
 
     private static void add(State state, Deque<State> open, Set<HashValue128> seen) {
         if (seen.add(state.key())) {
-            open.push(state);   // depth first: the states that wait stay few
+            open.push(state);   // depth first, which keeps the number of unexplored states small
         }
     }
 
@@ -96,7 +96,7 @@
         return new Command.Join("n" + place, incarnation, "127.0.0.1:" + (7000 + place), last, 2, false);
     }
 
-    /** What may happen next, each by itself. */
+    /** The states that each possible next event leads to. */
     private List<State> next(State state, Without without) {
         List<State> next = new ArrayList<>();
         if (state.now < END) {
@@ -112,16 +112,16 @@
                 continue;
             }
             if (i == 0) {
-                // The owner alone may be stopped or die here; successors die in the second half of the orders below.
+                // Only the owner of the calls is suspended in this model; the owner and one successor may die.
                 next.add(with(state, i, new Self(self.token, self.validUntil, self.renewals, !self.stopped, false,
                         self.holds)));
             }
-            // Deaths multiply the orders, and what taking back without agreement breaks takes none.
+            // Deaths multiply the number of states; reclaiming without agreement fails without any.
             if (i < 2 && without != Without.AGREEMENT_ON_TAKING_BACK) {
                 next.add(with(state, i, new Self(self.token, self.validUntil, self.renewals, false, true, Set.of())));
             }
             if (!self.stopped && self.token != 0) {
-                // A renewal leaves now, and is taken at any time later, or never.
+                // A renewal is sent now and is applied at any later time, or never.
                 if (self.renewals < 1 && i < 2) {
                     Set<String> way = new TreeSet<>(state.onTheWay);
                     way.add("renew " + i + " " + self.token + " " + (self.renewals + 1) + " " + state.now);
@@ -167,7 +167,7 @@
                 Reply.Owned held = (Reply.Owned) after.apply(new Command.Claim(self.token, estate.former().token(),
                         List.of(SLOTS[call])));
                 if (held.shards().contains(SLOTS[call]) || without == Without.AGREEMENT) {
-                    // What a holder before had noted itself goes by its own records.
+                    // A call that a previous owner has adopted belongs to that owner's own records.
                     int one = call;
                     boolean elsewhere =
                             estate.previousOwners(SLOTS[call]).stream().anyMatch(past -> register.orphan(past).isPresent()
@@ -185,7 +185,7 @@
         }
     }
 
-    /** A renewal is taken now; its answer comes, or is lost. */
+    /** A renewal is applied now; its reply arrives or is lost. */
     private void deliver(State state, String message, Without without, List<State> next) {
         String[] words = message.split(" ");
         int i = Integer.parseInt(words[1]);
@@ -210,7 +210,7 @@
         }
     }
 
-    /** The owner hears that its lease has ended, joins anew, and takes back what nobody has claimed. */
+    /** The owner learns that its lease has ended, joins again, and reclaims the unclaimed shards. */
     private State takenBack(State state, LeaseRegistry register, Self self, Set<String> way, Without without) {
         LeaseRegistry after = RegistryCodec.register(RegistryCodec.bytes(register));
         Reply.Granted granted = (Reply.Granted) after.apply(join(0, 1, self.token));
@@ -226,7 +226,7 @@
                 state.now + validFor(), 2, false, false, holds)), way, state.started, state.noted);
     }
 
-    /** The leader ends a lease, once it has waited since it applied the last renewal, which here is when it was taken. */
+    /** The leader expires a lease once the expiry delay has passed since it applied the last renewal. */
     private void expire(State state, LeaseRegistry register, Member member, Without without, List<State> next) {
         long number = register.renewals(member.token());
         int appliedAt = appliedAt(state, member, number);
@@ -239,14 +239,14 @@
         next.add(new State(state.now, RegistryCodec.bytes(after), state.selves, state.onTheWay, state.started, state.noted));
     }
 
-    /** No earlier than it was sent: the worst case for whoever waits. Renewals leave at known times in this model. */
+    /** The earliest time at which the renewal can have been applied, the worst case: the time at which it was sent. */
     private static int appliedAt(State state, Member member, long number) {
         if (number == 0) {
-            return member.token() <= CONTROLLERS ? 0 : state.now;   // those that came later are not ended here
+            return member.token() <= CONTROLLERS ? 0 : state.now;   // leases granted later are not expired in this model
         }
         for (Self self : state.selves) {
             if (self.token == member.token()) {
-                // Sure until tells when its last answered renewal left; an unanswered one left no earlier than that.
+                // The validity shows when the last renewal with a reply was sent; one without a reply was sent no earlier.
                 return Math.max(0, self.validUntil - validFor());
             }
         }
@@ -264,7 +264,7 @@
         return replaced;
     }
 
-    /** A stopped process acts as soon as it goes on, and checks first: it counts as one that would act now. */
+    /** A suspended process checks its lease and acts as soon as it resumes: it counts as one that would act now. */
     private void check(State state, Without without) {
         for (int call = 0; call < SLOTS.length; call++) {
             List<Integer> acting = new ArrayList<>();
@@ -285,7 +285,7 @@
     void inNoOrderDoTwoActOnOneCall() {
         explore(Without.NOTHING);
         assertEquals(null, violation);
-        assertTrue(states > 10_000, () -> states + " states alone");
+        assertTrue(states > 10_000, () -> "only " + states + " states explored");
         System.out.println("lease exploration: " + states + " states");
     }
 
--- a/voter/src/main/java/pathlane/voter/RaftCodec.java
+++ b/voter/src/main/java/pathlane/voter/RaftCodec.java
@@ -30,7 +30,7 @@
 import org.msgpack.core.MessageUnpacker;
 import pathlane.wire.BadInput;
 
-/** What the Raft library says between voters and to the disk, as MessagePack: a kind, then the fields in a fixed order. */
+/** Encodes the Raft library's messages and stored state as MessagePack: a kind, then the fields in a fixed order. */
 public final class RaftCodec implements RaftStoreSerializer {
 
     private static final int APPEND = 1;
@@ -62,7 +62,7 @@
             writer.write(packer);
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new UncheckedIOException(e);   // a buffer in memory has none
+            throw new UncheckedIOException(e);   // can't happen: an in-memory buffer does no I/O
         }
     }
 
@@ -70,61 +70,61 @@
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(unpacker);
         } catch (IOException | MessagePackException e) {
-            throw new BadInput("not a message of a voter: " + e.getMessage());
+            throw new BadInput("not a valid Raft message: " + e.getMessage());
         }
     }
 
-    // ---- between voters
+    // ---- messages between voters
 
-    /** A message as bytes. */
+    /** Encodes a message. */
     public byte[] bytes(RaftMessage message) {
         return packed(packer -> write(packer, message));
     }
 
-    /** @throws BadInput where it is none */
+    /** @throws BadInput if the bytes are not a message */
     public RaftMessage message(byte[] bytes) {
         return read(bytes, this::message);
     }
 
     private void write(MessageBufferPacker packer, RaftMessage message) throws IOException {
-        if (message instanceof AppendEntriesRequest one) {
-            head(packer, APPEND, message).packInt(one.getPreviousLogTerm()).packLong(one.getPreviousLogIndex())
-                    .packLong(one.getCommitIndex()).packLong(one.getQuerySequenceNumber())
-                    .packLong(one.getFlowControlSequenceNumber()).packArrayHeader(one.getLogEntries().size());
-            for (LogEntry entry : one.getLogEntries()) {
+        if (message instanceof AppendEntriesRequest request) {
+            head(packer, APPEND, message).packInt(request.getPreviousLogTerm()).packLong(request.getPreviousLogIndex())
+                    .packLong(request.getCommitIndex()).packLong(request.getQuerySequenceNumber())
+                    .packLong(request.getFlowControlSequenceNumber()).packArrayHeader(request.getLogEntries().size());
+            for (LogEntry entry : request.getLogEntries()) {
                 write(packer, entry);
             }
-        } else if (message instanceof AppendEntriesSuccessResponse one) {
-            head(packer, APPENDED, message).packLong(one.getLastLogIndex()).packLong(one.getQuerySequenceNumber())
-                    .packLong(one.getFlowControlSequenceNumber());
-        } else if (message instanceof AppendEntriesFailureResponse one) {
-            head(packer, NOT_APPENDED, message).packLong(one.getExpectedNextIndex()).packLong(one.getQuerySequenceNumber())
-                    .packLong(one.getFlowControlSequenceNumber());
-        } else if (message instanceof PreVoteRequest one) {
-            head(packer, PRE_VOTE, message).packInt(one.getLastLogTerm()).packLong(one.getLastLogIndex());
-        } else if (message instanceof PreVoteResponse one) {
-            head(packer, PRE_VOTED, message).packBoolean(one.isGranted());
-        } else if (message instanceof VoteRequest one) {
-            head(packer, VOTE, message).packInt(one.getLastLogTerm()).packLong(one.getLastLogIndex())
-                    .packBoolean(one.isSticky());
-        } else if (message instanceof VoteResponse one) {
-            head(packer, VOTED, message).packBoolean(one.isGranted());
-        } else if (message instanceof InstallSnapshotRequest one) {
-            head(packer, INSTALL, message).packBoolean(one.isSenderLeader()).packInt(one.getSnapshotTerm())
-                    .packLong(one.getSnapshotIndex()).packInt(one.getTotalSnapshotChunkCount());
-            packer.packBoolean(one.getSnapshotChunk() != null);
-            if (one.getSnapshotChunk() != null) {
-                write(packer, one.getSnapshotChunk());
+        } else if (message instanceof AppendEntriesSuccessResponse response) {
+            head(packer, APPENDED, message).packLong(response.getLastLogIndex()).packLong(response.getQuerySequenceNumber())
+                    .packLong(response.getFlowControlSequenceNumber());
+        } else if (message instanceof AppendEntriesFailureResponse response) {
+            head(packer, NOT_APPENDED, message).packLong(response.getExpectedNextIndex()).packLong(response.getQuerySequenceNumber())
+                    .packLong(response.getFlowControlSequenceNumber());
+        } else if (message instanceof PreVoteRequest request) {
+            head(packer, PRE_VOTE, message).packInt(request.getLastLogTerm()).packLong(request.getLastLogIndex());
+        } else if (message instanceof PreVoteResponse response) {
+            head(packer, PRE_VOTED, message).packBoolean(response.isGranted());
+        } else if (message instanceof VoteRequest request) {
+            head(packer, VOTE, message).packInt(request.getLastLogTerm()).packLong(request.getLastLogIndex())
+                    .packBoolean(request.isSticky());
+        } else if (message instanceof VoteResponse response) {
+            head(packer, VOTED, message).packBoolean(response.isGranted());
+        } else if (message instanceof InstallSnapshotRequest request) {
+            head(packer, INSTALL, message).packBoolean(request.isSenderLeader()).packInt(request.getSnapshotTerm())
+                    .packLong(request.getSnapshotIndex()).packInt(request.getTotalSnapshotChunkCount());
+            packer.packBoolean(request.getSnapshotChunk() != null);
+            if (request.getSnapshotChunk() != null) {
+                write(packer, request.getSnapshotChunk());
             }
-            writeNames(packer, one.getSnapshottedMembers());
-            write(packer, one.getGroupMembersView());
-            packer.packLong(one.getQuerySequenceNumber()).packLong(one.getFlowControlSequenceNumber());
-        } else if (message instanceof InstallSnapshotResponse one) {
-            head(packer, INSTALLED, message).packLong(one.getSnapshotIndex()).packInt(one.getRequestedSnapshotChunkIndex())
-                    .packLong(one.getQuerySequenceNumber()).packLong(one.getFlowControlSequenceNumber());
+            writeNames(packer, request.getSnapshottedMembers());
+            write(packer, request.getGroupMembersView());
+            packer.packLong(request.getQuerySequenceNumber()).packLong(request.getFlowControlSequenceNumber());
+        } else if (message instanceof InstallSnapshotResponse response) {
+            head(packer, INSTALLED, message).packLong(response.getSnapshotIndex()).packInt(response.getRequestedSnapshotChunkIndex())
+                    .packLong(response.getQuerySequenceNumber()).packLong(response.getFlowControlSequenceNumber());
         } else {
-            TriggerLeaderElectionRequest one = (TriggerLeaderElectionRequest) message;
-            head(packer, TRIGGER, message).packInt(one.getLastLogTerm()).packLong(one.getLastLogIndex());
+            TriggerLeaderElectionRequest request = (TriggerLeaderElectionRequest) message;
+            head(packer, TRIGGER, message).packInt(request.getLastLogTerm()).packLong(request.getLastLogIndex());
         }
     }
 
@@ -166,14 +166,14 @@
                     .setQuerySequenceNumber(in.unpackLong()).setFlowControlSequenceNumber(in.unpackLong()).build();
             case TRIGGER -> models.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP).setSender(sender)
                     .setTerm(term).setLastLogTerm(in.unpackInt()).setLastLogIndex(in.unpackLong()).build();
-            default -> throw new BadInput("a message of kind " + kind + " from a voter");
+            default -> throw new BadInput("unknown message kind " + kind + " from a voter");
         };
     }
 
     private static int items(MessageUnpacker in) throws IOException {
         int items = in.unpackArrayHeader();
         if (items > MOST_ITEMS) {
-            throw new BadInput(items + " items");
+            throw new BadInput(items + " items exceed the limit of 65536");
         }
         return items;
     }
@@ -238,7 +238,7 @@
                 .setOperation(in.readPayload(in.unpackBinaryHeader())).build();
     }
 
-    // ---- to the disk
+    // ---- stored state
 
     private static <T> Serializer<T> serializer(java.util.function.Function<T, Writer> writes, Reader<T> reads) {
         return new Serializer<>() {
--- a/voter/src/main/java/pathlane/voter/RaftLog.java
+++ b/voter/src/main/java/pathlane/voter/RaftLog.java
@@ -31,11 +31,11 @@
 import pathlane.group.Voter;
 
 /**
- * The register's log, on which voters agree by Raft. Runs on whatever scheduler it is given, so in virtual time too; all
- * on that scheduler's thread.
+ * The registry's replicated log, on which voters agree by Raft. Runs on the scheduler that it is given, in virtual time as
+ * well; confined to that scheduler's thread.
  *
- * <p>The library counts its heartbeats in whole seconds. Its time is led here to run {@link #SPEED} times as fast: a leader
- * says that it is there each 200 ms, and is missed after 600.
+ * <p>The library measures its heartbeats in full seconds. Its clock therefore runs {@link #SPEED} times as fast here: a
+ * leader sends a heartbeat every 200 ms and is considered lost after 600 ms without one.
  */
 public final class RaftLog implements CommandLog {
 
@@ -43,13 +43,13 @@
     private static final long HEARTBEAT_TIMEOUT_S = 3;
     private static final long HEARTBEAT_S = 1;
     private static final long ELECTION_TIMEOUT_MS = 1500;
-    /** A snapshot of the register each so many commands: the log on the disk stays some megabytes. */
+    /** How many commands pass between snapshots of the registry; keeps the log on disk at some megabytes. */
     private static final int SNAPSHOT_EACH = 10_000;
     private static final int REPORT_S = 3600;
     private static final String GROUP = "register";
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** A voter, by its name. */
+    /** A voter, identified by its name. */
     public record Name(String name) implements RaftEndpoint {
         @Override
         public Object getId() {
@@ -64,11 +64,11 @@
     private final Name self;
 
     /**
-     * Starts nothing yet.
+     * Creates a log that {@link #start} starts.
      *
-     * @param voters the names of all, this one's too; the same at each of them, for good
-     * @param send how messages leave; what is lost is lost
-     * @param restored what the store had, where it had anything
+     * @param voters the names of all voters including this one; the same at each voter, and never changed
+     * @param send sends messages to other voters; a lost message is not sent again
+     * @param restored the state found in the store, if any
      * @param nanos the monotonic clock
      */
     public RaftLog(String name, List<String> voters, Voter voter, Scheduler scheduler, LongSupplier nanos, Sender send,
@@ -89,7 +89,7 @@
         node = builder.build();
     }
 
-    /** How messages reach other voters. */
+    /** Sends messages to other voters. */
     public interface Sender {
         void send(String voter, RaftMessage message);
 
@@ -104,7 +104,7 @@
         node.terminate();
     }
 
-    /** A message from another voter. */
+    /** Handles a message from another voter. */
     public void received(RaftMessage message) {
         node.handle(message);
     }
@@ -177,7 +177,7 @@
         }
     }
 
-    /** The monotonic clock, so many times as fast. */
+    /** The monotonic clock, accelerated for the library. */
     private static final class FastClock extends Clock {
 
         private final LongSupplier nanos;
--- a/voter/src/main/java/pathlane/voter/VoterFile.java
+++ b/voter/src/main/java/pathlane/voter/VoterFile.java
@@ -16,13 +16,13 @@
 import pathlane.transport.Addresses;
 
 /**
- * The file of a voter, in TOML.
+ * The configuration file of a voter, in TOML.
  *
- * @param name its name among the voters
- * @param members where members come
- * @param voters all voters by name, this one too, and where they reach each other
+ * @param name the name of this voter
+ * @param members the address on which members connect
+ * @param voters the names of all voters including this one, and the addresses on which they connect to each other
  * @param keys the file of the group's keys
- * @param store the folder of its log
+ * @param store the directory of the log
  */
 public record VoterFile(String name, InetSocketAddress members, Map<String, InetSocketAddress> voters, Path keys,
         Path store, LeaseTerms lease) {
@@ -33,14 +33,14 @@
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException with one sentence that says what is wrong, and where
+     * @throws IllegalArgumentException if it is invalid; the message says in one sentence what is wrong, and where
      */
     public static VoterFile read(Path file) {
         TomlParseResult toml;
         try {
             toml = Toml.parse(file);
         } catch (IOException e) {
-            throw new IllegalArgumentException("the voter's file " + file + " can't be read", e);
+            throw new IllegalArgumentException("voter configuration " + file + " can't be read", e);
         }
         if (toml.hasErrors()) {
             throw new IllegalArgumentException(file + " line " + toml.errors().get(0).position().line() + ": "
@@ -49,7 +49,7 @@
         for (String key : toml.dottedKeySet()) {
             if (!KNOWN.contains(key)) {
                 throw new IllegalArgumentException(file + " line " + toml.inputPositionOf(key).line() + ": '" + key
-                        + "' is no key; there are " + String.join(", ", KNOWN.stream().sorted().toList()));
+                        + "' is not a known key; known keys: " + String.join(", ", KNOWN.stream().sorted().toList()));
             }
         }
         try {
@@ -67,12 +67,12 @@
             String[] parts = array.getString(i).split("=", 2);
             if (parts.length != 2 || voters.put(parts[0], Addresses.parse(parts[1])) != null) {
                 throw new IllegalArgumentException("'voters' has '" + array.getString(i)
-                        + "'; right would be a name of its own, '=' and an address with a port");
+                        + "'; expected a unique name, '=' and an address with a port");
             }
         }
         if (!voters.containsKey(name) || voters.size() % 2 == 0) {
             throw new IllegalArgumentException("'voters' are " + voters.keySet()
-                    + "; right would be an odd number, '" + name + "' among them");
+                    + "; expected an odd number of voters, '" + name + "' among them");
         }
         return new VoterFile(name, Addresses.parse(text(toml, "members")), voters,
                 file.toAbsolutePath().resolveSibling(text(toml, "keys")),
@@ -96,12 +96,12 @@
         return text;
     }
 
-    /** Reads the keys that the file names. */
+    /** Reads the key file that the configuration names. */
     public KeyRing readKeys() {
         try {
             return KeyRing.read(Files.readString(keys));
         } catch (IOException e) {
-            throw new IllegalArgumentException("the keys' file " + keys + " can't be read", e);
+            throw new IllegalArgumentException("key file " + keys + " can't be read", e);
         }
     }
 }
--- a/voter/src/main/java/pathlane/voter/VoterMain.java
+++ b/voter/src/main/java/pathlane/voter/VoterMain.java
@@ -23,7 +23,7 @@
 import pathlane.transport.RateLimitedLog;
 import sun.misc.Signal;
 
-/** Starts a voter: {@code java -jar pathlane-voter.jar FILE}. It ends at SIGTERM, and reads its keys again at SIGHUP. */
+/** Runs a voter: {@code java -jar pathlane-voter.jar FILE}. SIGTERM ends it; SIGHUP reloads its keys. */
 public final class VoterMain {
 
     private static final Logger LOG = System.getLogger("register");
@@ -54,7 +54,7 @@
         }, loop, new RateLimitedLog("register", loop));
     }
 
-    /** Runs until the process is asked to end; a file that can't be used ends it with one sentence. */
+    /** Runs until the process is terminated; exits with a one-sentence error if the file is invalid. */
     public static void main(String[] args) {
         if (args.length != 1) {
             System.err.println("usage: java -jar pathlane-voter.jar FILE");
@@ -105,9 +105,9 @@
     private void reload() {
         try {
             keys = file.readKeys();
-            LOG.log(Level.INFO, "keys read again: {0}", Integer.toString(keys.keys().size()));
+            LOG.log(Level.INFO, "keys reloaded: {0}", Integer.toString(keys.keys().size()));
         } catch (IllegalArgumentException e) {
-            LOG.log(Level.WARNING, "keys not read again, the old ones stay: {0}", e.getMessage());
+            LOG.log(Level.WARNING, "keys not reloaded, the old ones stay: {0}", e.getMessage());
         }
     }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    /** The way to another voter: dialled again for as long as it takes. */
+    /** The outgoing connection to another voter; reconnects until it succeeds. */
     private final class Away implements AuthenticatedLink.Listener {
 
         private final String name;
@@ -143,7 +143,7 @@
 
         @Override
         public void authenticated(AuthenticatedLink up, String says) {
-            LOG.log(Level.INFO, "voter {0} is reached", name);
+            LOG.log(Level.INFO, "connected to voter {0}", name);
         }
 
         @Override
@@ -161,7 +161,7 @@
 
         @Override
         public void authenticated(AuthenticatedLink up, String name) {
-            // Who it is stands in each message.
+            // Each message names its sender.
         }
 
         @Override
@@ -171,8 +171,7 @@
 
         @Override
         public void closed(CloseReason end) {
-            // It is dialled again from the other side.
+            // The other voter reconnects.
         }
     }
-
 }
--- a/voter/src/main/java/pathlane/voter/package-info.java
+++ b/voter/src/main/java/pathlane/voter/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A voter of the group's register: agreement by Raft (Ongaro and Ousterhout, 2014), as the microraft library has it, on one
- * event loop, this project's links and a disk. Nothing here decides about leases or calls.
+ * A voter of the group's registry: consensus by Raft (Ongaro and Ousterhout, 2014) with the microraft library, on one event
+ * loop, authenticated links and a store on disk. Nothing here decides about leases or calls.
  */
 package pathlane.voter;
