--- a/group/src/main/java/pathlane/group/AuthenticatedLink.java
+++ b/group/src/main/java/pathlane/group/AuthenticatedLink.java
@@ -34,10 +34,10 @@
     private static final int MAC_BYTES = 16;
     private static final int NONCE_BYTES = 16;
     /** Large enough for the records of a shard with tens of thousands of calls. */
-    private static final int LONGEST = 4 << 20;
-    private static final int LONGEST_OPENING = 512;
+    private static final int MAX_FRAME_BYTES = 4 << 20;
+    private static final int MAX_HANDSHAKE_BYTES = 512;
     private static final String ALGORITHM = "HmacSHA256";
-    private static final Duration OPENING = Duration.ofSeconds(2);
+    private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(2);
 
     /** Receives the authenticated payloads of a link. */
     public interface Listener {
@@ -48,61 +48,62 @@
         void received(byte[] payload);
 
         /** The connection is closed or was never established; the last notification, sent once. */
-        void closed(CloseReason end);
+        void closed(CloseReason reason);
     }
 
     /**
      * The context that all links of a process share.
      *
      * @param keys read at each handshake, so that reloaded keys apply to new connections
-     * @param random supplies nonces of 16 bytes, each of them new
+     * @param nonces supplies nonces of 16 bytes, each of them new
      */
-    public record Context(String name, Supplier<KeyRing> keys, Supplier<byte[]> random, Scheduler scheduler,
+    public record Context(String name, Supplier<KeyRing> keys, Supplier<byte[]> nonces, Scheduler scheduler,
             RateLimitedLog log) {}
 
-    private final AuthenticatedLink.Context common;
-    private final boolean dialled;
-    private final AuthenticatedLink.Listener upper;
-    private final FrameAssembler assembler = new FrameAssembler(LENGTH_BYTES, 0, LONGEST);
+    private final AuthenticatedLink.Context context;
+    private final boolean isInitiator;
+    private final AuthenticatedLink.Listener listener;
+    private final FrameAssembler assembler = new FrameAssembler(LENGTH_BYTES, 0, MAX_FRAME_BYTES);
     private Connection connection;
-    private Scheduler.Timer opening;
-    private byte[] ownOpening;
-    private byte[] otherOpening;
-    private String otherName;
-    private Mac signs;
-    private Mac checks;
-    private long written;
-    private long read;
-    private boolean proven;
-    private boolean ended;
+    private Scheduler.Timer handshakeTimer;
+    private byte[] localHandshake;
+    private byte[] remoteHandshake;
+    private String remoteName;
+    private Mac signingMac;
+    private Mac verifyingMac;
+    private long framesSent;
+    private long framesReceived;
+    private boolean isPeerVerified;
+    private boolean isClosed;
 
     /**
      * Creates a link that is not connected yet.
      *
-     * @param dialled whether this side connects; it goes into each MAC, so that no frame can be reflected to its sender
+     * @param isInitiator whether this side connects; it goes into each MAC, so that no frame can be reflected to its sender
      */
-    public AuthenticatedLink(AuthenticatedLink.Context common, boolean dialled, AuthenticatedLink.Listener upper) {
-        this.common = common;
-        this.dialled = dialled;
-        this.upper = upper;
+    public AuthenticatedLink(AuthenticatedLink.Context context, boolean isInitiator, AuthenticatedLink.Listener listener) {
+        this.context = context;
+        this.isInitiator = isInitiator;
+        this.listener = listener;
     }
 
     @Override
-    public void opened(Connection up) {
-        connection = up;
-        KeyRing.Key key = common.keys().get().signingKey();
+    public void opened(Connection openedConnection) {
+        connection = openedConnection;
+        KeyRing.Key key = context.keys().get().signingKey();
         byte[] keyName = key.name().getBytes(StandardCharsets.UTF_8);
-        byte[] name = common.name().getBytes(StandardCharsets.UTF_8);
-        ownOpening = ByteBuffer.allocate(MAGIC.length + 1 + keyName.length + 1 + name.length + NONCE_BYTES).put(MAGIC)
-                .put((byte) keyName.length).put(keyName).put((byte) name.length).put(name).put(common.random().get())
+        byte[] name = context.name().getBytes(StandardCharsets.UTF_8);
+        localHandshake = ByteBuffer.allocate(MAGIC.length + 1 + keyName.length + 1 + name.length + NONCE_BYTES).put(MAGIC)
+                .put((byte) keyName.length).put(keyName).put((byte) name.length).put(name).put(context.nonces().get())
                 .array();
-        signs = mac(key.secret());
-        connection.write(ByteBuffer.allocate(LENGTH_BYTES + ownOpening.length).putInt(ownOpening.length).put(ownOpening)
-                .array());
-        opening = common.scheduler().after(OPENING, () -> close(CloseReason.UNFINISHED));
+        signingMac = createMac(key.secret());
+        connection.write(
+                ByteBuffer.allocate(LENGTH_BYTES + localHandshake.length).putInt(localHandshake.length).put(localHandshake)
+                        .array());
+        handshakeTimer = context.scheduler().after(HANDSHAKE_TIMEOUT, () -> close(CloseReason.UNFINISHED));
     }
 
-    private static Mac mac(byte[] secret) {
+    private static Mac createMac(byte[] secret) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(secret, ALGORITHM));
@@ -115,96 +116,98 @@
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            assembler.feed(bytes, this::frame);
+            assembler.feed(bytes, this::handleFrame);
         } catch (BadInput e) {
-            common.log().warn("{0} closed: {1}", otherName == null ? connection.remote() : otherName, e.getMessage());
+            context.log().warn("{0} closed: {1}", remoteName == null ? connection.remote() : remoteName, e.getMessage());
             bytes.position(bytes.limit());
             close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
-    private void frame(ByteBuffer frame) {
-        if (ended) {
+    private void handleFrame(ByteBuffer frame) {
+        if (isClosed) {
             return;
         }
         byte[] bytes = new byte[frame.remaining()];
         frame.get(bytes);
-        if (otherOpening == null) {
-            opening(bytes);
+        if (remoteHandshake == null) {
+            handleHandshake(bytes);
             return;
         }
         if (bytes.length < MAC_BYTES) {
-            throw new BadInput("frame too short to hold a MAC");
-        }
-        int size = bytes.length - MAC_BYTES;
-        byte[] expected = sign(checks, otherOpening, ownOpening, !dialled, read++, bytes, size);
-        if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(bytes, size, bytes.length))) {
-            throw new BadInput(proven ? "MAC mismatch: frame forged, altered or out of order"
-                    : "MAC mismatch: the peer does not hold the key that it names");
-        }
-        if (!proven) {
-            proven = true;
-            opening.cancel();
-            upper.authenticated(this, otherName);
+            throw new BadInput("frame shorter than a MAC");
+        }
+        int payloadLength = bytes.length - MAC_BYTES;
+        byte[] expected =
+                sign(verifyingMac, remoteHandshake, localHandshake, !isInitiator, framesReceived++, bytes, payloadLength);
+        if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(bytes, payloadLength, bytes.length))) {
+            throw new BadInput(isPeerVerified ? "MAC mismatch: frame forged, altered or out of order"
+                    : "MAC mismatch: the peer lacks the key that it names");
+        }
+        if (!isPeerVerified) {
+            isPeerVerified = true;
+            handshakeTimer.cancel();
+            listener.authenticated(this, remoteName);
         } else {
-            upper.received(Arrays.copyOf(bytes, size));
+            listener.received(Arrays.copyOf(bytes, payloadLength));
         }
     }
 
-    private void opening(byte[] bytes) {
-        ByteBuffer read = ByteBuffer.wrap(bytes);
+    private void handleHandshake(byte[] bytes) {
+        ByteBuffer handshake = ByteBuffer.wrap(bytes);
         byte[] magic = new byte[MAGIC.length];
-        if (bytes.length > LONGEST_OPENING || bytes.length < MAGIC.length + 2 + NONCE_BYTES) {
+        if (bytes.length > MAX_HANDSHAKE_BYTES || bytes.length < MAGIC.length + 2 + NONCE_BYTES) {
             throw new BadInput("handshake frame of invalid length");
         }
-        read.get(magic);
+        handshake.get(magic);
         if (!Arrays.equals(magic, MAGIC)) {
             throw new BadInput("unknown protocol or protocol version");
         }
-        String key = text(read);
-        otherName = text(read);
-        if (read.remaining() != NONCE_BYTES) {
-            throw new BadInput("handshake frame with a nonce of invalid length");
+        String keyName = readString(handshake);
+        remoteName = readString(handshake);
+        if (handshake.remaining() != NONCE_BYTES) {
+            throw new BadInput("handshake frame with trailing or missing bytes");
         }
-        byte[] secret = common.keys().get().find(key);
+        byte[] secret = context.keys().get().findSecret(keyName);
         if (secret == null) {
-            throw new BadInput("key '" + key + "' is not in the key file");
+            throw new BadInput("key '" + keyName + "' is not in the key file");
         }
-        otherOpening = bytes;
-        checks = mac(secret);
+        remoteHandshake = bytes;
+        verifyingMac = createMac(secret);
         send(new byte[0]);   // proves that this side holds the key
     }
 
-    private static String text(ByteBuffer from) {
-        byte[] text = new byte[from.get() & 0xff];
-        if (text.length > from.remaining()) {
+    private static String readString(ByteBuffer handshake) {
+        byte[] text = new byte[handshake.get() & 0xff];
+        if (text.length > handshake.remaining()) {
             throw new BadInput("truncated handshake frame");
         }
-        from.get(text);
+        handshake.get(text);
         return new String(text, StandardCharsets.UTF_8);
     }
 
-    private static byte[] sign(Mac mac, byte[] signer, byte[] other, boolean bySideThatDialled, long number,
-            byte[] payload, int size) {
-        mac.update((byte) (bySideThatDialled ? 1 : 0));
-        mac.update(signer);
-        mac.update(other);
-        mac.update(ByteBuffer.allocate(Long.BYTES).putLong(number).array());
-        mac.update(payload, 0, size);
+    private static byte[] sign(Mac mac, byte[] senderHandshake, byte[] receiverHandshake, boolean isSenderInitiator,
+            long sequenceNumber,
+            byte[] payload, int payloadLength) {
+        mac.update((byte) (isSenderInitiator ? 1 : 0));
+        mac.update(senderHandshake);
+        mac.update(receiverHandshake);
+        mac.update(ByteBuffer.allocate(Long.BYTES).putLong(sequenceNumber).array());
+        mac.update(payload, 0, payloadLength);
         return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
     }
 
     /** Whether the peer is authenticated and the link is open. */
     public boolean isAuthenticated() {
-        return proven && !ended;
+        return isPeerVerified && !isClosed;
     }
 
     /** Sends a payload with its MAC. */
     public void send(byte[] payload) {
-        if (ended) {
+        if (isClosed) {
             return;
         }
-        byte[] mac = sign(signs, ownOpening, otherOpening, dialled, written++, payload, payload.length);
+        byte[] mac = sign(signingMac, localHandshake, remoteHandshake, isInitiator, framesSent++, payload, payload.length);
         connection.write(ByteBuffer.allocate(LENGTH_BYTES + payload.length + MAC_BYTES)
                 .putInt(payload.length + MAC_BYTES).put(payload).put(mac).array());
     }
@@ -215,22 +218,22 @@
     }
 
     /** Closes the link; {@link AuthenticatedLink.Listener#closed} follows. */
-    public void close(CloseReason why) {
-        ended = true;
-        if (opening != null) {
-            opening.cancel();
+    public void close(CloseReason reason) {
+        isClosed = true;
+        if (handshakeTimer != null) {
+            handshakeTimer.cancel();
         }
         if (connection != null) {
-            connection.close(why);
+            connection.close(reason);
         }
     }
 
     @Override
-    public void closed(CloseReason end) {
-        ended = true;
-        if (opening != null) {
-            opening.cancel();
+    public void closed(CloseReason reason) {
+        isClosed = true;
+        if (handshakeTimer != null) {
+            handshakeTimer.cancel();
         }
-        upper.closed(end);
+        listener.closed(reason);
     }
 }
--- a/group/src/main/java/pathlane/group/CommandLog.java
+++ b/group/src/main/java/pathlane/group/CommandLog.java
@@ -13,5 +13,5 @@
      * Appends a command. The callback runs once: with the registry's reply after the command was applied here, or empty if
      * the outcome is unknown because leadership changed or no majority was reached.
      */
-    void append(Command command, Consumer<Optional<Reply>> applied);
+    void append(Command command, Consumer<Optional<Reply>> onApplied);
 }
--- a/group/src/main/java/pathlane/group/KeyRing.java
+++ b/group/src/main/java/pathlane/group/KeyRing.java
@@ -14,7 +14,7 @@
  */
 public record KeyRing(List<Key> keys) {
 
-    private static final int LEAST_BYTES = 16;
+    private static final int MIN_SECRET_BYTES = 16;
 
     /** A named secret of at least 16 bytes. */
     public record Key(String name, byte[] secret) {}
@@ -27,20 +27,21 @@
     public static KeyRing read(String text) {
         List<Key> keys = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        int number = 0;
+        int lineNumber = 0;
         for (String line : text.split("\n")) {
-            number++;
-            String plain = line.strip();
-            if (plain.isEmpty() || plain.startsWith("#")) {
+            lineNumber++;
+            String content = line.strip();
+            if (content.isEmpty() || content.startsWith("#")) {
                 continue;
             }
-            String[] parts = plain.split("\\s+");
+            String[] parts = content.split("\\s+");
             if (parts.length != 2 || parts[0].getBytes(StandardCharsets.UTF_8).length > Byte.MAX_VALUE) {
-                throw new IllegalArgumentException("line " + number + " of the key file is not 'NAME HEX'");
+                throw new IllegalArgumentException("line " + lineNumber + " of the key file is not 'NAME HEX'");
             }
-            keys.add(new Key(parts[0], secret(parts[1], number)));
+            keys.add(new Key(parts[0], parseSecret(parts[1], lineNumber)));
             if (!names.add(parts[0])) {
-                throw new IllegalArgumentException("line " + number + " of the key file repeats the key name '" + parts[0] + "'");
+                throw new IllegalArgumentException(
+                        "line " + lineNumber + " of the key file repeats the key name '" + parts[0] + "'");
             }
         }
         if (keys.isEmpty()) {
@@ -49,15 +50,15 @@
         return new KeyRing(List.copyOf(keys));
     }
 
-    private static byte[] secret(String hex, int number) {
+    private static byte[] parseSecret(String hex, int lineNumber) {
         byte[] secret;
         try {
             secret = HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("line " + number + " of the key file has a key that is not hexadecimal");
+            throw new IllegalArgumentException("line " + lineNumber + " of the key file has a key that is not hexadecimal");
         }
-        if (secret.length < LEAST_BYTES) {
-            throw new IllegalArgumentException("line " + number + " of the key file has a key of " + secret.length
+        if (secret.length < MIN_SECRET_BYTES) {
+            throw new IllegalArgumentException("line " + lineNumber + " of the key file has a key of " + secret.length
                     + " bytes; at least 16 are required");
         }
         return secret;
@@ -69,7 +70,7 @@
     }
 
     /** The secret of the key with this name, or null if there is none. */
-    byte[] find(String name) {
+    byte[] findSecret(String name) {
         return keys.stream().filter(key -> key.name().equals(name)).map(Key::secret).findFirst().orElse(null);
     }
 }
--- a/group/src/main/java/pathlane/group/LeaseExpiryTracker.java
+++ b/group/src/main/java/pathlane/group/LeaseExpiryTracker.java
@@ -13,10 +13,10 @@
  */
 public final class LeaseExpiryTracker {
 
-    private record Seen(long renewals, long atNanos) {}
+    private record Observation(long renewals, long observedAtNanos) {}
 
     private final LeaseTerms terms;
-    private final Map<Long, Seen> seen = new HashMap<>();
+    private final Map<Long, Observation> observations = new HashMap<>();
 
     /** Creates a tracker that has observed no lease yet. */
     public LeaseExpiryTracker(LeaseTerms terms) {
@@ -24,19 +24,19 @@
     }
 
     /** Observes the registry's renewal numbers, at each tick of the voter; returns the expiries to propose. */
-    public List<Command.Expire> dueLeases(LeaseRegistry register, long nowNanos) {
+    public List<Command.Expire> dueLeases(LeaseRegistry registry, long nowNanos) {
         List<Command.Expire> due = new ArrayList<>();
-        for (Member member : register.members()) {
-            long renewals = register.renewals(member.token());
-            Seen before = seen.get(member.token());
-            if (before == null || before.renewals != renewals) {
-                seen.put(member.token(), new Seen(renewals, nowNanos));
-            } else if (nowNanos - before.atNanos > terms.expireAfter().toNanos()) {
+        for (Member member : registry.members()) {
+            long renewals = registry.renewals(member.token());
+            Observation previous = observations.get(member.token());
+            if (previous == null || previous.renewals != renewals) {
+                observations.put(member.token(), new Observation(renewals, nowNanos));
+            } else if (nowNanos - previous.observedAtNanos > terms.expireAfter().toNanos()) {
                 due.add(new Command.Expire(member.token(), renewals));
             }
         }
-        for (Iterator<Long> tokens = seen.keySet().iterator(); tokens.hasNext();) {
-            if (!register.isLive(tokens.next())) {
+        for (Iterator<Long> tokens = observations.keySet().iterator(); tokens.hasNext();) {
+            if (!registry.isLive(tokens.next())) {
                 tokens.remove();
             }
         }
@@ -45,6 +45,6 @@
 
     /** Discards all observed times, after a span in which this voter could not apply renewals as they came. */
     public void reset() {
-        seen.clear();
+        observations.clear();
     }
 }
--- a/group/src/main/java/pathlane/group/LeaseHolder.java
+++ b/group/src/main/java/pathlane/group/LeaseHolder.java
@@ -18,9 +18,9 @@
 public final class LeaseHolder {
 
     private static final Logger LOG = System.getLogger("group");
-    private static final Duration ASK_AGAIN = Duration.ofMillis(250);
-    private static final Duration GRAIN = Duration.ofMillis(1);
-    private static final Duration REFUSED_AGAIN = Duration.ofSeconds(5);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(250);
+    private static final Duration MIN_TIMER_DELAY = Duration.ofMillis(1);
+    private static final Duration REFUSED_RETRY_INTERVAL = Duration.ofSeconds(5);
 
     /** Notified of the states of the lease by which it acts. */
     public interface Listener {
@@ -40,46 +40,47 @@
     private final String name;
     private final long incarnation;
     private final String address;
-    private final int copies;
+    private final int replicaCount;
     private final LeaseTerms terms;
     private final RegistryAccess registry;
     private final Scheduler scheduler;
-    private final LongSupplier nanos;
+    private final LongSupplier nanoClock;
     private final Listener listener;
     /** The token of the current lease, 0 while there is none. */
     private long token;
     /** The token of the latest lease of this process, 0 before the first. */
-    private long last;
-    private long renewals;
-    private long validUntil = Long.MIN_VALUE;
-    private boolean lapsed;
-    private boolean leaving;
-    private boolean emptied;
-    private boolean asking;
-    private Scheduler.Timer lapse;
-    private Scheduler.Timer next;
+    private long latestToken;
+    private long renewalNumber;
+    private long validUntilNanos = Long.MIN_VALUE;
+    private boolean isLapseReported;
+    private boolean isLeaving;
+    private boolean areReplicasDropped;
+    private boolean isRequestPending;
+    private Scheduler.Timer lapseTimer;
+    private Scheduler.Timer requestTimer;
 
     /**
      * Creates a holder without a lease; {@link #start} requests one.
      *
-     * @param nanos the monotonic clock
+     * @param nanoClock the monotonic clock
      */
-    public LeaseHolder(String name, long incarnation, String address, int copies, LeaseTerms terms, RegistryAccess registry,
-            Scheduler scheduler, LongSupplier nanos, Listener listener) {
+    public LeaseHolder(String name, long incarnation, String address, int replicaCount, LeaseTerms terms,
+            RegistryAccess registry,
+            Scheduler scheduler, LongSupplier nanoClock, Listener listener) {
         this.name = name;
         this.incarnation = incarnation;
         this.address = address;
-        this.copies = copies;
+        this.replicaCount = replicaCount;
         this.terms = terms;
         this.registry = registry;
         this.scheduler = scheduler;
-        this.nanos = nanos;
+        this.nanoClock = nanoClock;
         this.listener = listener;
     }
 
     /** Requests a lease, then keeps renewing it or requesting a new one. */
     public void start() {
-        turn();
+        submitRequest();
     }
 
     /** The token of the current lease, valid or not; 0 while there is none. */
@@ -89,156 +90,159 @@
 
     /** Whether the lease is valid now. Checked right before a write: the time from here to the write is the write lag. */
     public boolean isValid() {
-        return token != 0 && !leaving && nanos.getAsLong() < validUntil;
+        return token != 0 && !isLeaving && nanoClock.getAsLong() < validUntilNanos;
     }
 
     /** Whether there is a lease and it has lapsed. */
     public boolean hasLapsed() {
-        return token != 0 && !leaving && !isValid();
+        return token != 0 && !isLeaving && !isValid();
     }
 
     /** All replica holders have confirmed that they dropped this member's records: no member can act for it any more. */
     public void replicasDropped() {
-        emptied = true;
+        areReplicasDropped = true;
     }
 
     /** Gives the lease up: it is invalid from now on, and the remaining shards may be claimed at once. */
     public void leave() {
-        if (leaving) {
+        if (isLeaving) {
             return;
         }
-        leaving = true;
-        cancelLapse();
+        isLeaving = true;
+        cancelLapseTimer();
         if (token != 0) {
-            askToLeave();
+            submitLeave();
         }
     }
 
-    private void askToLeave() {
-        registry.submit(new Command.Leave(token), answered -> {
-            if (answered.isEmpty()) {
-                scheduler.after(ASK_AGAIN, this::askToLeave);
+    private void submitLeave() {
+        registry.submit(new Command.Leave(token), reply -> {
+            if (reply.isEmpty()) {
+                scheduler.after(RETRY_INTERVAL, this::submitLeave);
             }
         });
     }
 
     /** Submits one renewal, or one request for a lease; its reply schedules the next. */
-    private void turn() {
-        if (leaving || asking) {
+    private void submitRequest() {
+        if (isLeaving || isRequestPending) {
             return;
         }
-        if (next != null) {
-            next.cancel();
+        if (requestTimer != null) {
+            requestTimer.cancel();
         }
-        asking = true;
-        long sentAt = nanos.getAsLong();
+        isRequestPending = true;
+        long sentAtNanos = nanoClock.getAsLong();
         if (token == 0) {
-            boolean saysEmptied = emptied;
-            registry.submit(new Command.Join(name, incarnation, address, last, copies, saysEmptied),
-                    answered -> joined(answered, sentAt));
+            boolean reportsReplicasDropped = areReplicasDropped;
+            registry.submit(new Command.Join(name, incarnation, address, latestToken, replicaCount, reportsReplicasDropped),
+                    reply -> onJoinReply(reply, sentAtNanos));
         } else {
-            long asked = token;
-            registry.submit(new Command.Renew(List.of(new Command.Renewal(asked, ++renewals))),
-                    answered -> renewed(asked, answered, sentAt));
+            long renewedToken = token;
+            registry.submit(new Command.Renew(List.of(new Command.Renewal(renewedToken, ++renewalNumber))),
+                    reply -> onRenewReply(renewedToken, reply, sentAtNanos));
         }
     }
 
-    private void next(Duration wait) {
-        asking = false;
-        next = scheduler.after(wait, this::turn);
+    private void scheduleRequest(Duration delay) {
+        isRequestPending = false;
+        requestTimer = scheduler.after(delay, this::submitRequest);
     }
 
-    private void joined(Optional<Reply> answered, long sentAt) {
-        if (leaving) {
+    private void onJoinReply(Optional<Reply> reply, long sentAtNanos) {
+        if (isLeaving) {
             return;
         }
-        if (answered.isPresent() && answered.get() instanceof Reply.Granted granted) {
+        if (reply.isPresent() && reply.get() instanceof Reply.Granted granted) {
             token = granted.token();
-            last = token;
-            renewals = 0;
-            emptied = false;
-            lapsed = false;
-            validUntil = sentAt + terms.validFor().toNanos();
+            latestToken = token;
+            renewalNumber = 0;
+            areReplicasDropped = false;
+            isLapseReported = false;
+            validUntilNanos = sentAtNanos + terms.validFor().toNanos();
             LOG.log(Level.INFO, "lease {0} granted to {1}", Long.toString(token), name);
             listener.granted(token);
-            watchLapse();
-            next(terms.renewInterval());
-        } else if (answered.isPresent() && answered.get() instanceof Reply.Refused refused) {
-            LOG.log(Level.WARNING, "lease request of {0} was refused: {1}", name, refused.why());
-            next(REFUSED_AGAIN);
+            startLapseTimer();
+            scheduleRequest(terms.renewInterval());
+        } else if (reply.isPresent() && reply.get() instanceof Reply.Refused refused) {
+            LOG.log(Level.WARNING, "lease request of {0} was refused: {1}", name, refused.reason());
+            scheduleRequest(REFUSED_RETRY_INTERVAL);
         } else {
-            next(ASK_AGAIN);
+            scheduleRequest(RETRY_INTERVAL);
         }
     }
 
-    private void renewed(long asked, Optional<Reply> answered, long sentAt) {
-        if (leaving) {
+    private void onRenewReply(long renewedToken, Optional<Reply> reply, long sentAtNanos) {
+        if (isLeaving) {
             return;
         }
-        if (asked != token) {
-            next(Duration.ZERO);   // the lease was seen to have ended while the reply was in flight
-        } else if (answered.isPresent() && answered.get() instanceof Reply.Ended ended && ended.tokens().contains(asked)) {
-            lose();
-            next(Duration.ZERO);
-        } else if (answered.isPresent()) {
-            validUntil = Math.max(validUntil, sentAt + terms.validFor().toNanos());
-            if (lapsed && isValid()) {
-                lapsed = false;
-                emptied = false;   // records are replicated again from now on
+        if (renewedToken != token) {
+            scheduleRequest(Duration.ZERO);   // the lease was seen to have ended while the reply was in flight
+        } else if (reply.isPresent() && reply.get() instanceof Reply.Ended ended && ended.tokens().contains(renewedToken)) {
+            loseLease();
+            scheduleRequest(Duration.ZERO);
+        } else if (reply.isPresent()) {
+            validUntilNanos = Math.max(validUntilNanos, sentAtNanos + terms.validFor().toNanos());
+            if (isLapseReported && isValid()) {
+                isLapseReported = false;
+                areReplicasDropped = false;   // records are replicated again from now on
                 LOG.log(Level.INFO, "lease {0} is valid again", Long.toString(token));
                 listener.validAgain();
             }
-            watchLapse();
-            next(terms.renewInterval().minusNanos(Math.min(terms.renewInterval().toNanos(), nanos.getAsLong() - sentAt)));
+            startLapseTimer();
+            scheduleRequest(terms.renewInterval()
+                    .minusNanos(Math.min(terms.renewInterval().toNanos(), nanoClock.getAsLong() - sentAtNanos)));
         } else {
-            next(ASK_AGAIN);
+            scheduleRequest(RETRY_INTERVAL);
         }
     }
 
     /** The registry was seen to have ended this lease. */
-    public void observedEnd(long ended) {
-        if (ended == token && token != 0 && !leaving) {
-            lose();
-            if (!asking) {
-                turn();
+    public void observedEnd(long endedToken) {
+        if (endedToken == token && token != 0 && !isLeaving) {
+            loseLease();
+            if (!isRequestPending) {
+                submitRequest();
             }
         }
     }
 
-    private void lose() {
-        long ended = token;
+    private void loseLease() {
+        long endedToken = token;
         token = 0;
-        validUntil = Long.MIN_VALUE;
-        cancelLapse();
-        LOG.log(Level.WARNING, "lease {0} has ended in the registry; {1} requests a new one", Long.toString(ended), name);
-        listener.lost(ended);
+        validUntilNanos = Long.MIN_VALUE;
+        cancelLapseTimer();
+        LOG.log(Level.WARNING, "lease {0} has ended in the registry; {1} requests a new one", Long.toString(endedToken),
+                name);
+        listener.lost(endedToken);
     }
 
-    private void watchLapse() {
-        cancelLapse();
-        Duration left = Duration.ofNanos(validUntil - nanos.getAsLong());
+    private void startLapseTimer() {
+        cancelLapseTimer();
+        Duration remaining = Duration.ofNanos(validUntilNanos - nanoClock.getAsLong());
         // The scheduler's clock differs from the lease's: a timer that fires early is set again, and must not fire at once
         // each time.
-        lapse = scheduler.after(left.compareTo(GRAIN) > 0 ? left : GRAIN, this::lapseIfDue);
+        lapseTimer =
+                scheduler.after(remaining.compareTo(MIN_TIMER_DELAY) > 0 ? remaining : MIN_TIMER_DELAY, this::checkLapse);
     }
 
-    private void lapseIfDue() {
-        if (token == 0 || leaving || lapsed) {
+    private void checkLapse() {
+        if (token == 0 || isLeaving || isLapseReported) {
             return;
         }
         if (isValid()) {
-            watchLapse();
+            startLapseTimer();
             return;
         }
-        lapsed = true;
+        isLapseReported = true;
         LOG.log(Level.WARNING, "lease {0} has lapsed: the registry did not confirm a renewal in time", Long.toString(token));
         listener.lapsed();
     }
 
-    private void cancelLapse() {
-        if (lapse != null) {
-            lapse.cancel();
-            lapse = null;
+    private void cancelLapseTimer() {
+        if (lapseTimer != null) {
+            lapseTimer.cancel();
+            lapseTimer = null;
         }
     }
 }
--- a/group/src/main/java/pathlane/group/LeaseRegistry.java
+++ b/group/src/main/java/pathlane/group/LeaseRegistry.java
@@ -116,8 +116,8 @@
     }
 
     /** The replica holders of a member's shard in a view that is still known, the first successor first. */
-    public List<Member> replicaHolders(long owner, int shard, long inView) {
-        return ShardPlacement.replicaHolders(shard, views.getOrDefault(inView, List.of()), owner, replicaCount);
+    public List<Member> replicaHolders(long owner, int shard, long viewNumber) {
+        return ShardPlacement.replicaHolders(shard, views.getOrDefault(viewNumber, List.of()), owner, replicaCount);
     }
 
     /** The live replica holders of an orphaned shard, the first successor first. */
@@ -128,17 +128,17 @@
 
     /** The live owner of a shard of a current or former member, found by following the claims; empty if there is none. */
     public Optional<Member> currentOwner(long token, int shard) {
-        long at = token;
+        long currentToken = token;
         for (int hops = 0; hops <= orphans.size(); hops++) {
-            if (isLive(at)) {
-                return member(at);
+            if (isLive(currentToken)) {
+                return member(currentToken);
             }
-            OrphanedShards orphan = orphans.get(at);
+            OrphanedShards orphan = orphans.get(currentToken);
             Long owner = orphan == null ? null : orphan.owners().get(shard);
-            if (owner == null || owner == OrphanedShards.NOBODY) {
+            if (owner == null || owner == OrphanedShards.UNCLAIMED) {
                 return Optional.empty();
             }
-            at = owner;
+            currentToken = owner;
         }
         return Optional.empty();
     }
@@ -158,7 +158,7 @@
         } else if (command instanceof Renew renew) {
             return renew(renew);
         } else if (command instanceof Leave leave) {
-            end(leave.token(), false);
+            endLease(leave.token(), false);
             return Reply.DONE;
         } else if (command instanceof Expire expire) {
             return expire(expire);
@@ -177,15 +177,15 @@
             return new Reply.Refused("copies is " + join.replicaCount() + " at " + join.name() + " and " + replicaCount
                     + " in the group");
         }
-        Optional<Member> known = memberNamed(join.name());
-        Optional<Reply> early = known.flatMap(member -> answerKnown(join, member));
-        if (early.isPresent()) {
-            return early.get();
+        Optional<Member> existing = memberNamed(join.name());
+        Optional<Reply> immediateReply = existing.flatMap(member -> replyToExistingMember(join, member));
+        if (immediateReply.isPresent()) {
+            return immediateReply.get();
         }
         replicaCount = join.replicaCount();
         // A process that listens at the same address shows that the earlier one has ended; otherwise that lease must expire.
-        known.filter(member -> member.incarnation() == join.incarnation() || member.address().equals(join.address()))
-                .ifPresent(member -> end(member.token(),
+        existing.filter(member -> member.incarnation() == join.incarnation() || member.address().equals(join.address()))
+                .ifPresent(member -> endLease(member.token(),
                         join.areReplicasDropped() && member.token() == join.previousToken()));
         OrphanedShards previous = orphans.get(join.previousToken());
         if (join.areReplicasDropped() && previous != null && previous.isUnclaimed()) {
@@ -194,12 +194,12 @@
         unclaimable.removeReplaced(join.name(), join.incarnation(), join.address());
         Member member = new Member(join.name(), join.incarnation(), join.address(), ++lastToken);
         leases.put(member.token(), new Lease(member));
-        membersChanged();
+        advanceView();
         return new Reply.Granted(member.token());
     }
 
     /** The immediate reply to a join under the name of a live member, if there is one. */
-    private static Optional<Reply> answerKnown(Join join, Member member) {
+    private static Optional<Reply> replyToExistingMember(Join join, Member member) {
         boolean isSameProcess = member.incarnation() == join.incarnation();
         if (isSameProcess && join.previousToken() < member.token()) {
             return Optional.of(new Reply.Granted(member.token()));   // the previous reply was lost
@@ -218,15 +218,15 @@
             if (lease == null) {
                 ended.add(renewal.token());
             } else {
-                lease.renewals = Math.max(lease.renewals, renewal.number());
+                lease.renewals = Math.max(lease.renewals, renewal.renewalNumber());
             }
         }
         return new Reply.Ended(ended);
     }
 
     private Reply expire(Expire expire) {
-        if (renewals(expire.token()) == expire.number()) {
-            end(expire.token(), false);
+        if (renewals(expire.token()) == expire.renewalNumber()) {
+            endLease(expire.token(), false);
         }
         return Reply.DONE;
     }
@@ -236,20 +236,20 @@
         if (lease == null) {
             return new Reply.Ended(List.of(replicated.token()));
         }
-        if (replicated.view() > lease.replicatedView && views.containsKey(replicated.view())) {
-            lease.replicatedView = replicated.view();
-            forgetUnusedViews();
+        if (replicated.viewNumber() > lease.replicatedView && views.containsKey(replicated.viewNumber())) {
+            lease.replicatedView = replicated.viewNumber();
+            removeUnusedViews();
         }
         return Reply.DONE;
     }
 
     private Reply claim(Claim claim) {
         List<Integer> owned = new ArrayList<>();
-        OrphanedShards orphan = orphans.get(claim.orphan());
-        if (orphan != null && isLive(claim.claimer())) {
+        OrphanedShards orphan = orphans.get(claim.formerToken());
+        if (orphan != null && isLive(claim.claimerToken())) {
             for (int shard : claim.shards()) {
-                if (mayClaim(orphan, shard, claim.claimer())) {
-                    orphan.assign(shard, claim.claimer());
+                if (mayClaim(orphan, shard, claim.claimerToken())) {
+                    orphan.assign(shard, claim.claimerToken());
                     owned.add(shard);
                 }
             }
@@ -257,28 +257,28 @@
         return new Reply.Owned(owned);
     }
 
-    private boolean mayClaim(OrphanedShards orphan, int shard, long claimer) {
+    private boolean mayClaim(OrphanedShards orphan, int shard, long claimerToken) {
         Long owner = orphan.owners().get(shard);
-        if (owner == null || owner == claimer) {
+        if (owner == null || owner == claimerToken) {
             return owner != null;
         }
-        boolean isFree = owner == OrphanedShards.NOBODY || !isLive(owner);
-        return isFree && successors(orphan, shard).stream().anyMatch(member -> member.token() == claimer);
+        boolean isFree = owner == OrphanedShards.UNCLAIMED || !isLive(owner);
+        return isFree && successors(orphan, shard).stream().anyMatch(member -> member.token() == claimerToken);
     }
 
     private Reply reclaim(Reclaim reclaim) {
         List<Integer> takenBack = new ArrayList<>();
         if (mayReclaim(reclaim)) {
-            Optional<OrphanedShards> orphan = orphan(reclaim.former());
+            Optional<OrphanedShards> orphan = orphan(reclaim.formerToken());
             for (int shard : reclaim.shards()) {
-                if (wasTakenOverBy(reclaim.former(), shard)) {
+                if (wasTakenOverBy(reclaim.formerToken(), shard)) {
                     continue;   // calls that it had adopted are still looked up in its records
                 }
                 boolean isUnclaimed = orphan.filter(shards -> shards.isUnclaimed(shard)).isPresent();
                 if (isUnclaimed) {
                     orphan.get().remove(shard);
                     takenBack.add(shard);
-                } else if (unclaimable.takeBack(reclaim.former(), shard)) {
+                } else if (unclaimable.reclaim(reclaim.formerToken(), shard)) {
                     takenBack.add(shard);
                 }
             }
@@ -288,22 +288,22 @@
     }
 
     private boolean mayReclaim(Reclaim reclaim) {
-        Optional<Member> former = orphan(reclaim.former()).map(OrphanedShards::former)
-                .or(() -> unclaimable.former(reclaim.former()));
+        Optional<Member> formerOwner = orphan(reclaim.formerToken()).map(OrphanedShards::former)
+                .or(() -> unclaimable.formerOwner(reclaim.formerToken()));
         Optional<Member> member = member(reclaim.token());
-        return former.isPresent() && member.isPresent() && member.get().name().equals(former.get().name())
-                && member.get().incarnation() == former.get().incarnation();
+        return formerOwner.isPresent() && member.isPresent() && member.get().name().equals(formerOwner.get().name())
+                && member.get().incarnation() == formerOwner.get().incarnation();
     }
 
     private Reply complete(Complete complete) {
-        OrphanedShards orphan = orphans.get(complete.orphan());
+        OrphanedShards orphan = orphans.get(complete.formerToken());
         if (orphan != null) {
             for (int shard : complete.shards()) {
                 Long owner = orphan.owners().get(shard);
                 // Calls that the former owner had itself adopted are looked up in its records by their next owner: if the
                 // shard were removed here, two members would continue one call.
-                if (owner != null && owner == complete.claimer() && isLive(owner)
-                        && !wasTakenOverBy(complete.orphan(), shard)) {
+                if (owner != null && owner == complete.claimerToken() && isLive(owner)
+                        && !wasTakenOverBy(complete.formerToken(), shard)) {
                     orphan.remove(shard);
                 }
             }
@@ -317,7 +317,7 @@
     }
 
     /** Ends a lease: its replicated shards become orphaned, or unclaimable if no member has its records. */
-    private void end(long token, boolean areReplicasDropped) {
+    private void endLease(long token, boolean areReplicasDropped) {
         Lease lease = leases.remove(token);
         if (lease == null) {
             return;
@@ -329,14 +329,14 @@
             all.set(0, ShardPlacement.SHARDS);
             unclaimable.add(lease.member, all);
         }
-        membersChanged();
+        advanceView();
         dropLostShards();
     }
 
-    private void membersChanged() {
+    private void advanceView() {
         view++;
         views.put(view, leases.values().stream().map(lease -> lease.member).toList());
-        forgetUnusedViews();
+        removeUnusedViews();
     }
 
     /** Drops shards without a live replica holder: records exist in memory only, so they are lost with their holders. */
@@ -344,17 +344,17 @@
         for (OrphanedShards orphan : List.copyOf(orphans.values())) {
             BitSet lost = new BitSet();
             orphan.owners().forEach((shard, owner) -> lost.set(shard,
-                    (owner == OrphanedShards.NOBODY || !isLive(owner)) && successors(orphan, shard).isEmpty()));
+                    (owner == OrphanedShards.UNCLAIMED || !isLive(owner)) && successors(orphan, shard).isEmpty()));
             lost.stream().forEach(orphan::remove);
             unclaimable.add(orphan.former(), lost);
             if (orphan.isEmpty()) {
                 orphans.remove(orphan.former().token());
             }
         }
-        forgetUnusedViews();
+        removeUnusedViews();
     }
 
-    private void forgetUnusedViews() {
+    private void removeUnusedViews() {
         Set<Long> used = new HashSet<>();
         used.add(view);
         leases.values().forEach(lease -> used.add(lease.replicatedView));
--- a/group/src/main/java/pathlane/group/LeaseTerms.java
+++ b/group/src/main/java/pathlane/group/LeaseTerms.java
@@ -13,23 +13,24 @@
  */
 public record LeaseTerms(Duration length, double drift, Duration writeLag) {
 
-    private static final Duration LEAST = Duration.ofMillis(300);
-    private static final double MOST_DRIFT = 0.2;
-    private static final int RENEWALS = 3;
-    private static final int PARTS = 4;
+    private static final Duration MIN_LENGTH = Duration.ofMillis(300);
+    private static final double MAX_DRIFT = 0.2;
+    private static final int RENEWALS_PER_LEASE = 3;
+    private static final int MIN_WRITE_LAGS_PER_LEASE = 4;
 
     /** A lease of 3 s, clocks that are off by at most 1 %, and 100 ms from a check to its write. */
     public static final LeaseTerms DEFAULT = new LeaseTerms(Duration.ofSeconds(3), 0.01, Duration.ofMillis(100));
 
     /** @throws IllegalArgumentException if a value is out of range; the message says which */
     public LeaseTerms {
-        if (length.compareTo(LEAST) < 0) {
-            throw new IllegalArgumentException("lease length of " + length.toMillis() + " ms is below the minimum of 300 ms");
+        if (length.compareTo(MIN_LENGTH) < 0) {
+            throw new IllegalArgumentException(
+                    "lease length of " + length.toMillis() + " ms is below the minimum of 300 ms");
         }
-        if (!(drift >= 0 && drift <= MOST_DRIFT)) {
-            throw new IllegalArgumentException("clock drift of " + drift + " is not between 0 and 0.2");
+        if (!(drift >= 0 && drift <= MAX_DRIFT)) {
+            throw new IllegalArgumentException("drift of " + drift + " is not between 0 and 0.2");
         }
-        if (writeLag.isNegative() || writeLag.multipliedBy(PARTS).compareTo(length) > 0) {
+        if (writeLag.isNegative() || writeLag.multipliedBy(MIN_WRITE_LAGS_PER_LEASE).compareTo(length) > 0) {
             throw new IllegalArgumentException("write lag of " + writeLag.toMillis()
                     + " ms is not between 0 and a quarter of the lease length");
         }
@@ -47,6 +48,6 @@
 
     /** The interval between renewals: a third of the length, so that two may fail before the lease lapses. */
     public Duration renewInterval() {
-        return length.dividedBy(RENEWALS);
+        return length.dividedBy(RENEWALS_PER_LEASE);
     }
 }
--- a/group/src/main/java/pathlane/group/OrphanedShards.java
+++ b/group/src/main/java/pathlane/group/OrphanedShards.java
@@ -14,31 +14,31 @@
 public final class OrphanedShards {
 
     /** The owner token of a shard that no member has claimed. */
-    public static final long NOBODY = 0;
+    public static final long UNCLAIMED = 0;
 
-    private final Member former;
+    private final Member formerOwner;
     private final long view;
     private final SortedMap<Integer, Long> owners = new TreeMap<>();
     private final SortedMap<Integer, List<Long>> previousOwners = new TreeMap<>();
 
-    OrphanedShards(Member former, long view) {
-        this.former = former;
+    OrphanedShards(Member formerOwner, long view) {
+        this.formerOwner = formerOwner;
         this.view = view;
     }
 
     /** All shards of a former member, none of them claimed. */
-    static OrphanedShards unclaimed(Member former, long view) {
-        OrphanedShards orphan = new OrphanedShards(former, view);
+    static OrphanedShards unclaimed(Member formerOwner, long view) {
+        OrphanedShards orphan = new OrphanedShards(formerOwner, view);
         for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
-            orphan.owners.put(shard, NOBODY);
+            orphan.owners.put(shard, UNCLAIMED);
         }
         return orphan;
     }
 
     /** Creates an instance from a snapshot. */
-    static OrphanedShards restore(Member former, long view, Map<Integer, Long> owners,
+    static OrphanedShards restore(Member formerOwner, long view, Map<Integer, Long> owners,
             Map<Integer, List<Long>> previousOwners) {
-        OrphanedShards orphan = new OrphanedShards(former, view);
+        OrphanedShards orphan = new OrphanedShards(formerOwner, view);
         orphan.owners.putAll(owners);
         orphan.previousOwners.putAll(previousOwners);
         return orphan;
@@ -46,7 +46,7 @@
 
     /** The member that owned the shards until its lease ended. */
     public Member former() {
-        return former;
+        return formerOwner;
     }
 
     /** The view that determines where the replicas of the shards are placed. */
@@ -54,7 +54,7 @@
         return view;
     }
 
-    /** The shards that are not completed, each with the token of its claimer or {@link #NOBODY}. */
+    /** The shards that are not completed, each with the token of its claimer or {@link #UNCLAIMED}. */
     public Map<Integer, Long> owners() {
         return Collections.unmodifiableMap(owners);
     }
@@ -67,12 +67,12 @@
     /** Whether a shard is neither completed nor claimed. */
     boolean isUnclaimed(int shard) {
         Long owner = owners.get(shard);
-        return owner != null && owner == NOBODY;
+        return owner != null && owner == UNCLAIMED;
     }
 
     /** Whether no shard is claimed. */
     boolean isUnclaimed() {
-        return owners.values().stream().allMatch(owner -> owner == NOBODY);
+        return owners.values().stream().allMatch(owner -> owner == UNCLAIMED);
     }
 
     /** Whether a member owns an uncompleted shard, or owned it before its own lease ended. */
@@ -83,9 +83,9 @@
 
     /** Makes a member the owner of a shard. The calls that a previous owner has adopted are in that owner's own records. */
     void assign(int shard, long token) {
-        long before = owners.put(shard, token);
-        if (before != NOBODY && before != token) {
-            previousOwners.computeIfAbsent(shard, any -> new ArrayList<>()).add(before);
+        long previousOwner = owners.put(shard, token);
+        if (previousOwner != UNCLAIMED && previousOwner != token) {
+            previousOwners.computeIfAbsent(shard, key -> new ArrayList<>()).add(previousOwner);
         }
     }
 
--- a/group/src/main/java/pathlane/group/RegistryClient.java
+++ b/group/src/main/java/pathlane/group/RegistryClient.java
@@ -28,56 +28,56 @@
 public final class RegistryClient implements RegistryAccess {
 
     private static final Logger LOG = System.getLogger("group");
-    static final int ASK = 1;
-    static final int ANSWER = 2;
-    static final int ELSEWHERE = 3;
-    static final int STATE = 4;
+    static final int REQUEST = 1;
+    static final int REPLY = 2;
+    static final int NOT_LEADER = 3;
+    static final int SNAPSHOT = 4;
     static final int APPLIED = 5;
-    static final int ALIVE = 6;
+    static final int HEARTBEAT = 6;
 
-    private static final Duration DIAL_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration NEXT_VOTER = Duration.ofMillis(100);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration NEXT_VOTER_DELAY = Duration.ofMillis(100);
     /** A leader sends five heartbeats in this time. */
-    static final Duration SILENCE = Duration.ofSeconds(1);
-    private static final Duration UNANSWERED = Duration.ofSeconds(1);
+    static final Duration LEADER_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
 
     private final List<InetSocketAddress> voters;
-    private final Connector dialer;
+    private final Connector connector;
     private final Scheduler scheduler;
-    private final AuthenticatedLink.Context common;
-    private final Runnable changed;
-    private final Map<Long, Waiting> waiting = new HashMap<>();
-    private LeaseRegistry seen = new LeaseRegistry();
-    private long index = -1;
-    private long asks;
-    private int voter;
+    private final AuthenticatedLink.Context context;
+    private final Runnable onChange;
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    private LeaseRegistry registry = new LeaseRegistry();
+    private long appliedIndex = -1;
+    private long lastRequestId;
+    private int voterIndex;
     private Session session;
-    private boolean stopped;
+    private boolean isStopped;
 
-    private record Waiting(Consumer<Optional<Reply>> answered, Scheduler.Timer timer) {}
+    private record PendingRequest(Consumer<Optional<Reply>> onReply, Scheduler.Timer timer) {}
 
     /**
      * Creates a client without a connection; {@link #start} connects.
      *
-     * @param changed run after each change of the local replica of the registry
+     * @param onChange run after each change of the local replica of the registry
      */
-    public RegistryClient(List<InetSocketAddress> voters, Connector dialer, AuthenticatedLink.Context common,
-            Runnable changed) {
+    public RegistryClient(List<InetSocketAddress> voters, Connector connector, AuthenticatedLink.Context context,
+            Runnable onChange) {
         this.voters = List.copyOf(voters);
-        this.dialer = dialer;
-        this.scheduler = common.scheduler();
-        this.common = common;
-        this.changed = changed;
+        this.connector = connector;
+        this.scheduler = context.scheduler();
+        this.context = context;
+        this.onChange = onChange;
     }
 
     /** Starts to connect to the voters in turn until one leads. */
     public void start() {
-        dial();
+        connect();
     }
 
     /** Closes the connection for good; later commands get no reply. */
     public void stop() {
-        stopped = true;
+        isStopped = true;
         if (session != null) {
             session.link.close(CloseReason.DISCONNECTED);
         }
@@ -85,41 +85,42 @@
 
     /** Whether the client is connected to a leading voter and follows it. */
     public boolean isConnected() {
-        return session != null && session.following;
+        return session != null && session.isFollowing;
     }
 
     @Override
     public LeaseRegistry registry() {
-        return seen;
+        return registry;
     }
 
     @Override
-    public void submit(Command command, Consumer<Optional<Reply>> answered) {
-        long id = ++asks;
+    public void submit(Command command, Consumer<Optional<Reply>> onReply) {
+        long id = ++lastRequestId;
         if (!isConnected()) {
-            scheduler.after(Duration.ZERO, () -> answered.accept(Optional.empty()));
+            scheduler.after(Duration.ZERO, () -> onReply.accept(Optional.empty()));
             return;
         }
-        waiting.put(id, new Waiting(answered, scheduler.after(UNANSWERED, () -> answer(id, Optional.empty()))));
-        byte[] bytes = RegistryCodec.bytes(command);
-        session.link.send(RegistryCodec.packed(packer -> {
-            packer.packInt(ASK).packLong(id).packBinaryHeader(bytes.length);
+        pendingRequests.put(id,
+                new PendingRequest(onReply, scheduler.after(REQUEST_TIMEOUT, () -> completeRequest(id, Optional.empty()))));
+        byte[] bytes = RegistryCodec.encode(command);
+        session.link.send(RegistryCodec.pack(packer -> {
+            packer.packInt(REQUEST).packLong(id).packBinaryHeader(bytes.length);
             packer.writePayload(bytes);
         }));
     }
 
-    private void answer(long id, Optional<Reply> reply) {
-        Waiting one = waiting.remove(id);
-        if (one != null) {
-            one.timer.cancel();
-            one.answered.accept(reply);
+    private void completeRequest(long id, Optional<Reply> reply) {
+        PendingRequest request = pendingRequests.remove(id);
+        if (request != null) {
+            request.timer.cancel();
+            request.onReply.accept(reply);
         }
     }
 
-    private void dial() {
-        if (!stopped) {
+    private void connect() {
+        if (!isStopped) {
             session = new Session();
-            dialer.connect(voters.get(voter), DIAL_TIMEOUT, session.link);
+            connector.connect(voters.get(voterIndex), CONNECT_TIMEOUT, session.link);
         }
     }
 
@@ -134,26 +135,26 @@
 
     private final class Session implements AuthenticatedLink.Listener {
 
-        private final AuthenticatedLink link = new AuthenticatedLink(common, true, this);
-        private boolean following;
-        private Scheduler.Timer silence;
+        private final AuthenticatedLink link = new AuthenticatedLink(context, true, this);
+        private boolean isFollowing;
+        private Scheduler.Timer leaderTimer;
 
         @Override
-        public void authenticated(AuthenticatedLink up, String name) {
-            await();
+        public void authenticated(AuthenticatedLink authenticatedLink, String name) {
+            restartLeaderTimer();
         }
 
-        private void await() {
-            if (silence != null) {
-                silence.cancel();
+        private void restartLeaderTimer() {
+            if (leaderTimer != null) {
+                leaderTimer.cancel();
             }
-            silence = scheduler.after(SILENCE, () -> link.close(CloseReason.SILENT));
+            leaderTimer = scheduler.after(LEADER_TIMEOUT, () -> link.close(CloseReason.SILENT));
         }
 
         @Override
         public void received(byte[] payload) {
-            await();
-            RegistryCodec.read(payload, unpacker -> {
+            restartLeaderTimer();
+            RegistryCodec.decode(payload, unpacker -> {
                 received(unpacker);
                 return null;
             });
@@ -162,47 +163,50 @@
         private void received(MessageUnpacker unpacker) throws IOException {
             int kind = unpacker.unpackInt();
             switch (kind) {
-                case ANSWER -> answer(unpacker.unpackLong(), Optional.of(RegistryCodec.reply(binary(unpacker))));
-                case ELSEWHERE -> link.close(CloseReason.DISCONNECTED);
-                case STATE -> {
-                    long at = unpacker.unpackLong();
-                    if (at < index) {
+                case REPLY ->
+                    completeRequest(unpacker.unpackLong(), Optional.of(RegistryCodec.decodeReply(binary(unpacker))));
+                case NOT_LEADER -> link.close(CloseReason.DISCONNECTED);
+                case SNAPSHOT -> {
+                    long snapshotIndex = unpacker.unpackLong();
+                    if (snapshotIndex < appliedIndex) {
                         link.close(CloseReason.OVERTAKEN);   // a former leader that has not noticed that it is behind
                         return;
                     }
-                    seen = RegistryCodec.register(binary(unpacker));
-                    index = at;
-                    if (!following) {
-                        LOG.log(Level.INFO, "connected to the voter at {0}, which leads the registry", voters.get(voter));
+                    registry = RegistryCodec.decodeRegistry(binary(unpacker));
+                    appliedIndex = snapshotIndex;
+                    if (!isFollowing) {
+                        LOG.log(Level.INFO, "connected to the voter at {0}, which leads the registry",
+                                voters.get(voterIndex));
                     }
-                    following = true;
-                    changed.run();
+                    isFollowing = true;
+                    onChange.run();
                 }
                 case APPLIED -> {
-                    index = unpacker.unpackLong();
-                    seen.apply(RegistryCodec.command(binary(unpacker)));
-                    changed.run();
+                    appliedIndex = unpacker.unpackLong();
+                    registry.apply(RegistryCodec.decodeCommand(binary(unpacker)));
+                    onChange.run();
                 }
-                case ALIVE -> {}
+                case HEARTBEAT -> {}
                 default -> throw new BadInput("unknown message kind " + kind + " from a voter");
             }
         }
 
         @Override
-        public void closed(CloseReason end) {
-            if (silence != null) {
-                silence.cancel();
+        public void closed(CloseReason reason) {
+            if (leaderTimer != null) {
+                leaderTimer.cancel();
             }
             if (session != this) {
                 return;
             }
-            if (following) {
-                LOG.log(Level.WARNING, "the voter at {0}, which led the registry, is lost: {1}", voters.get(voter), end);
+            if (isFollowing) {
+                LOG.log(Level.WARNING, "the voter at {0}, which led the registry, is lost: {1}", voters.get(voterIndex),
+                        reason);
             }
-            following = false;
-            List.copyOf(waiting.keySet()).forEach(id -> answer(id, Optional.empty()));
-            voter = (voter + 1) % voters.size();
-            scheduler.after(NEXT_VOTER, RegistryClient.this::dial);
+            isFollowing = false;
+            List.copyOf(pendingRequests.keySet()).forEach(id -> completeRequest(id, Optional.empty()));
+            voterIndex = (voterIndex + 1) % voters.size();
+            scheduler.after(NEXT_VOTER_DELAY, RegistryClient.this::connect);
         }
     }
 }
--- a/group/src/main/java/pathlane/group/RegistryCodec.java
+++ b/group/src/main/java/pathlane/group/RegistryCodec.java
@@ -20,50 +20,50 @@
     private static final int RENEW = 2;
     private static final int LEAVE = 3;
     private static final int EXPIRE = 4;
-    private static final int COVER = 5;
+    private static final int REPLICATED = 5;
     private static final int CLAIM = 6;
-    private static final int SETTLE = 7;
+    private static final int COMPLETE = 7;
     private static final int RECLAIM = 8;
 
     private static final int GRANTED = 1;
     private static final int ENDED = 2;
-    private static final int HELD = 3;
+    private static final int OWNED = 3;
     private static final int DONE = 4;
     private static final int REFUSED = 5;
 
     /** Bounds the memory that a malformed array length can make a reader allocate; no group reaches it. */
-    private static final int MOST_ITEMS = 1 << 20;
+    private static final int MAX_ITEMS = 1 << 20;
 
     private RegistryCodec() {}
 
     /** Encodes a command. */
-    public static byte[] bytes(Command command) {
-        return packed(packer -> write(packer, command));
+    public static byte[] encode(Command command) {
+        return pack(packer -> write(packer, command));
     }
 
     /** @throws BadInput if the bytes are not a command */
-    public static Command command(byte[] bytes) {
-        return read(bytes, RegistryCodec::command);
+    public static Command decodeCommand(byte[] bytes) {
+        return decode(bytes, RegistryCodec::decodeCommand);
     }
 
     /** Encodes a reply. */
-    public static byte[] bytes(Reply reply) {
-        return packed(packer -> write(packer, reply));
+    public static byte[] encode(Reply reply) {
+        return pack(packer -> write(packer, reply));
     }
 
     /** @throws BadInput if the bytes are not a reply */
-    public static Reply reply(byte[] bytes) {
-        return read(bytes, RegistryCodec::reply);
+    public static Reply decodeReply(byte[] bytes) {
+        return decode(bytes, RegistryCodec::decodeReply);
     }
 
     /** Encodes a snapshot of the registry. */
-    public static byte[] bytes(LeaseRegistry register) {
-        return packed(packer -> write(packer, register.snapshot()));
+    public static byte[] encode(LeaseRegistry registry) {
+        return pack(packer -> write(packer, registry.snapshot()));
     }
 
     /** @throws BadInput if the bytes are not a snapshot */
-    public static LeaseRegistry register(byte[] bytes) {
-        return read(bytes, unpacker -> LeaseRegistry.restore(whole(unpacker)));
+    public static LeaseRegistry decodeRegistry(byte[] bytes) {
+        return decode(bytes, unpacker -> LeaseRegistry.restore(readSnapshot(unpacker)));
     }
 
     interface Writer {
@@ -74,7 +74,7 @@
         T read(MessageUnpacker unpacker) throws IOException;
     }
 
-    static byte[] packed(Writer writer) {
+    static byte[] pack(Writer writer) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             writer.write(packer);
             return packer.toByteArray();
@@ -83,7 +83,7 @@
         }
     }
 
-    static <T> T read(byte[] bytes, Reader<T> reader) {
+    static <T> T decode(byte[] bytes, Reader<T> reader) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(unpacker);
         } catch (IOException | MessagePackException e) {
@@ -91,12 +91,12 @@
         }
     }
 
-    static int items(MessageUnpacker unpacker) throws IOException {
-        int items = unpacker.unpackArrayHeader();
-        if (items > MOST_ITEMS) {
-            throw new BadInput(items + " items exceed the limit of 1048576");
+    static int readArrayHeader(MessageUnpacker unpacker) throws IOException {
+        int count = unpacker.unpackArrayHeader();
+        if (count > MAX_ITEMS) {
+            throw new BadInput(count + " items exceed the limit of 1048576");
         }
-        return items;
+        return count;
     }
 
     private static void write(MessageBufferPacker packer, Command command) throws IOException {
@@ -106,28 +106,28 @@
         } else if (command instanceof Command.Renew renew) {
             packer.packInt(RENEW).packArrayHeader(renew.renewals().size());
             for (Command.Renewal renewal : renew.renewals()) {
-                packer.packLong(renewal.token()).packLong(renewal.number());
+                packer.packLong(renewal.token()).packLong(renewal.renewalNumber());
             }
         } else if (command instanceof Command.Leave leave) {
             packer.packInt(LEAVE).packLong(leave.token());
         } else if (command instanceof Command.Expire expire) {
-            packer.packInt(EXPIRE).packLong(expire.token()).packLong(expire.number());
+            packer.packInt(EXPIRE).packLong(expire.token()).packLong(expire.renewalNumber());
         } else if (command instanceof Command.Replicated replicated) {
-            packer.packInt(COVER).packLong(replicated.token()).packLong(replicated.view());
+            packer.packInt(REPLICATED).packLong(replicated.token()).packLong(replicated.viewNumber());
         } else if (command instanceof Command.Claim claim) {
-            packer.packInt(CLAIM).packLong(claim.claimer()).packLong(claim.orphan());
-            writeSlots(packer, claim.shards());
+            packer.packInt(CLAIM).packLong(claim.claimerToken()).packLong(claim.formerToken());
+            writeShards(packer, claim.shards());
         } else if (command instanceof Command.Reclaim reclaim) {
-            packer.packInt(RECLAIM).packLong(reclaim.token()).packLong(reclaim.former());
-            writeSlots(packer, reclaim.shards());
+            packer.packInt(RECLAIM).packLong(reclaim.token()).packLong(reclaim.formerToken());
+            writeShards(packer, reclaim.shards());
         } else {
-            Command.Complete settle = (Command.Complete) command;
-            packer.packInt(SETTLE).packLong(settle.claimer()).packLong(settle.orphan());
-            writeSlots(packer, settle.shards());
+            Command.Complete complete = (Command.Complete) command;
+            packer.packInt(COMPLETE).packLong(complete.claimerToken()).packLong(complete.formerToken());
+            writeShards(packer, complete.shards());
         }
     }
 
-    private static Command command(MessageUnpacker unpacker) throws IOException {
+    private static Command decodeCommand(MessageUnpacker unpacker) throws IOException {
         int kind = unpacker.unpackInt();
         switch (kind) {
             case JOIN -> {
@@ -135,9 +135,9 @@
                         unpacker.unpackLong(), unpacker.unpackInt(), unpacker.unpackBoolean());
             }
             case RENEW -> {
-                int items = items(unpacker);
+                int count = readArrayHeader(unpacker);
                 List<Command.Renewal> renewals = new ArrayList<>();
-                for (int i = 0; i < items; i++) {
+                for (int i = 0; i < count; i++) {
                     renewals.add(new Command.Renewal(unpacker.unpackLong(), unpacker.unpackLong()));
                 }
                 return new Command.Renew(renewals);
@@ -148,33 +148,33 @@
             case EXPIRE -> {
                 return new Command.Expire(unpacker.unpackLong(), unpacker.unpackLong());
             }
-            case COVER -> {
+            case REPLICATED -> {
                 return new Command.Replicated(unpacker.unpackLong(), unpacker.unpackLong());
             }
             case CLAIM -> {
-                return new Command.Claim(unpacker.unpackLong(), unpacker.unpackLong(), shards(unpacker));
+                return new Command.Claim(unpacker.unpackLong(), unpacker.unpackLong(), readShards(unpacker));
             }
             case RECLAIM -> {
-                return new Command.Reclaim(unpacker.unpackLong(), unpacker.unpackLong(), shards(unpacker));
+                return new Command.Reclaim(unpacker.unpackLong(), unpacker.unpackLong(), readShards(unpacker));
             }
-            case SETTLE -> {
-                return new Command.Complete(unpacker.unpackLong(), unpacker.unpackLong(), shards(unpacker));
+            case COMPLETE -> {
+                return new Command.Complete(unpacker.unpackLong(), unpacker.unpackLong(), readShards(unpacker));
             }
             default -> throw new BadInput("unknown command kind " + kind);
         }
     }
 
-    private static void writeSlots(MessageBufferPacker packer, List<Integer> shards) throws IOException {
+    private static void writeShards(MessageBufferPacker packer, List<Integer> shards) throws IOException {
         packer.packArrayHeader(shards.size());
         for (int shard : shards) {
             packer.packInt(shard);
         }
     }
 
-    private static List<Integer> shards(MessageUnpacker unpacker) throws IOException {
-        int items = items(unpacker);
+    private static List<Integer> readShards(MessageUnpacker unpacker) throws IOException {
+        int count = readArrayHeader(unpacker);
         List<Integer> shards = new ArrayList<>();
-        for (int i = 0; i < items; i++) {
+        for (int i = 0; i < count; i++) {
             shards.add(unpacker.unpackInt());
         }
         return shards;
@@ -188,27 +188,27 @@
             for (long token : ended.tokens()) {
                 packer.packLong(token);
             }
-        } else if (reply instanceof Reply.Owned held) {
-            packer.packInt(HELD);
-            writeSlots(packer, held.shards());
+        } else if (reply instanceof Reply.Owned owned) {
+            packer.packInt(OWNED);
+            writeShards(packer, owned.shards());
         } else if (reply instanceof Reply.Refused refused) {
-            packer.packInt(REFUSED).packString(refused.why());
+            packer.packInt(REFUSED).packString(refused.reason());
         } else {
             packer.packInt(DONE);
         }
     }
 
-    private static Reply reply(MessageUnpacker unpacker) throws IOException {
+    private static Reply decodeReply(MessageUnpacker unpacker) throws IOException {
         int kind = unpacker.unpackInt();
         switch (kind) {
             case GRANTED -> {
                 return new Reply.Granted(unpacker.unpackLong());
             }
             case ENDED -> {
-                return new Reply.Ended(tokens(unpacker));
+                return new Reply.Ended(readTokens(unpacker));
             }
-            case HELD -> {
-                return new Reply.Owned(shards(unpacker));
+            case OWNED -> {
+                return new Reply.Owned(readShards(unpacker));
             }
             case DONE -> {
                 return Reply.DONE;
@@ -220,43 +220,43 @@
         }
     }
 
-    private static List<Long> tokens(MessageUnpacker unpacker) throws IOException {
+    private static List<Long> readTokens(MessageUnpacker unpacker) throws IOException {
         List<Long> tokens = new ArrayList<>();
-        for (int left = items(unpacker); left > 0; left--) {
+        for (int remaining = readArrayHeader(unpacker); remaining > 0; remaining--) {
             tokens.add(unpacker.unpackLong());
         }
         return tokens;
     }
 
-    private static void write(MessageBufferPacker packer, LeaseRegistry.Snapshot whole) throws IOException {
-        packer.packLong(whole.lastToken()).packLong(whole.view()).packInt(whole.replicaCount());
-        packer.packArrayHeader(whole.leases().size());
-        for (LeaseRegistry.Lease lease : whole.leases().values()) {
+    private static void write(MessageBufferPacker packer, LeaseRegistry.Snapshot snapshot) throws IOException {
+        packer.packLong(snapshot.lastToken()).packLong(snapshot.view()).packInt(snapshot.replicaCount());
+        packer.packArrayHeader(snapshot.leases().size());
+        for (LeaseRegistry.Lease lease : snapshot.leases().values()) {
             write(packer, lease.member);
             packer.packLong(lease.renewals).packLong(lease.replicatedView);
         }
-        packer.packArrayHeader(whole.orphans().size());
-        for (OrphanedShards orphan : whole.orphans().values()) {
+        packer.packArrayHeader(snapshot.orphans().size());
+        for (OrphanedShards orphan : snapshot.orphans().values()) {
             write(packer, orphan.former());
             packer.packLong(orphan.view()).packArrayHeader(orphan.owners().size());
             for (var shard : orphan.owners().entrySet()) {
                 packer.packInt(shard.getKey()).packLong(shard.getValue());
-                List<Long> past = orphan.previousOwners(shard.getKey());
-                packer.packArrayHeader(past.size());
-                for (long token : past) {
+                List<Long> previousOwners = orphan.previousOwners(shard.getKey());
+                packer.packArrayHeader(previousOwners.size());
+                for (long token : previousOwners) {
                     packer.packLong(token);
                 }
             }
         }
-        packer.packArrayHeader(whole.unclaimable().size());
-        for (UnclaimableShards.Entry entry : whole.unclaimable().values()) {
-            write(packer, entry.former());
+        packer.packArrayHeader(snapshot.unclaimable().size());
+        for (UnclaimableShards.Entry entry : snapshot.unclaimable().values()) {
+            write(packer, entry.formerOwner());
             byte[] shards = entry.shards().toByteArray();
             packer.packBinaryHeader(shards.length);
             packer.writePayload(shards);
         }
-        packer.packArrayHeader(whole.views().size());
-        for (var view : whole.views().entrySet()) {
+        packer.packArrayHeader(snapshot.views().size());
+        for (var view : snapshot.views().entrySet()) {
             packer.packLong(view.getKey()).packArrayHeader(view.getValue().size());
             for (Member member : view.getValue()) {
                 write(packer, member);
@@ -264,46 +264,46 @@
         }
     }
 
-    private static LeaseRegistry.Snapshot whole(MessageUnpacker unpacker) throws IOException {
+    private static LeaseRegistry.Snapshot readSnapshot(MessageUnpacker unpacker) throws IOException {
         long lastToken = unpacker.unpackLong();
         long view = unpacker.unpackLong();
-        int copies = unpacker.unpackInt();
+        int replicaCount = unpacker.unpackInt();
         SortedMap<Long, LeaseRegistry.Lease> leases = new TreeMap<>();
-        for (int left = items(unpacker); left > 0; left--) {
-            LeaseRegistry.Lease lease = new LeaseRegistry.Lease(member(unpacker));
+        for (int remaining = readArrayHeader(unpacker); remaining > 0; remaining--) {
+            LeaseRegistry.Lease lease = new LeaseRegistry.Lease(readMember(unpacker));
             lease.renewals = unpacker.unpackLong();
             lease.replicatedView = unpacker.unpackLong();
             leases.put(lease.member.token(), lease);
         }
         SortedMap<Long, OrphanedShards> orphans = new TreeMap<>();
-        for (int left = items(unpacker); left > 0; left--) {
-            Member former = member(unpacker);
-            long placed = unpacker.unpackLong();
-            SortedMap<Integer, Long> holders = new TreeMap<>();
-            SortedMap<Integer, List<Long>> past = new TreeMap<>();
-            for (int shards = items(unpacker); shards > 0; shards--) {
+        for (int remaining = readArrayHeader(unpacker); remaining > 0; remaining--) {
+            Member formerOwner = readMember(unpacker);
+            long orphanView = unpacker.unpackLong();
+            SortedMap<Integer, Long> owners = new TreeMap<>();
+            SortedMap<Integer, List<Long>> previousOwners = new TreeMap<>();
+            for (int remainingShards = readArrayHeader(unpacker); remainingShards > 0; remainingShards--) {
                 int shard = unpacker.unpackInt();
-                holders.put(shard, unpacker.unpackLong());
-                past.put(shard, tokens(unpacker));
+                owners.put(shard, unpacker.unpackLong());
+                previousOwners.put(shard, readTokens(unpacker));
             }
-            orphans.put(former.token(), OrphanedShards.restore(former, placed, holders, past));
+            orphans.put(formerOwner.token(), OrphanedShards.restore(formerOwner, orphanView, owners, previousOwners));
         }
-        SortedMap<Long, UnclaimableShards.Entry> abandoned = new TreeMap<>();
-        for (int left = items(unpacker); left > 0; left--) {
-            UnclaimableShards.Entry one = new UnclaimableShards.Entry(member(unpacker),
+        SortedMap<Long, UnclaimableShards.Entry> unclaimable = new TreeMap<>();
+        for (int remaining = readArrayHeader(unpacker); remaining > 0; remaining--) {
+            UnclaimableShards.Entry entry = new UnclaimableShards.Entry(readMember(unpacker),
                     BitSet.valueOf(unpacker.readPayload(unpacker.unpackBinaryHeader())));
-            abandoned.put(one.former().token(), one);
+            unclaimable.put(entry.formerOwner().token(), entry);
         }
         SortedMap<Long, List<Member>> views = new TreeMap<>();
-        for (int left = items(unpacker); left > 0; left--) {
-            long number = unpacker.unpackLong();
+        for (int remaining = readArrayHeader(unpacker); remaining > 0; remaining--) {
+            long viewNumber = unpacker.unpackLong();
             List<Member> members = new ArrayList<>();
-            for (int items = items(unpacker); items > 0; items--) {
-                members.add(member(unpacker));
+            for (int remainingMembers = readArrayHeader(unpacker); remainingMembers > 0; remainingMembers--) {
+                members.add(readMember(unpacker));
             }
-            views.put(number, members);
+            views.put(viewNumber, members);
         }
-        return new LeaseRegistry.Snapshot(lastToken, view, copies, leases, orphans, abandoned, views);
+        return new LeaseRegistry.Snapshot(lastToken, view, replicaCount, leases, orphans, unclaimable, views);
     }
 
     private static void write(MessageBufferPacker packer, Member member) throws IOException {
@@ -311,7 +311,7 @@
                 .packLong(member.token());
     }
 
-    private static Member member(MessageUnpacker unpacker) throws IOException {
+    private static Member readMember(MessageUnpacker unpacker) throws IOException {
         return new Member(unpacker.unpackString(), unpacker.unpackLong(), unpacker.unpackString(),
                 unpacker.unpackLong());
     }
--- a/group/src/main/java/pathlane/group/Reply.java
+++ b/group/src/main/java/pathlane/group/Reply.java
@@ -18,7 +18,7 @@
     record Done() implements Reply {}
 
     /** The command can't be carried out for this reason; a retry does not help. */
-    record Refused(String why) implements Reply {}
+    record Refused(String reason) implements Reply {}
 
     /** The shared instance. */
     Reply DONE = new Done();
--- a/group/src/main/java/pathlane/group/ShardPlacement.java
+++ b/group/src/main/java/pathlane/group/ShardPlacement.java
@@ -16,31 +16,31 @@
     /** The number of shards. Calls are placed by shard, and each orphaned shard is claimed separately. */
     public static final int SHARDS = 256;
 
-    private static final Hasher64 HASH = Hashing.komihash5_0();
+    private static final Hasher64 HASHER = Hashing.komihash5_0();
 
     private ShardPlacement() {}
 
     /** The shard of a call, from 0 to {@link #SHARDS} - 1. */
-    public static int shardOf(String call) {
-        return (int) Long.remainderUnsigned(HASH.hashCharsToLong(call), SHARDS);
+    public static int shardOf(String callId) {
+        return (int) Long.remainderUnsigned(HASHER.hashCharsToLong(callId), SHARDS);
     }
 
     /**
      * The members that hold the replicas of an owner's shard, the first successor first.
      *
      * @param members the members of one view
-     * @param owner the token of the member that owns the calls; it is never one of their replica holders
-     * @param copies the number of replica holders; fewer are returned where there are fewer members
+     * @param ownerToken the token of the member that owns the calls; it is never one of their replica holders
+     * @param replicaCount the number of replica holders; fewer are returned where there are fewer members
      */
-    public static List<Member> replicaHolders(int shard, List<Member> members, long owner, int copies) {
+    public static List<Member> replicaHolders(int shard, List<Member> members, long ownerToken, int replicaCount) {
         record Scored(Member member, long score) {}
         List<Scored> scored = new ArrayList<>(members.size());
         for (Member member : members) {
-            if (member.token() != owner) {
-                scored.add(new Scored(member, HASH.hashStream().putInt(shard).putString(member.name()).getAsLong()));
+            if (member.token() != ownerToken) {
+                scored.add(new Scored(member, HASHER.hashStream().putInt(shard).putString(member.name()).getAsLong()));
             }
         }
-        scored.sort(Comparator.comparingLong(Scored::score).reversed().thenComparing(one -> one.member.token()));
-        return scored.stream().limit(copies).map(Scored::member).toList();
+        scored.sort(Comparator.comparingLong(Scored::score).reversed().thenComparing(entry -> entry.member.token()));
+        return scored.stream().limit(replicaCount).map(Scored::member).toList();
     }
 }
--- a/group/src/main/java/pathlane/group/UnclaimableShards.java
+++ b/group/src/main/java/pathlane/group/UnclaimableShards.java
@@ -13,10 +13,10 @@
 final class UnclaimableShards {
 
     /** The unclaimable shards of one former member. */
-    record Entry(Member former, BitSet shards) {}
+    record Entry(Member formerOwner, BitSet shards) {}
 
     /** Bounds the registry's memory against members that never return; the oldest entries are evicted first. */
-    private static final int MOST_MEMBERS = 1_024;
+    private static final int MAX_MEMBERS = 1_024;
 
     private final SortedMap<Long, Entry> entries = new TreeMap<>();
 
@@ -27,23 +27,23 @@
 
     /** Adds an entry from a snapshot. */
     void restore(Entry entry) {
-        entries.put(entry.former.token(), entry);
+        entries.put(entry.formerOwner.token(), entry);
     }
 
     /** Adds shards of a former member whose records no member has. */
-    void add(Member former, BitSet shards) {
+    void add(Member formerOwner, BitSet shards) {
         if (!shards.isEmpty()) {
-            entries.computeIfAbsent(former.token(), token -> new Entry(former, new BitSet())).shards.or(shards);
+            entries.computeIfAbsent(formerOwner.token(), token -> new Entry(formerOwner, new BitSet())).shards.or(shards);
         }
         entries.values().removeIf(entry -> entry.shards.isEmpty());
-        while (entries.size() > MOST_MEMBERS) {
+        while (entries.size() > MAX_MEMBERS) {
             entries.remove(entries.firstKey());
         }
     }
 
     /** The former member with this token, if it has an entry. */
-    Optional<Member> former(long token) {
-        return Optional.ofNullable(entries.get(token)).map(Entry::former);
+    Optional<Member> formerOwner(long token) {
+        return Optional.ofNullable(entries.get(token)).map(Entry::formerOwner);
     }
 
     /** Whether a shard of a former member is unclaimable. */
@@ -53,17 +53,18 @@
     }
 
     /** Gives a shard back to the former member's process; false if the shard is not unclaimable. */
-    boolean takeBack(long token, int shard) {
-        boolean isContained = contains(token, shard);
-        if (isContained) {
+    boolean reclaim(long token, int shard) {
+        boolean isUnclaimable = contains(token, shard);
+        if (isUnclaimable) {
             entries.get(token).shards.clear(shard);
         }
-        return isContained;
+        return isUnclaimable;
     }
 
     /** Removes the shards of a process that a new one replaced at the same name and address: its calls died with it. */
     void removeReplaced(String name, long incarnation, String address) {
-        entries.values().removeIf(entry -> entry.former.name().equals(name) && entry.former.incarnation() != incarnation
-                && entry.former.address().equals(address));
+        entries.values()
+                .removeIf(entry -> entry.formerOwner.name().equals(name) && entry.formerOwner.incarnation() != incarnation
+                        && entry.formerOwner.address().equals(address));
     }
 }
--- a/group/src/main/java/pathlane/group/Voter.java
+++ b/group/src/main/java/pathlane/group/Voter.java
@@ -27,47 +27,47 @@
 public final class Voter {
 
     private static final Logger LOG = System.getLogger("register");
-    private static final Duration GATHER = Duration.ofMillis(20);
-    private static final Duration TICK = Duration.ofMillis(50);
-    private static final Duration OWN_STALL = Duration.ofMillis(500);
-    private static final int ALIVE_EACH = 4;
+    private static final Duration RENEWAL_BATCH_INTERVAL = Duration.ofMillis(20);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    private static final Duration STALL_THRESHOLD = Duration.ofMillis(500);
+    private static final int TICKS_PER_HEARTBEAT = 4;
     /** Bounds the memory that a member which does not read its replies can take. */
-    private static final int MOST_ASKS = 10_000;
+    private static final int MAX_PENDING_REQUESTS = 10_000;
 
-    private final AuthenticatedLink.Context common;
+    private final AuthenticatedLink.Context context;
     private final Scheduler scheduler;
-    private final LongSupplier nanos;
-    private final LeaseExpiryTracker expiry;
+    private final LongSupplier nanoClock;
+    private final LeaseExpiryTracker expiryTracker;
     private final Set<Session> sessions = new LinkedHashSet<>();
-    private final Map<Long, List<Consumer<Optional<Reply>>>> renewing = new LinkedHashMap<>();
-    private final Map<Long, Long> renewals = new LinkedHashMap<>();
-    private final Set<Long> expiring = new LinkedHashSet<>();
-    private LeaseRegistry register = new LeaseRegistry();
-    private long index;
+    private final Map<Long, List<Consumer<Optional<Reply>>>> renewalCallbacks = new LinkedHashMap<>();
+    private final Map<Long, Long> pendingRenewals = new LinkedHashMap<>();
+    private final Set<Long> pendingExpiries = new LinkedHashSet<>();
+    private LeaseRegistry registry = new LeaseRegistry();
+    private long appliedIndex;
     private CommandLog log;
-    private boolean led;
-    private int ticks;
-    private long tickedAt;
-    private boolean stopped;
+    private boolean wasLeader;
+    private int tickCount;
+    private long lastTickNanos;
+    private boolean isStopped;
 
-    /** {@code nanos} is the monotonic clock. */
-    public Voter(LeaseTerms terms, AuthenticatedLink.Context common, LongSupplier nanos) {
-        this.common = common;
-        this.scheduler = common.scheduler();
-        this.nanos = nanos;
-        this.expiry = new LeaseExpiryTracker(terms);
+    /** {@code nanoClock} is the monotonic clock. */
+    public Voter(LeaseTerms terms, AuthenticatedLink.Context context, LongSupplier nanoClock) {
+        this.context = context;
+        this.scheduler = context.scheduler();
+        this.nanoClock = nanoClock;
+        this.expiryTracker = new LeaseExpiryTracker(terms);
     }
 
     /** Starts to serve members, on this log. */
-    public void start(CommandLog agreed) {
-        log = agreed;
-        tickedAt = nanos.getAsLong();
+    public void start(CommandLog commandLog) {
+        log = commandLog;
+        lastTickNanos = nanoClock.getAsLong();
         tick();
     }
 
     /** Closes all connections and stops serving. */
     public void stop() {
-        stopped = true;
+        isStopped = true;
         List.copyOf(sessions).forEach(session -> session.link.close(CloseReason.DISCONNECTED));
     }
 
@@ -77,24 +77,24 @@
     }
 
     /** The registry after the commands applied so far. */
-    public LeaseRegistry register() {
-        return register;
+    public LeaseRegistry registry() {
+        return registry;
     }
 
     // ---- log
 
     /** Applies the next command of the log and sends it to the members that follow. */
-    public Reply applied(long at, Command command) {
-        index = at;
-        boolean wasLive = command instanceof Command.Expire expire && register.isLive(expire.token());
-        Reply reply = register.apply(command);
+    public Reply apply(long index, Command command) {
+        appliedIndex = index;
+        boolean wasLive = command instanceof Command.Expire expire && registry.isLive(expire.token());
+        Reply reply = registry.apply(command);
         announcement(command, wasLive).ifPresent(announcement -> {
-            byte[] bytes = RegistryCodec.bytes(announcement);
-            byte[] message = RegistryCodec.packed(packer -> {
-                packer.packInt(RegistryClient.APPLIED).packLong(at);
+            byte[] bytes = RegistryCodec.encode(announcement);
+            byte[] message = RegistryCodec.pack(packer -> {
+                packer.packInt(RegistryClient.APPLIED).packLong(index);
                 RegistryClient.binary(packer, bytes);
             });
-            sessions.stream().filter(session -> session.follows).forEach(session -> session.link.send(message));
+            sessions.stream().filter(session -> session.isFollowing).forEach(session -> session.link.send(message));
         });
         return reply;
     }
@@ -105,123 +105,124 @@
      */
     private Optional<Command> announcement(Command command, boolean wasLive) {
         if (command instanceof Command.Expire expire) {
-            return wasLive && !register.isLive(expire.token()) ? Optional.of(new Command.Leave(expire.token()))
+            return wasLive && !registry.isLive(expire.token()) ? Optional.of(new Command.Leave(expire.token()))
                     : Optional.empty();
         }
         return command instanceof Command.Renew ? Optional.empty() : Optional.of(command);
     }
 
     /** Replaces the registry with a snapshot; members reconnect to load it. */
-    public void restored(long at, byte[] state) {
-        index = at;
-        register = RegistryCodec.register(state);
-        expiry.reset();
-        sessions.forEach(session -> session.follows = false);
+    public void restore(long index, byte[] snapshot) {
+        appliedIndex = index;
+        registry = RegistryCodec.decodeRegistry(snapshot);
+        expiryTracker.reset();
+        sessions.forEach(session -> session.isFollowing = false);
         List.copyOf(sessions).forEach(session -> session.link.close(CloseReason.OVERTAKEN));
     }
 
     /** A snapshot of the registry, from which the log can restart. */
     public byte[] snapshot() {
-        return RegistryCodec.bytes(register);
+        return RegistryCodec.encode(registry);
     }
 
     // ---- clock
 
     private void tick() {
-        if (stopped) {
+        if (isStopped) {
             return;
         }
-        boolean leads = log.isLeader();
-        long now = nanos.getAsLong();
-        if (now - tickedAt > OWN_STALL.toNanos()) {
-            expiry.reset();   // after a stall of this process: renewals that arrived meanwhile are still unread
+        boolean isLeader = log.isLeader();
+        long nowNanos = nanoClock.getAsLong();
+        if (nowNanos - lastTickNanos > STALL_THRESHOLD.toNanos()) {
+            expiryTracker.reset();   // after a stall of this process: renewals that arrived meanwhile are still unread
         }
-        tickedAt = now;
-        if (leads != led) {
-            LOG.log(Level.INFO, leads ? "{0} leads the registry" : "{0} no longer leads the registry", common.name());
-            led = leads;
+        lastTickNanos = nowNanos;
+        if (isLeader != wasLeader) {
+            LOG.log(Level.INFO, isLeader ? "{0} leads the registry" : "{0} no longer leads the registry", context.name());
+            wasLeader = isLeader;
             // Nobody could renew in the time without a leader: leases count from now.
-            expiry.reset();
-            if (!leads) {
-                byte[] elsewhere = RegistryCodec.packed(packer -> packer.packInt(RegistryClient.ELSEWHERE));
-                sessions.forEach(session -> session.link.send(elsewhere));
+            expiryTracker.reset();
+            if (!isLeader) {
+                byte[] notLeader = RegistryCodec.pack(packer -> packer.packInt(RegistryClient.NOT_LEADER));
+                sessions.forEach(session -> session.link.send(notLeader));
             }
         }
         // Followers track expiry too, each from its own applied renewals, so that a new leader has its own times.
-        List<Command.Expire> due = expiry.dueLeases(register, now);
-        if (leads) {
-            for (Command.Expire one : due) {
-                if (expiring.add(one.token())) {
-                    log.append(one, applied -> expired(one, applied));
+        List<Command.Expire> due = expiryTracker.dueLeases(registry, nowNanos);
+        if (isLeader) {
+            for (Command.Expire expire : due) {
+                if (pendingExpiries.add(expire.token())) {
+                    log.append(expire, reply -> onExpireReply(expire, reply));
                 }
             }
-            if (++ticks % ALIVE_EACH == 0) {
-                byte[] alive = RegistryCodec.packed(packer -> packer.packInt(RegistryClient.ALIVE).packLong(index));
-                sessions.stream().filter(session -> session.follows).forEach(session -> session.link.send(alive));
+            if (++tickCount % TICKS_PER_HEARTBEAT == 0) {
+                byte[] heartbeat =
+                        RegistryCodec.pack(packer -> packer.packInt(RegistryClient.HEARTBEAT).packLong(appliedIndex));
+                sessions.stream().filter(session -> session.isFollowing).forEach(session -> session.link.send(heartbeat));
             }
         }
-        scheduler.after(TICK, this::tick);
+        scheduler.after(TICK_INTERVAL, this::tick);
     }
 
-    private void expired(Command.Expire one, Optional<Reply> applied) {
-        expiring.remove(one.token());
-        if (applied.isPresent() && !register.isLive(one.token())) {
-            LOG.log(Level.WARNING, "lease {0} has expired: it was not renewed in time", Long.toString(one.token()));
+    private void onExpireReply(Command.Expire expire, Optional<Reply> reply) {
+        pendingExpiries.remove(expire.token());
+        if (reply.isPresent() && !registry.isLive(expire.token())) {
+            LOG.log(Level.WARNING, "lease {0} has expired: it was not renewed in time", Long.toString(expire.token()));
         }
     }
 
     // ---- members
 
-    private void ask(Command command, Consumer<Optional<Reply>> answered) {
+    private void submit(Command command, Consumer<Optional<Reply>> onReply) {
         if (!(command instanceof Command.Renew renew)) {
-            log.append(command, answered);
+            log.append(command, onReply);
             return;
         }
-        for (Command.Renewal one : renew.renewals()) {
-            renewals.merge(one.token(), one.number(), Math::max);
-            renewing.computeIfAbsent(one.token(), token -> new ArrayList<>()).add(answered);
+        for (Command.Renewal renewal : renew.renewals()) {
+            pendingRenewals.merge(renewal.token(), renewal.renewalNumber(), Math::max);
+            renewalCallbacks.computeIfAbsent(renewal.token(), token -> new ArrayList<>()).add(onReply);
         }
-        if (renewals.size() == renew.renewals().size()) {
-            scheduler.after(GATHER, this::renew);
+        if (pendingRenewals.size() == renew.renewals().size()) {
+            scheduler.after(RENEWAL_BATCH_INTERVAL, this::submitRenewals);
         }
     }
 
-    private void renew() {
-        List<Command.Renewal> all = new ArrayList<>();
-        renewals.forEach((token, number) -> all.add(new Command.Renewal(token, number)));
-        List<Consumer<Optional<Reply>>> waiting = new ArrayList<>();
-        renewing.values().forEach(waiting::addAll);
-        renewals.clear();
-        renewing.clear();
-        if (!all.isEmpty()) {
-            log.append(new Command.Renew(all), applied -> waiting.forEach(one -> one.accept(applied)));
+    private void submitRenewals() {
+        List<Command.Renewal> batch = new ArrayList<>();
+        pendingRenewals.forEach((token, number) -> batch.add(new Command.Renewal(token, number)));
+        List<Consumer<Optional<Reply>>> callbacks = new ArrayList<>();
+        renewalCallbacks.values().forEach(callbacks::addAll);
+        pendingRenewals.clear();
+        renewalCallbacks.clear();
+        if (!batch.isEmpty()) {
+            log.append(new Command.Renew(batch), reply -> callbacks.forEach(callback -> callback.accept(reply)));
         }
     }
 
     private final class Session implements AuthenticatedLink.Listener {
 
-        private final AuthenticatedLink link = new AuthenticatedLink(common, false, this);
-        private boolean follows;
-        private int asks;
+        private final AuthenticatedLink link = new AuthenticatedLink(context, false, this);
+        private boolean isFollowing;
+        private int pendingRequests;
 
         @Override
-        public void authenticated(AuthenticatedLink up, String name) {
+        public void authenticated(AuthenticatedLink authenticatedLink, String name) {
             if (!log.isLeader()) {
-                link.send(RegistryCodec.packed(packer -> packer.packInt(RegistryClient.ELSEWHERE)));
+                link.send(RegistryCodec.pack(packer -> packer.packInt(RegistryClient.NOT_LEADER)));
                 return;
             }
             sessions.add(this);
-            follows = true;
+            isFollowing = true;
             byte[] bytes = snapshot();
-            link.send(RegistryCodec.packed(packer -> {
-                packer.packInt(RegistryClient.STATE).packLong(index);
+            link.send(RegistryCodec.pack(packer -> {
+                packer.packInt(RegistryClient.SNAPSHOT).packLong(appliedIndex);
                 RegistryClient.binary(packer, bytes);
             }));
         }
 
         @Override
         public void received(byte[] payload) {
-            RegistryCodec.read(payload, unpacker -> {
+            RegistryCodec.decode(payload, unpacker -> {
                 received(unpacker);
                 return null;
             });
@@ -229,23 +230,23 @@
 
         private void received(MessageUnpacker unpacker) throws IOException {
             int kind = unpacker.unpackInt();
-            if (kind != RegistryClient.ASK) {
+            if (kind != RegistryClient.REQUEST) {
                 throw new BadInput("unknown message kind " + kind + " from a member");
             }
             long id = unpacker.unpackLong();
-            Command command = RegistryCodec.command(RegistryClient.binary(unpacker));
+            Command command = RegistryCodec.decodeCommand(RegistryClient.binary(unpacker));
             if (command instanceof Command.Expire) {
                 throw new BadInput("members may not expire leases");
             }
-            if (++asks > MOST_ASKS) {
+            if (++pendingRequests > MAX_PENDING_REQUESTS) {
                 throw new BadInput("more than 10000 pending requests of one member");
             }
-            ask(command, applied -> {
-                asks--;
-                applied.ifPresent(reply -> {
-                    byte[] bytes = RegistryCodec.bytes(reply);
-                    link.send(RegistryCodec.packed(packer -> {
-                        packer.packInt(RegistryClient.ANSWER).packLong(id);
+            submit(command, result -> {
+                pendingRequests--;
+                result.ifPresent(reply -> {
+                    byte[] bytes = RegistryCodec.encode(reply);
+                    link.send(RegistryCodec.pack(packer -> {
+                        packer.packInt(RegistryClient.REPLY).packLong(id);
                         RegistryClient.binary(packer, bytes);
                     }));
                 });
@@ -253,7 +254,7 @@
         }
 
         @Override
-        public void closed(CloseReason end) {
+        public void closed(CloseReason reason) {
             sessions.remove(this);
         }
     }
--- a/group/src/test/java/pathlane/group/LeaseExplorationTest.java
+++ b/group/src/test/java/pathlane/group/LeaseExplorationTest.java
@@ -25,291 +25,317 @@
 class LeaseExplorationTest {
 
     private static final LeaseTerms TERMS = new LeaseTerms(Duration.ofMillis(1000), 0.1, Duration.ofMillis(100));
-    private static final int STEP = 400;
-    private static final int END = 2000;
+    private static final int STEP_MILLIS = 400;
+    private static final int END_MILLIS = 2000;
     private static final int CONTROLLERS = 3;
     /** The shard of each call; both calls belong to the first controller. */
-    private static final int[] SLOTS = {3, 200};
-    private static final int MOST_STATES = 3_000_000;
+    private static final int[] SHARDS_OF_CALLS = {3, 200};
+    private static final int MAX_STATES = 3_000_000;
 
     /** The safeguard that is left out, to verify that the exploration detects its absence. */
-    private enum Without {
-        NOTHING, WAITING_FOR_THE_END, THE_OWN_CHECK, AGREEMENT, AGREEMENT_ON_TAKING_BACK
+    private enum Omission {
+        NONE, EXPIRY_DELAY, VALIDITY_CHECK, CLAIM_AGREEMENT, RECLAIM_AGREEMENT
     }
 
     /** The records are entries TOKEN:CALL: the lease under which a record of a call exists. */
-    private record State(int now, byte[] register, List<Self> selves, Set<String> onTheWay, boolean started,
-            Set<String> noted) {
+    private record State(int nowMillis, byte[] registryBytes, List<Controller> controllers, Set<String> inFlight,
+            boolean hasRestarted,
+            Set<String> records) {
 
         HashValue128 key() {
-            byte[] rest = (now + "" + selves + onTheWay + started + noted).getBytes(StandardCharsets.UTF_8);
-            return Hashing.murmur3_128().hashStream().putBytes(register).putBytes(rest).get();
+            byte[] rest =
+                    (nowMillis + "" + controllers + inFlight + hasRestarted + records).getBytes(StandardCharsets.UTF_8);
+            return Hashing.murmur3_128().hashStream().putBytes(registryBytes).putBytes(rest).get();
         }
     }
 
     /**
      * A controller.
      *
-     * @param validUntil the time from which its lease is no longer valid, by its own clock, which has no drift here
-     * @param holds the calls that it believes it owns
+     * @param validUntilMillis the time from which its lease is no longer valid, by its own clock, which has no drift here
+     * @param ownedCalls the calls that it believes it owns
      */
-    private record Self(long token, int validUntil, int renewals, boolean stopped, boolean dead, Set<Integer> holds) {}
+    private record Controller(long token, int validUntilMillis, int renewalNumber, boolean isSuspended, boolean isDead,
+            Set<Integer> ownedCalls) {}
 
-    private int states;
+    private int exploredStates;
     private String violation;
 
-    private void explore(Without without) {
-        LeaseRegistry register = new LeaseRegistry();
-        List<Self> selves = new ArrayList<>();
+    private void explore(Omission omission) {
+        LeaseRegistry registry = new LeaseRegistry();
+        List<Controller> controllers = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
-            Reply.Granted granted = (Reply.Granted) register.apply(join(i, 1, 0));
-            selves.add(new Self(granted.token(), validFor(), 0, false, false, i == 0 ? new TreeSet<>(List.of(0, 1))
-                    : new TreeSet<>()));
+            Reply.Granted granted = (Reply.Granted) registry.apply(join(i, 1, 0));
+            controllers.add(
+                    new Controller(granted.token(), validForMillis(), 0, false, false, i == 0 ? new TreeSet<>(List.of(0, 1))
+                            : new TreeSet<>()));
         }
-        for (Self self : selves) {
-            register.apply(new Command.Replicated(self.token, register.view()));
+        for (Controller controller : controllers) {
+            registry.apply(new Command.Replicated(controller.token, registry.view()));
         }
-        Deque<State> open = new ArrayDeque<>();
-        Set<HashValue128> seen = new HashSet<>();
-        add(new State(0, RegistryCodec.bytes(register), selves, new TreeSet<>(), false,
-                new TreeSet<>(List.of("1:0", "1:1"))), open, seen);
-        while (!open.isEmpty() && violation == null) {
-            State state = open.pop();
-            states++;
-            check(state, without);
-            next(state, without).forEach(one -> add(one, open, seen));
-            assertTrue(states < MOST_STATES, "too many states");
+        Deque<State> unexplored = new ArrayDeque<>();
+        Set<HashValue128> visited = new HashSet<>();
+        addIfNew(new State(0, RegistryCodec.encode(registry), controllers, new TreeSet<>(), false,
+                new TreeSet<>(List.of("1:0", "1:1"))), unexplored, visited);
+        while (!unexplored.isEmpty() && violation == null) {
+            State state = unexplored.pop();
+            exploredStates++;
+            checkSingleActor(state, omission);
+            nextStates(state, omission).forEach(nextState -> addIfNew(nextState, unexplored, visited));
+            assertTrue(exploredStates < MAX_STATES, "too many states");
         }
     }
 
-    private static void add(State state, Deque<State> open, Set<HashValue128> seen) {
-        if (seen.add(state.key())) {
-            open.push(state);   // depth first, which keeps the number of unexplored states small
+    private static void addIfNew(State state, Deque<State> unexplored, Set<HashValue128> visited) {
+        if (visited.add(state.key())) {
+            unexplored.push(state);   // depth first, which keeps the number of unexplored states small
         }
     }
 
-    private static int validFor() {
+    private static int validForMillis() {
         return (int) TERMS.validFor().toMillis();
     }
 
-    private static Command.Join join(int place, long incarnation, long last) {
-        return new Command.Join("n" + place, incarnation, "127.0.0.1:" + (7000 + place), last, 2, false);
+    private static Command.Join join(int index, long incarnation, long previousToken) {
+        return new Command.Join("n" + index, incarnation, "127.0.0.1:" + (7000 + index), previousToken, 2, false);
     }
 
     /** The states that each possible next event leads to. */
-    private List<State> next(State state, Without without) {
-        List<State> next = new ArrayList<>();
-        if (state.now < END) {
-            next.add(new State(state.now + STEP, state.register, state.selves, state.onTheWay, state.started, state.noted));
+    private List<State> nextStates(State state, Omission omission) {
+        List<State> nextStates = new ArrayList<>();
+        if (state.nowMillis < END_MILLIS) {
+            nextStates.add(new State(state.nowMillis + STEP_MILLIS, state.registryBytes, state.controllers, state.inFlight,
+                    state.hasRestarted, state.records));
         }
-        LeaseRegistry register = RegistryCodec.register(state.register);
+        LeaseRegistry registry = RegistryCodec.decodeRegistry(state.registryBytes);
         for (int i = 0; i < CONTROLLERS; i++) {
-            Self self = state.selves.get(i);
-            if (self.dead) {
-                if (!state.started) {
-                    next.add(restart(state, i));
+            Controller controller = state.controllers.get(i);
+            if (controller.isDead) {
+                if (!state.hasRestarted) {
+                    nextStates.add(restart(state, i));
                 }
                 continue;
             }
             if (i == 0) {
                 // Only the owner of the calls is suspended in this model; the owner and one successor may die.
-                next.add(with(state, i, new Self(self.token, self.validUntil, self.renewals, !self.stopped, false,
-                        self.holds)));
+                nextStates.add(withController(state, i,
+                        new Controller(controller.token, controller.validUntilMillis, controller.renewalNumber,
+                                !controller.isSuspended, false,
+                                controller.ownedCalls)));
             }
             // Deaths multiply the number of states; reclaiming without agreement fails without any.
-            if (i < 2 && without != Without.AGREEMENT_ON_TAKING_BACK) {
-                next.add(with(state, i, new Self(self.token, self.validUntil, self.renewals, false, true, Set.of())));
+            if (i < 2 && omission != Omission.RECLAIM_AGREEMENT) {
+                nextStates.add(withController(state, i, new Controller(controller.token, controller.validUntilMillis,
+                        controller.renewalNumber, false, true, Set.of())));
             }
-            if (!self.stopped && self.token != 0) {
+            if (!controller.isSuspended && controller.token != 0) {
                 // A renewal is sent now and is applied at any later time, or never.
-                if (self.renewals < 1 && i < 2) {
-                    Set<String> way = new TreeSet<>(state.onTheWay);
-                    way.add("renew " + i + " " + self.token + " " + (self.renewals + 1) + " " + state.now);
-                    next.add(new State(state.now, state.register, replace(state.selves, i, new Self(self.token,
-                            self.validUntil, self.renewals + 1, false, false, self.holds)), way, state.started,
-                            state.noted));
+                if (controller.renewalNumber < 1 && i < 2) {
+                    Set<String> inFlight = new TreeSet<>(state.inFlight);
+                    inFlight.add("renew " + i + " " + controller.token + " " + (controller.renewalNumber + 1) + " "
+                            + state.nowMillis);
+                    nextStates.add(new State(state.nowMillis, state.registryBytes,
+                            replace(state.controllers, i, new Controller(controller.token,
+                                    controller.validUntilMillis, controller.renewalNumber + 1, false, false,
+                                    controller.ownedCalls)),
+                            inFlight, state.hasRestarted,
+                            state.records));
                 }
-                claims(state, register, i, without, next);
+                addClaims(state, registry, i, omission, nextStates);
             }
         }
-        for (String message : state.onTheWay) {
-            deliver(state, message, without, next);
+        for (String message : state.inFlight) {
+            addDeliveries(state, message, omission, nextStates);
         }
-        for (Member member : register.members()) {
-            expire(state, register, member, without, next);
+        for (Member member : registry.members()) {
+            addExpiry(state, registry, member, omission, nextStates);
         }
-        return next;
+        return nextStates;
     }
 
-    private State restart(State state, int i) {
-        LeaseRegistry register = RegistryCodec.register(state.register);
-        Reply.Granted granted = (Reply.Granted) register.apply(join(i, 2, 0));
-        return new State(state.now, RegistryCodec.bytes(register), replace(state.selves, i,
-                new Self(granted.token(), state.now + validFor(), 2, false, false, Set.of())), state.onTheWay, true,
-                state.noted);
+    private State restart(State state, int index) {
+        LeaseRegistry registry = RegistryCodec.decodeRegistry(state.registryBytes);
+        Reply.Granted granted = (Reply.Granted) registry.apply(join(index, 2, 0));
+        return new State(state.nowMillis, RegistryCodec.encode(registry), replace(state.controllers, index,
+                new Controller(granted.token(), state.nowMillis + validForMillis(), 2, false, false, Set.of())),
+                state.inFlight, true,
+                state.records);
     }
 
-    private void claims(State state, LeaseRegistry register, int i, Without without, List<State> next) {
-        Self self = state.selves.get(i);
-        boolean sure = state.now < self.validUntil;
-        if (!sure && without != Without.THE_OWN_CHECK) {
+    private void addClaims(State state, LeaseRegistry registry, int index, Omission omission, List<State> nextStates) {
+        Controller controller = state.controllers.get(index);
+        boolean isLeaseValid = state.nowMillis < controller.validUntilMillis;
+        if (!isLeaseValid && omission != Omission.VALIDITY_CHECK) {
             return;
         }
-        for (OrphanedShards estate : register.orphans()) {
-            for (int call = 0; call < SLOTS.length; call++) {
-                long owner = estate.former().token();
-                if (!state.noted.contains(owner + ":" + call)
-                        || !estate.owners().containsKey(SLOTS[call]) || register.successors(estate, SLOTS[call]).stream()
-                                .noneMatch(heir -> heir.token() == self.token)) {
+        for (OrphanedShards orphan : registry.orphans()) {
+            for (int call = 0; call < SHARDS_OF_CALLS.length; call++) {
+                long owner = orphan.former().token();
+                if (!state.records.contains(owner + ":" + call)
+                        || !orphan.owners().containsKey(SHARDS_OF_CALLS[call])
+                        || registry.successors(orphan, SHARDS_OF_CALLS[call]).stream()
+                                .noneMatch(successor -> successor.token() == controller.token)) {
                     continue;
                 }
-                LeaseRegistry after = RegistryCodec.register(state.register);
-                Reply.Owned held = (Reply.Owned) after.apply(new Command.Claim(self.token, estate.former().token(),
-                        List.of(SLOTS[call])));
-                if (held.shards().contains(SLOTS[call]) || without == Without.AGREEMENT) {
+                LeaseRegistry changed = RegistryCodec.decodeRegistry(state.registryBytes);
+                Reply.Owned owned = (Reply.Owned) changed.apply(new Command.Claim(controller.token, orphan.former().token(),
+                        List.of(SHARDS_OF_CALLS[call])));
+                if (owned.shards().contains(SHARDS_OF_CALLS[call]) || omission == Omission.CLAIM_AGREEMENT) {
                     // A call that a previous owner has adopted belongs to that owner's own records.
-                    int one = call;
-                    boolean elsewhere =
-                            estate.previousOwners(SLOTS[call]).stream().anyMatch(past -> register.orphan(past).isPresent()
-                                    && state.noted.contains(past + ":" + one));
-                    Set<Integer> holds = new TreeSet<>(self.holds);
-                    Set<String> noted = new TreeSet<>(state.noted);
-                    if (!elsewhere) {
-                        holds.add(call);
-                        noted.add(self.token + ":" + call);
+                    int currentCall = call;
+                    boolean isInPreviousOwnersRecords =
+                            orphan.previousOwners(SHARDS_OF_CALLS[call]).stream()
+                                    .anyMatch(previousOwner -> registry.orphan(previousOwner).isPresent()
+                                            && state.records.contains(previousOwner + ":" + currentCall));
+                    Set<Integer> ownedCalls = new TreeSet<>(controller.ownedCalls);
+                    Set<String> records = new TreeSet<>(state.records);
+                    if (!isInPreviousOwnersRecords) {
+                        ownedCalls.add(call);
+                        records.add(controller.token + ":" + call);
                     }
-                    next.add(new State(state.now, RegistryCodec.bytes(after), replace(state.selves, i, new Self(self.token,
-                            self.validUntil, self.renewals, false, false, holds)), state.onTheWay, state.started, noted));
+                    nextStates.add(new State(state.nowMillis, RegistryCodec.encode(changed),
+                            replace(state.controllers, index, new Controller(controller.token,
+                                    controller.validUntilMillis, controller.renewalNumber, false, false, ownedCalls)),
+                            state.inFlight, state.hasRestarted, records));
                 }
             }
         }
     }
 
     /** A renewal is applied now; its reply arrives or is lost. */
-    private void deliver(State state, String message, Without without, List<State> next) {
-        String[] words = message.split(" ");
-        int i = Integer.parseInt(words[1]);
-        long token = Long.parseLong(words[2]);
-        LeaseRegistry register = RegistryCodec.register(state.register);
-        Reply.Ended ended = (Reply.Ended) register.apply(new Command.Renew(List.of(new Command.Renewal(token,
-                Long.parseLong(words[3])))));
-        byte[] bytes = RegistryCodec.bytes(register);
-        Set<String> way = new TreeSet<>(state.onTheWay);
-        way.remove(message);
-        next.add(new State(state.now, bytes, state.selves, way, state.started, state.noted));
-        Self self = state.selves.get(i);
-        if (!self.dead && !self.stopped && self.token == token) {
-            Self told = ended.tokens().contains(token)
-                    ? new Self(0, 0, self.renewals, false, false, Set.of())
-                    : new Self(token, Math.max(self.validUntil, Integer.parseInt(words[4]) + validFor()), self.renewals,
-                            false, false, self.holds);
-            next.add(new State(state.now, bytes, replace(state.selves, i, told), way, state.started, state.noted));
-            if (ended.tokens().contains(token) && i == 0) {
-                next.add(takenBack(state, register, self, way, without));
+    private void addDeliveries(State state, String message, Omission omission, List<State> nextStates) {
+        String[] parts = message.split(" ");
+        int index = Integer.parseInt(parts[1]);
+        long token = Long.parseLong(parts[2]);
+        LeaseRegistry registry = RegistryCodec.decodeRegistry(state.registryBytes);
+        Reply.Ended ended = (Reply.Ended) registry.apply(new Command.Renew(List.of(new Command.Renewal(token,
+                Long.parseLong(parts[3])))));
+        byte[] bytes = RegistryCodec.encode(registry);
+        Set<String> inFlight = new TreeSet<>(state.inFlight);
+        inFlight.remove(message);
+        nextStates.add(new State(state.nowMillis, bytes, state.controllers, inFlight, state.hasRestarted, state.records));
+        Controller controller = state.controllers.get(index);
+        if (!controller.isDead && !controller.isSuspended && controller.token == token) {
+            Controller notified = ended.tokens().contains(token)
+                    ? new Controller(0, 0, controller.renewalNumber, false, false, Set.of())
+                    : new Controller(token,
+                            Math.max(controller.validUntilMillis, Integer.parseInt(parts[4]) + validForMillis()),
+                            controller.renewalNumber,
+                            false, false, controller.ownedCalls);
+            nextStates.add(new State(state.nowMillis, bytes, replace(state.controllers, index, notified), inFlight,
+                    state.hasRestarted, state.records));
+            if (ended.tokens().contains(token) && index == 0) {
+                nextStates.add(reclaim(state, registry, controller, inFlight, omission));
             }
         }
     }
 
     /** The owner learns that its lease has ended, joins again, and reclaims the unclaimed shards. */
-    private State takenBack(State state, LeaseRegistry register, Self self, Set<String> way, Without without) {
-        LeaseRegistry after = RegistryCodec.register(RegistryCodec.bytes(register));
-        Reply.Granted granted = (Reply.Granted) after.apply(join(0, 1, self.token));
-        Set<Integer> holds = new TreeSet<>();
-        for (int call : self.holds) {
-            Reply.Owned held =
-                    (Reply.Owned) after.apply(new Command.Reclaim(granted.token(), self.token, List.of(SLOTS[call])));
-            if (held.shards().contains(SLOTS[call]) || without == Without.AGREEMENT_ON_TAKING_BACK) {
-                holds.add(call);
+    private State reclaim(State state, LeaseRegistry registry, Controller controller, Set<String> inFlight,
+            Omission omission) {
+        LeaseRegistry changed = RegistryCodec.decodeRegistry(RegistryCodec.encode(registry));
+        Reply.Granted granted = (Reply.Granted) changed.apply(join(0, 1, controller.token));
+        Set<Integer> ownedCalls = new TreeSet<>();
+        for (int call : controller.ownedCalls) {
+            Reply.Owned owned =
+                    (Reply.Owned) changed
+                            .apply(new Command.Reclaim(granted.token(), controller.token, List.of(SHARDS_OF_CALLS[call])));
+            if (owned.shards().contains(SHARDS_OF_CALLS[call]) || omission == Omission.RECLAIM_AGREEMENT) {
+                ownedCalls.add(call);
             }
         }
-        return new State(state.now, RegistryCodec.bytes(after), replace(state.selves, 0, new Self(granted.token(),
-                state.now + validFor(), 2, false, false, holds)), way, state.started, state.noted);
+        return new State(state.nowMillis, RegistryCodec.encode(changed),
+                replace(state.controllers, 0, new Controller(granted.token(),
+                        state.nowMillis + validForMillis(), 2, false, false, ownedCalls)),
+                inFlight, state.hasRestarted, state.records);
     }
 
     /** The leader expires a lease once the expiry delay has passed since it applied the last renewal. */
-    private void expire(State state, LeaseRegistry register, Member member, Without without, List<State> next) {
-        long number = register.renewals(member.token());
-        int appliedAt = appliedAt(state, member, number);
-        if (without != Without.WAITING_FOR_THE_END
-                && state.now - appliedAt <= TERMS.expireAfter().toMillis()) {
+    private void addExpiry(State state, LeaseRegistry registry, Member member, Omission omission, List<State> nextStates) {
+        long renewalNumber = registry.renewals(member.token());
+        int appliedAtMillis = renewalAppliedAtMillis(state, member, renewalNumber);
+        if (omission != Omission.EXPIRY_DELAY
+                && state.nowMillis - appliedAtMillis <= TERMS.expireAfter().toMillis()) {
             return;
         }
-        LeaseRegistry after = RegistryCodec.register(state.register);
-        after.apply(new Command.Expire(member.token(), number));
-        next.add(new State(state.now, RegistryCodec.bytes(after), state.selves, state.onTheWay, state.started, state.noted));
+        LeaseRegistry changed = RegistryCodec.decodeRegistry(state.registryBytes);
+        changed.apply(new Command.Expire(member.token(), renewalNumber));
+        nextStates.add(new State(state.nowMillis, RegistryCodec.encode(changed), state.controllers, state.inFlight,
+                state.hasRestarted, state.records));
     }
 
     /** The earliest time at which the renewal can have been applied, the worst case: the time at which it was sent. */
-    private static int appliedAt(State state, Member member, long number) {
-        if (number == 0) {
-            return member.token() <= CONTROLLERS ? 0 : state.now;   // leases granted later are not expired in this model
+    private static int renewalAppliedAtMillis(State state, Member member, long renewalNumber) {
+        if (renewalNumber == 0) {
+            return member.token() <= CONTROLLERS ? 0 : state.nowMillis;   // later leases are not expired in this model
         }
-        for (Self self : state.selves) {
-            if (self.token == member.token()) {
+        for (Controller controller : state.controllers) {
+            if (controller.token == member.token()) {
                 // The validity shows when the last renewal with a reply was sent; one without a reply was sent no earlier.
-                return Math.max(0, self.validUntil - validFor());
+                return Math.max(0, controller.validUntilMillis - validForMillis());
             }
         }
-        return state.now;
+        return state.nowMillis;
     }
 
-    private static State with(State state, int i, Self self) {
-        return new State(state.now, state.register, replace(state.selves, i, self), state.onTheWay, state.started,
-                state.noted);
+    private static State withController(State state, int index, Controller controller) {
+        return new State(state.nowMillis, state.registryBytes, replace(state.controllers, index, controller), state.inFlight,
+                state.hasRestarted,
+                state.records);
     }
 
-    private static List<Self> replace(List<Self> selves, int i, Self self) {
-        List<Self> replaced = new ArrayList<>(selves);
-        replaced.set(i, self);
+    private static List<Controller> replace(List<Controller> controllers, int index, Controller controller) {
+        List<Controller> replaced = new ArrayList<>(controllers);
+        replaced.set(index, controller);
         return replaced;
     }
 
     /** A suspended process checks its lease and acts as soon as it resumes: it counts as one that would act now. */
-    private void check(State state, Without without) {
-        for (int call = 0; call < SLOTS.length; call++) {
-            List<Integer> acting = new ArrayList<>();
+    private void checkSingleActor(State state, Omission omission) {
+        for (int call = 0; call < SHARDS_OF_CALLS.length; call++) {
+            List<Integer> actingControllers = new ArrayList<>();
             for (int i = 0; i < CONTROLLERS; i++) {
-                Self self = state.selves.get(i);
-                boolean sure = state.now < self.validUntil || without == Without.THE_OWN_CHECK;
-                if (!self.dead && self.holds.contains(call) && sure) {
-                    acting.add(i);
+                Controller controller = state.controllers.get(i);
+                boolean isLeaseValid = state.nowMillis < controller.validUntilMillis || omission == Omission.VALIDITY_CHECK;
+                if (!controller.isDead && controller.ownedCalls.contains(call) && isLeaseValid) {
+                    actingControllers.add(i);
                 }
             }
-            if (acting.size() > 1) {
-                violation = "call " + call + " is acted on by " + acting + " at " + state;
+            if (actingControllers.size() > 1) {
+                violation = "call " + call + " is acted on by " + actingControllers + " at " + state;
             }
         }
     }
 
     @Test
-    void inNoOrderDoTwoActOnOneCall() {
-        explore(Without.NOTHING);
+    void noOrderLetsTwoControllersActOnOneCall() {
+        explore(Omission.NONE);
         assertEquals(null, violation);
-        assertTrue(states > 10_000, () -> "only " + states + " states explored");
-        System.out.println("lease exploration: " + states + " states");
+        assertTrue(exploredStates > 10_000, () -> "only " + exploredStates + " states explored");
+        System.out.println("lease exploration: " + exploredStates + " states");
     }
 
     @Test
-    void withoutWaitingForTheEndTwoWould() {
-        explore(Without.WAITING_FOR_THE_END);
+    void omittedExpiryDelayIsDetected() {
+        explore(Omission.EXPIRY_DELAY);
         assertFalse(violation == null);
     }
 
     @Test
-    void withoutTheOwnersCheckTwoWould() {
-        explore(Without.THE_OWN_CHECK);
+    void omittedValidityCheckIsDetected() {
+        explore(Omission.VALIDITY_CHECK);
         assertFalse(violation == null);
     }
 
     @Test
-    void withoutAgreementOnTakingBackTwoWould() {
-        explore(Without.AGREEMENT_ON_TAKING_BACK);
+    void omittedReclaimAgreementIsDetected() {
+        explore(Omission.RECLAIM_AGREEMENT);
         assertFalse(violation == null);
     }
 
     @Test
-    void withoutAgreementOnClaimsTwoWould() {
-        explore(Without.AGREEMENT);
+    void omittedClaimAgreementIsDetected() {
+        explore(Omission.CLAIM_AGREEMENT);
         assertFalse(violation == null);
     }
 }
--- a/voter/src/main/java/pathlane/voter/RaftCodec.java
+++ b/voter/src/main/java/pathlane/voter/RaftCodec.java
@@ -33,19 +33,19 @@
 /** Encodes the Raft library's messages and stored state as MessagePack: a kind, then the fields in a fixed order. */
 public final class RaftCodec implements RaftStoreSerializer {
 
-    private static final int APPEND = 1;
-    private static final int APPENDED = 2;
-    private static final int NOT_APPENDED = 3;
-    private static final int PRE_VOTE = 4;
-    private static final int PRE_VOTED = 5;
-    private static final int VOTE = 6;
-    private static final int VOTED = 7;
-    private static final int INSTALL = 8;
-    private static final int INSTALLED = 9;
-    private static final int TRIGGER = 10;
-
-    private static final int MOST_ITEMS = 1 << 16;
-    private static final String GROUP = "register";
+    private static final int APPEND_ENTRIES_REQUEST = 1;
+    private static final int APPEND_ENTRIES_SUCCESS = 2;
+    private static final int APPEND_ENTRIES_FAILURE = 3;
+    private static final int PRE_VOTE_REQUEST = 4;
+    private static final int PRE_VOTE_RESPONSE = 5;
+    private static final int VOTE_REQUEST = 6;
+    private static final int VOTE_RESPONSE = 7;
+    private static final int INSTALL_SNAPSHOT_REQUEST = 8;
+    private static final int INSTALL_SNAPSHOT_RESPONSE = 9;
+    private static final int TRIGGER_LEADER_ELECTION = 10;
+
+    private static final int MAX_ITEMS = 1 << 16;
+    private static final String GROUP_ID = "register";
 
     private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
 
@@ -57,7 +57,7 @@
         T read(MessageUnpacker unpacker) throws IOException;
     }
 
-    private static byte[] packed(Writer writer) {
+    private static byte[] pack(Writer writer) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             writer.write(packer);
             return packer.toByteArray();
@@ -66,7 +66,7 @@
         }
     }
 
-    private static <T> T read(byte[] bytes, Reader<T> reader) {
+    private static <T> T decode(byte[] bytes, Reader<T> reader) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(unpacker);
         } catch (IOException | MessagePackException e) {
@@ -77,120 +77,142 @@
     // ---- messages between voters
 
     /** Encodes a message. */
-    public byte[] bytes(RaftMessage message) {
-        return packed(packer -> write(packer, message));
+    public byte[] encode(RaftMessage message) {
+        return pack(packer -> write(packer, message));
     }
 
     /** @throws BadInput if the bytes are not a message */
-    public RaftMessage message(byte[] bytes) {
-        return read(bytes, this::message);
+    public RaftMessage decodeMessage(byte[] bytes) {
+        return decode(bytes, this::decodeMessage);
     }
 
     private void write(MessageBufferPacker packer, RaftMessage message) throws IOException {
         if (message instanceof AppendEntriesRequest request) {
-            head(packer, APPEND, message).packInt(request.getPreviousLogTerm()).packLong(request.getPreviousLogIndex())
+            writeHeader(packer, APPEND_ENTRIES_REQUEST, message).packInt(request.getPreviousLogTerm())
+                    .packLong(request.getPreviousLogIndex())
                     .packLong(request.getCommitIndex()).packLong(request.getQuerySequenceNumber())
                     .packLong(request.getFlowControlSequenceNumber()).packArrayHeader(request.getLogEntries().size());
             for (LogEntry entry : request.getLogEntries()) {
                 write(packer, entry);
             }
         } else if (message instanceof AppendEntriesSuccessResponse response) {
-            head(packer, APPENDED, message).packLong(response.getLastLogIndex()).packLong(response.getQuerySequenceNumber())
+            writeHeader(packer, APPEND_ENTRIES_SUCCESS, message).packLong(response.getLastLogIndex())
+                    .packLong(response.getQuerySequenceNumber())
                     .packLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse response) {
-            head(packer, NOT_APPENDED, message).packLong(response.getExpectedNextIndex()).packLong(response.getQuerySequenceNumber())
+            writeHeader(packer, APPEND_ENTRIES_FAILURE, message).packLong(response.getExpectedNextIndex())
+                    .packLong(response.getQuerySequenceNumber())
                     .packLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest request) {
-            head(packer, PRE_VOTE, message).packInt(request.getLastLogTerm()).packLong(request.getLastLogIndex());
+            writeHeader(packer, PRE_VOTE_REQUEST, message).packInt(request.getLastLogTerm())
+                    .packLong(request.getLastLogIndex());
         } else if (message instanceof PreVoteResponse response) {
-            head(packer, PRE_VOTED, message).packBoolean(response.isGranted());
+            writeHeader(packer, PRE_VOTE_RESPONSE, message).packBoolean(response.isGranted());
         } else if (message instanceof VoteRequest request) {
-            head(packer, VOTE, message).packInt(request.getLastLogTerm()).packLong(request.getLastLogIndex())
+            writeHeader(packer, VOTE_REQUEST, message).packInt(request.getLastLogTerm()).packLong(request.getLastLogIndex())
                     .packBoolean(request.isSticky());
         } else if (message instanceof VoteResponse response) {
-            head(packer, VOTED, message).packBoolean(response.isGranted());
+            writeHeader(packer, VOTE_RESPONSE, message).packBoolean(response.isGranted());
         } else if (message instanceof InstallSnapshotRequest request) {
-            head(packer, INSTALL, message).packBoolean(request.isSenderLeader()).packInt(request.getSnapshotTerm())
+            writeHeader(packer, INSTALL_SNAPSHOT_REQUEST, message).packBoolean(request.isSenderLeader())
+                    .packInt(request.getSnapshotTerm())
                     .packLong(request.getSnapshotIndex()).packInt(request.getTotalSnapshotChunkCount());
             packer.packBoolean(request.getSnapshotChunk() != null);
             if (request.getSnapshotChunk() != null) {
                 write(packer, request.getSnapshotChunk());
             }
-            writeNames(packer, request.getSnapshottedMembers());
+            writeEndpoints(packer, request.getSnapshottedMembers());
             write(packer, request.getGroupMembersView());
             packer.packLong(request.getQuerySequenceNumber()).packLong(request.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotResponse response) {
-            head(packer, INSTALLED, message).packLong(response.getSnapshotIndex()).packInt(response.getRequestedSnapshotChunkIndex())
+            writeHeader(packer, INSTALL_SNAPSHOT_RESPONSE, message).packLong(response.getSnapshotIndex())
+                    .packInt(response.getRequestedSnapshotChunkIndex())
                     .packLong(response.getQuerySequenceNumber()).packLong(response.getFlowControlSequenceNumber());
         } else {
             TriggerLeaderElectionRequest request = (TriggerLeaderElectionRequest) message;
-            head(packer, TRIGGER, message).packInt(request.getLastLogTerm()).packLong(request.getLastLogIndex());
+            writeHeader(packer, TRIGGER_LEADER_ELECTION, message).packInt(request.getLastLogTerm())
+                    .packLong(request.getLastLogIndex());
         }
     }
 
-    private static MessageBufferPacker head(MessageBufferPacker packer, int kind, RaftMessage message) throws IOException {
+    private static MessageBufferPacker writeHeader(MessageBufferPacker packer, int kind, RaftMessage message)
+            throws IOException {
         packer.packInt(kind).packString((String) message.getSender().getId()).packInt(message.getTerm());
         return packer;
     }
 
-    private RaftMessage message(MessageUnpacker in) throws IOException {
-        int kind = in.unpackInt();
-        RaftEndpoint sender = new RaftLog.Name(in.unpackString());
-        int term = in.unpackInt();
+    private RaftMessage decodeMessage(MessageUnpacker unpacker) throws IOException {
+        int kind = unpacker.unpackInt();
+        RaftEndpoint sender = new RaftLog.VoterEndpoint(unpacker.unpackString());
+        int term = unpacker.unpackInt();
         return switch (kind) {
-            case APPEND -> models.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setPreviousLogTerm(in.unpackInt()).setPreviousLogIndex(in.unpackLong()).setCommitIndex(in.unpackLong())
-                    .setQuerySequenceNumber(in.unpackLong()).setFlowControlSequenceNumber(in.unpackLong())
-                    .setLogEntries(entries(in)).build();
-            case APPENDED -> models.createAppendEntriesSuccessResponseBuilder().setGroupId(GROUP).setSender(sender)
-                    .setTerm(term).setLastLogIndex(in.unpackLong()).setQuerySequenceNumber(in.unpackLong())
-                    .setFlowControlSequenceNumber(in.unpackLong()).build();
-            case NOT_APPENDED -> models.createAppendEntriesFailureResponseBuilder().setGroupId(GROUP).setSender(sender)
-                    .setTerm(term).setExpectedNextIndex(in.unpackLong()).setQuerySequenceNumber(in.unpackLong())
-                    .setFlowControlSequenceNumber(in.unpackLong()).build();
-            case PRE_VOTE -> models.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setLastLogTerm(in.unpackInt()).setLastLogIndex(in.unpackLong()).build();
-            case PRE_VOTED -> models.createPreVoteResponseBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setGranted(in.unpackBoolean()).build();
-            case VOTE -> models.createVoteRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setLastLogTerm(in.unpackInt()).setLastLogIndex(in.unpackLong()).setSticky(in.unpackBoolean()).build();
-            case VOTED -> models.createVoteResponseBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setGranted(in.unpackBoolean()).build();
-            case INSTALL -> models.createInstallSnapshotRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setSenderLeader(in.unpackBoolean()).setSnapshotTerm(in.unpackInt()).setSnapshotIndex(in.unpackLong())
-                    .setTotalSnapshotChunkCount(in.unpackInt()).setSnapshotChunk(in.unpackBoolean() ? chunk(in) : null)
-                    .setSnapshottedMembers(names(in)).setGroupMembersView(view(in))
-                    .setQuerySequenceNumber(in.unpackLong()).setFlowControlSequenceNumber(in.unpackLong()).build();
-            case INSTALLED -> models.createInstallSnapshotResponseBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setSnapshotIndex(in.unpackLong()).setRequestedSnapshotChunkIndex(in.unpackInt())
-                    .setQuerySequenceNumber(in.unpackLong()).setFlowControlSequenceNumber(in.unpackLong()).build();
-            case TRIGGER -> models.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP).setSender(sender)
-                    .setTerm(term).setLastLogTerm(in.unpackInt()).setLastLogIndex(in.unpackLong()).build();
+            case APPEND_ENTRIES_REQUEST ->
+                models.createAppendEntriesRequestBuilder().setGroupId(GROUP_ID).setSender(sender).setTerm(term)
+                        .setPreviousLogTerm(unpacker.unpackInt()).setPreviousLogIndex(unpacker.unpackLong())
+                        .setCommitIndex(unpacker.unpackLong())
+                        .setQuerySequenceNumber(unpacker.unpackLong()).setFlowControlSequenceNumber(unpacker.unpackLong())
+                        .setLogEntries(readLogEntries(unpacker)).build();
+            case APPEND_ENTRIES_SUCCESS ->
+                models.createAppendEntriesSuccessResponseBuilder().setGroupId(GROUP_ID).setSender(sender)
+                        .setTerm(term).setLastLogIndex(unpacker.unpackLong()).setQuerySequenceNumber(unpacker.unpackLong())
+                        .setFlowControlSequenceNumber(unpacker.unpackLong()).build();
+            case APPEND_ENTRIES_FAILURE -> models.createAppendEntriesFailureResponseBuilder().setGroupId(GROUP_ID)
+                    .setSender(sender)
+                    .setTerm(term).setExpectedNextIndex(unpacker.unpackLong()).setQuerySequenceNumber(unpacker.unpackLong())
+                    .setFlowControlSequenceNumber(unpacker.unpackLong()).build();
+            case PRE_VOTE_REQUEST ->
+                models.createPreVoteRequestBuilder().setGroupId(GROUP_ID).setSender(sender).setTerm(term)
+                        .setLastLogTerm(unpacker.unpackInt()).setLastLogIndex(unpacker.unpackLong()).build();
+            case PRE_VOTE_RESPONSE ->
+                models.createPreVoteResponseBuilder().setGroupId(GROUP_ID).setSender(sender).setTerm(term)
+                        .setGranted(unpacker.unpackBoolean()).build();
+            case VOTE_REQUEST -> models.createVoteRequestBuilder().setGroupId(GROUP_ID).setSender(sender).setTerm(term)
+                    .setLastLogTerm(unpacker.unpackInt()).setLastLogIndex(unpacker.unpackLong())
+                    .setSticky(unpacker.unpackBoolean()).build();
+            case VOTE_RESPONSE -> models.createVoteResponseBuilder().setGroupId(GROUP_ID).setSender(sender).setTerm(term)
+                    .setGranted(unpacker.unpackBoolean()).build();
+            case INSTALL_SNAPSHOT_REQUEST ->
+                models.createInstallSnapshotRequestBuilder().setGroupId(GROUP_ID).setSender(sender).setTerm(term)
+                        .setSenderLeader(unpacker.unpackBoolean()).setSnapshotTerm(unpacker.unpackInt())
+                        .setSnapshotIndex(unpacker.unpackLong())
+                        .setTotalSnapshotChunkCount(unpacker.unpackInt())
+                        .setSnapshotChunk(unpacker.unpackBoolean() ? readSnapshotChunk(unpacker) : null)
+                        .setSnapshottedMembers(readEndpoints(unpacker)).setGroupMembersView(readMembersView(unpacker))
+                        .setQuerySequenceNumber(unpacker.unpackLong()).setFlowControlSequenceNumber(unpacker.unpackLong())
+                        .build();
+            case INSTALL_SNAPSHOT_RESPONSE ->
+                models.createInstallSnapshotResponseBuilder().setGroupId(GROUP_ID).setSender(sender).setTerm(term)
+                        .setSnapshotIndex(unpacker.unpackLong()).setRequestedSnapshotChunkIndex(unpacker.unpackInt())
+                        .setQuerySequenceNumber(unpacker.unpackLong()).setFlowControlSequenceNumber(unpacker.unpackLong())
+                        .build();
+            case TRIGGER_LEADER_ELECTION ->
+                models.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP_ID).setSender(sender)
+                        .setTerm(term).setLastLogTerm(unpacker.unpackInt()).setLastLogIndex(unpacker.unpackLong()).build();
             default -> throw new BadInput("unknown message kind " + kind + " from a voter");
         };
     }
 
-    private static int items(MessageUnpacker in) throws IOException {
-        int items = in.unpackArrayHeader();
-        if (items > MOST_ITEMS) {
-            throw new BadInput(items + " items exceed the limit of 65536");
+    private static int readArrayHeader(MessageUnpacker unpacker) throws IOException {
+        int count = unpacker.unpackArrayHeader();
+        if (count > MAX_ITEMS) {
+            throw new BadInput(count + " items exceed the limit of 65536");
         }
-        return items;
+        return count;
     }
 
-    private static void writeNames(MessageBufferPacker packer, Collection<RaftEndpoint> names) throws IOException {
-        packer.packArrayHeader(names.size());
-        for (RaftEndpoint name : names) {
-            packer.packString((String) name.getId());
+    private static void writeEndpoints(MessageBufferPacker packer, Collection<RaftEndpoint> endpoints) throws IOException {
+        packer.packArrayHeader(endpoints.size());
+        for (RaftEndpoint endpoint : endpoints) {
+            packer.packString((String) endpoint.getId());
         }
     }
 
-    private static List<RaftEndpoint> names(MessageUnpacker in) throws IOException {
-        List<RaftEndpoint> names = new ArrayList<>();
-        for (int left = items(in); left > 0; left--) {
-            names.add(new RaftLog.Name(in.unpackString()));
+    private static List<RaftEndpoint> readEndpoints(MessageUnpacker unpacker) throws IOException {
+        List<RaftEndpoint> endpoints = new ArrayList<>();
+        for (int remaining = readArrayHeader(unpacker); remaining > 0; remaining--) {
+            endpoints.add(new RaftLog.VoterEndpoint(unpacker.unpackString()));
         }
-        return names;
+        return endpoints;
     }
 
     private static void write(MessageBufferPacker packer, LogEntry entry) throws IOException {
@@ -199,28 +221,29 @@
         packer.writePayload(operation);
     }
 
-    private LogEntry entry(MessageUnpacker in) throws IOException {
-        return models.createLogEntryBuilder().setIndex(in.unpackLong()).setTerm(in.unpackInt())
-                .setOperation(in.readPayload(in.unpackBinaryHeader())).build();
+    private LogEntry readLogEntry(MessageUnpacker unpacker) throws IOException {
+        return models.createLogEntryBuilder().setIndex(unpacker.unpackLong()).setTerm(unpacker.unpackInt())
+                .setOperation(unpacker.readPayload(unpacker.unpackBinaryHeader())).build();
     }
 
-    private List<LogEntry> entries(MessageUnpacker in) throws IOException {
+    private List<LogEntry> readLogEntries(MessageUnpacker unpacker) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
-        for (int left = items(in); left > 0; left--) {
-            entries.add(entry(in));
+        for (int remaining = readArrayHeader(unpacker); remaining > 0; remaining--) {
+            entries.add(readLogEntry(unpacker));
         }
         return entries;
     }
 
     private static void write(MessageBufferPacker packer, RaftGroupMembersView view) throws IOException {
         packer.packLong(view.getLogIndex());
-        writeNames(packer, view.getMembers());
-        writeNames(packer, view.getVotingMembers());
+        writeEndpoints(packer, view.getMembers());
+        writeEndpoints(packer, view.getVotingMembers());
     }
 
-    private RaftGroupMembersView view(MessageUnpacker in) throws IOException {
-        return models.createRaftGroupMembersViewBuilder().setLogIndex(in.unpackLong()).setMembers(names(in))
-                .setVotingMembers(names(in)).build();
+    private RaftGroupMembersView readMembersView(MessageUnpacker unpacker) throws IOException {
+        return models.createRaftGroupMembersViewBuilder().setLogIndex(unpacker.unpackLong())
+                .setMembers(readEndpoints(unpacker))
+                .setVotingMembers(readEndpoints(unpacker)).build();
     }
 
     private static void write(MessageBufferPacker packer, SnapshotChunk chunk) throws IOException {
@@ -232,54 +255,56 @@
         packer.writePayload(operation);
     }
 
-    private SnapshotChunk chunk(MessageUnpacker in) throws IOException {
-        return models.createSnapshotChunkBuilder().setIndex(in.unpackLong()).setTerm(in.unpackInt())
-                .setSnapshotChunkIndex(in.unpackInt()).setSnapshotChunkCount(in.unpackInt()).setGroupMembersView(view(in))
-                .setOperation(in.readPayload(in.unpackBinaryHeader())).build();
+    private SnapshotChunk readSnapshotChunk(MessageUnpacker unpacker) throws IOException {
+        return models.createSnapshotChunkBuilder().setIndex(unpacker.unpackLong()).setTerm(unpacker.unpackInt())
+                .setSnapshotChunkIndex(unpacker.unpackInt()).setSnapshotChunkCount(unpacker.unpackInt())
+                .setGroupMembersView(readMembersView(unpacker))
+                .setOperation(unpacker.readPayload(unpacker.unpackBinaryHeader())).build();
     }
 
     // ---- stored state
 
-    private static <T> Serializer<T> serializer(java.util.function.Function<T, Writer> writes, Reader<T> reads) {
+    private static <T> Serializer<T> serializer(java.util.function.Function<T, Writer> writer, Reader<T> reader) {
         return new Serializer<>() {
             @Override
             public byte[] serialize(T element) {
-                return packed(writes.apply(element));
+                return pack(writer.apply(element));
             }
 
             @Override
             public T deserialize(byte[] element) {
-                return read(element, reads);
+                return decode(element, reader);
             }
         };
     }
 
     @Override
     public Serializer<RaftGroupMembersView> raftGroupMembersViewSerializer() {
-        return serializer(view -> packer -> write(packer, view), this::view);
+        return serializer(view -> packer -> write(packer, view), this::readMembersView);
     }
 
     @Override
     public Serializer<RaftEndpoint> raftEndpointSerializer() {
-        return serializer(name -> packer -> packer.packString((String) name.getId()),
-                in -> new RaftLog.Name(in.unpackString()));
+        return serializer(endpoint -> packer -> packer.packString((String) endpoint.getId()),
+                unpacker -> new RaftLog.VoterEndpoint(unpacker.unpackString()));
     }
 
     @Override
     public Serializer<LogEntry> logEntrySerializer() {
-        return serializer(entry -> packer -> write(packer, entry), this::entry);
+        return serializer(entry -> packer -> write(packer, entry), this::readLogEntry);
     }
 
     @Override
     public Serializer<SnapshotChunk> snapshotChunkSerializer() {
-        return serializer(chunk -> packer -> write(packer, chunk), this::chunk);
+        return serializer(chunk -> packer -> write(packer, chunk), this::readSnapshotChunk);
     }
 
     @Override
     public Serializer<RaftEndpointPersistentState> raftEndpointPersistentStateSerializer() {
         return serializer(state -> packer -> packer.packString((String) state.getLocalEndpoint().getId())
-                .packBoolean(state.isVoting()), in -> models.createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(new RaftLog.Name(in.unpackString())).setVoting(in.unpackBoolean()).build());
+                .packBoolean(state.isVoting()), unpacker -> models.createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(new RaftLog.VoterEndpoint(unpacker.unpackString()))
+                        .setVoting(unpacker.unpackBoolean()).build());
     }
 
     @Override
@@ -289,7 +314,7 @@
             if (state.getVotedFor() != null) {
                 packer.packString((String) state.getVotedFor().getId());
             }
-        }, in -> models.createRaftTermPersistentStateBuilder().setTerm(in.unpackInt())
-                .setVotedFor(in.unpackBoolean() ? new RaftLog.Name(in.unpackString()) : null).build());
+        }, unpacker -> models.createRaftTermPersistentStateBuilder().setTerm(unpacker.unpackInt())
+                .setVotedFor(unpacker.unpackBoolean() ? new RaftLog.VoterEndpoint(unpacker.unpackString()) : null).build());
     }
 }
--- a/voter/src/main/java/pathlane/voter/RaftLog.java
+++ b/voter/src/main/java/pathlane/voter/RaftLog.java
@@ -34,57 +34,61 @@
  * The registry's replicated log, on which voters agree by Raft. Runs on the scheduler that it is given, in virtual time as
  * well; confined to that scheduler's thread.
  *
- * <p>The library measures its heartbeats in full seconds. Its clock therefore runs {@link #SPEED} times as fast here: a
- * leader sends a heartbeat every 200 ms and is considered lost after 600 ms without one.
+ * <p>The library measures its heartbeats in full seconds. Its clock therefore runs {@link #CLOCK_SPEED} times as fast here:
+ * a leader sends a heartbeat every 200 ms and is considered lost after 600 ms without one.
  */
 public final class RaftLog implements CommandLog {
 
-    private static final int SPEED = 5;
+    private static final int CLOCK_SPEED = 5;
     private static final long HEARTBEAT_TIMEOUT_S = 3;
-    private static final long HEARTBEAT_S = 1;
+    private static final long HEARTBEAT_PERIOD_S = 1;
     private static final long ELECTION_TIMEOUT_MS = 1500;
     /** How many commands pass between snapshots of the registry; keeps the log on disk at some megabytes. */
-    private static final int SNAPSHOT_EACH = 10_000;
-    private static final int REPORT_S = 3600;
-    private static final String GROUP = "register";
+    private static final int COMMANDS_PER_SNAPSHOT = 10_000;
+    private static final int REPORT_PERIOD_S = 3600;
+    private static final String GROUP_ID = "register";
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** A voter, identified by its name. */
-    public record Name(String name) implements RaftEndpoint {
+    public record VoterEndpoint(String name) implements RaftEndpoint {
         @Override
         public Object getId() {
             return name;
         }
     }
 
-    private static final byte[] NEW_TERM = {};
+    private static final byte[] NEW_TERM_OPERATION = {};
 
     private final RaftNode node;
     private final Voter voter;
-    private final Name self;
+    private final VoterEndpoint localEndpoint;
 
     /**
      * Creates a log that {@link #start} starts.
      *
      * @param voters the names of all voters including this one; the same at each voter, and never changed
-     * @param send sends messages to other voters; a lost message is not sent again
-     * @param restored the state found in the store, if any
-     * @param nanos the monotonic clock
+     * @param sender sends messages to other voters; a lost message is not sent again
+     * @param restoredState the state found in the store, if any
+     * @param nanoClock the monotonic clock
      */
-    public RaftLog(String name, List<String> voters, Voter voter, Scheduler scheduler, LongSupplier nanos, Sender send,
-            RaftStore store, Optional<RestoredRaftState> restored, Random random) {
+    public RaftLog(String name, List<String> voters, Voter voter, Scheduler scheduler, LongSupplier nanoClock, Sender sender,
+            RaftStore store, Optional<RestoredRaftState> restoredState, Random random) {
         this.voter = voter;
-        this.self = new Name(name);
+        this.localEndpoint = new VoterEndpoint(name);
         RaftConfig config = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MS)
-                .setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_S).setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
-                .setCommitCountToTakeSnapshot(SNAPSHOT_EACH).setRaftNodeReportPublishPeriodSecs(REPORT_S).build();
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP).setConfig(config)
-                .setExecutor(new Executor(scheduler)).setTransport(new Away(send)).setStateMachine(new Machine())
-                .setStore(store).setRandom(random).setClock(new FastClock(nanos)).setRaftNodeReportListener(report -> {});
-        if (restored.isPresent()) {
-            builder.setRestoredState(restored.get());
+                .setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_S).setLeaderHeartbeatPeriodSecs(HEARTBEAT_PERIOD_S)
+                .setCommitCountToTakeSnapshot(COMMANDS_PER_SNAPSHOT).setRaftNodeReportPublishPeriodSecs(REPORT_PERIOD_S)
+                .build();
+        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP_ID).setConfig(config)
+                .setExecutor(new SchedulerExecutor(scheduler)).setTransport(new SenderTransport(sender))
+                .setStateMachine(new RegistryStateMachine())
+                .setStore(store).setRandom(random).setClock(new AcceleratedClock(nanoClock))
+                .setRaftNodeReportListener(report -> {});
+        if (restoredState.isPresent()) {
+            builder.setRestoredState(restoredState.get());
         } else {
-            builder.setLocalEndpoint(self).setInitialGroupMembers(voters.stream().<RaftEndpoint>map(Name::new).toList());
+            builder.setLocalEndpoint(localEndpoint)
+                    .setInitialGroupMembers(voters.stream().<RaftEndpoint>map(VoterEndpoint::new).toList());
         }
         node = builder.build();
     }
@@ -111,23 +115,23 @@
 
     @Override
     public boolean isLeader() {
-        return node.getStatus() == RaftNodeStatus.ACTIVE && self.equals(node.getTerm().getLeaderEndpoint());
+        return node.getStatus() == RaftNodeStatus.ACTIVE && localEndpoint.equals(node.getTerm().getLeaderEndpoint());
     }
 
     @Override
-    public void append(Command command, Consumer<Optional<Reply>> applied) {
-        CompletableFuture<Ordered<byte[]>> done = node.replicate(RegistryCodec.bytes(command));
-        done.whenComplete((ordered, failed) -> applied.accept(failed != null ? Optional.empty()
-                : Optional.of(RegistryCodec.reply(ordered.getResult()))));
+    public void append(Command command, Consumer<Optional<Reply>> onApplied) {
+        CompletableFuture<Ordered<byte[]>> commit = node.replicate(RegistryCodec.encode(command));
+        commit.whenComplete((result, failure) -> onApplied.accept(failure != null ? Optional.empty()
+                : Optional.of(RegistryCodec.decodeReply(result.getResult()))));
     }
 
-    private final class Machine implements StateMachine {
+    private final class RegistryStateMachine implements StateMachine {
 
         @Override
         public Object runOperation(long commitIndex, Object operation) {
-            byte[] bytes = (byte[]) operation;
-            return bytes.length == 0 ? NEW_TERM
-                    : RegistryCodec.bytes(voter.applied(commitIndex, RegistryCodec.command(bytes)));
+            byte[] encoded = (byte[]) operation;
+            return encoded.length == 0 ? NEW_TERM_OPERATION
+                    : RegistryCodec.encode(voter.apply(commitIndex, RegistryCodec.decodeCommand(encoded)));
         }
 
         @Override
@@ -137,16 +141,16 @@
 
         @Override
         public void installSnapshot(long commitIndex, List<Object> chunks) {
-            voter.restored(commitIndex, (byte[]) chunks.get(0));
+            voter.restore(commitIndex, (byte[]) chunks.get(0));
         }
 
         @Override
         public Object getNewTermOperation() {
-            return NEW_TERM;
+            return NEW_TERM_OPERATION;
         }
     }
 
-    private record Executor(Scheduler scheduler) implements RaftNodeExecutor {
+    private record SchedulerExecutor(Scheduler scheduler) implements RaftNodeExecutor {
 
         @Override
         public void execute(Runnable task) {
@@ -160,35 +164,35 @@
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            scheduler.after(Duration.ofNanos(unit.toNanos(delay) / SPEED), task);
+            scheduler.after(Duration.ofNanos(unit.toNanos(delay) / CLOCK_SPEED), task);
         }
     }
 
-    private record Away(Sender send) implements Transport {
+    private record SenderTransport(Sender sender) implements Transport {
 
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
-            send.send((String) target.getId(), message);
+            sender.send((String) target.getId(), message);
         }
 
         @Override
         public boolean isReachable(RaftEndpoint endpoint) {
-            return send.isReachable((String) endpoint.getId());
+            return sender.isReachable((String) endpoint.getId());
         }
     }
 
     /** The monotonic clock, accelerated for the library. */
-    private static final class FastClock extends Clock {
+    private static final class AcceleratedClock extends Clock {
 
-        private final LongSupplier nanos;
+        private final LongSupplier nanoClock;
 
-        FastClock(LongSupplier nanos) {
-            this.nanos = nanos;
+        AcceleratedClock(LongSupplier nanoClock) {
+            this.nanoClock = nanoClock;
         }
 
         @Override
         public long millis() {
-            return nanos.getAsLong() / NANOS_PER_MILLI * SPEED;
+            return nanoClock.getAsLong() / NANOS_PER_MILLI * CLOCK_SPEED;
         }
 
         @Override
--- a/voter/src/main/java/pathlane/voter/VoterFile.java
+++ b/voter/src/main/java/pathlane/voter/VoterFile.java
@@ -19,15 +19,15 @@
  * The configuration file of a voter, in TOML.
  *
  * @param name the name of this voter
- * @param members the address on which members connect
+ * @param memberAddress the address on which members connect
  * @param voters the names of all voters including this one, and the addresses on which they connect to each other
- * @param keys the file of the group's keys
- * @param store the directory of the log
+ * @param keyFile the file of the group's keys
+ * @param storeDirectory the directory of the log
  */
-public record VoterFile(String name, InetSocketAddress members, Map<String, InetSocketAddress> voters, Path keys,
-        Path store, LeaseTerms lease) {
+public record VoterFile(String name, InetSocketAddress memberAddress, Map<String, InetSocketAddress> voters, Path keyFile,
+        Path storeDirectory, LeaseTerms lease) {
 
-    private static final Set<String> KNOWN = Set.of("name", "members", "voters", "keys", "store", "lease",
+    private static final Set<String> KNOWN_KEYS = Set.of("name", "members", "voters", "keys", "store", "lease",
             "lease.length-ms", "lease.drift", "lease.write-lag-ms");
 
     /**
@@ -47,9 +47,9 @@
                     + toml.errors().get(0).getMessage());
         }
         for (String key : toml.dottedKeySet()) {
-            if (!KNOWN.contains(key)) {
+            if (!KNOWN_KEYS.contains(key)) {
                 throw new IllegalArgumentException(file + " line " + toml.inputPositionOf(key).line() + ": '" + key
-                        + "' is not a known key; known keys: " + String.join(", ", KNOWN.stream().sorted().toList()));
+                        + "' is not a known key; known keys: " + String.join(", ", KNOWN_KEYS.stream().sorted().toList()));
             }
         }
         try {
@@ -60,13 +60,13 @@
     }
 
     private static VoterFile read(Path file, TomlParseResult toml) {
-        String name = text(toml, "name");
+        String name = requireString(toml, "name");
         Map<String, InetSocketAddress> voters = new LinkedHashMap<>();
-        TomlArray array = toml.getArray("voters");
-        for (int i = 0; array != null && i < array.size(); i++) {
-            String[] parts = array.getString(i).split("=", 2);
+        TomlArray entries = toml.getArray("voters");
+        for (int i = 0; entries != null && i < entries.size(); i++) {
+            String[] parts = entries.getString(i).split("=", 2);
             if (parts.length != 2 || voters.put(parts[0], Addresses.parse(parts[1])) != null) {
-                throw new IllegalArgumentException("'voters' has '" + array.getString(i)
+                throw new IllegalArgumentException("'voters' has '" + entries.getString(i)
                         + "'; expected a unique name, '=' and an address with a port");
             }
         }
@@ -74,21 +74,22 @@
             throw new IllegalArgumentException("'voters' are " + voters.keySet()
                     + "; expected an odd number of voters, '" + name + "' among them");
         }
-        return new VoterFile(name, Addresses.parse(text(toml, "members")), voters,
-                file.toAbsolutePath().resolveSibling(text(toml, "keys")),
-                file.toAbsolutePath().resolveSibling(text(toml, "store")), lease(toml));
+        return new VoterFile(name, Addresses.parse(requireString(toml, "members")), voters,
+                file.toAbsolutePath().resolveSibling(requireString(toml, "keys")),
+                file.toAbsolutePath().resolveSibling(requireString(toml, "store")), lease(toml));
     }
 
     private static LeaseTerms lease(TomlParseResult toml) {
         Long length = toml.getLong("lease.length-ms");
         Double drift = toml.getDouble("lease.drift");
-        Long lag = toml.getLong("lease.write-lag-ms");
-        LeaseTerms usual = LeaseTerms.DEFAULT;
-        return new LeaseTerms(length == null ? usual.length() : Duration.ofMillis(length),
-                drift == null ? usual.drift() : drift, lag == null ? usual.writeLag() : Duration.ofMillis(lag));
+        Long writeLag = toml.getLong("lease.write-lag-ms");
+        LeaseTerms defaults = LeaseTerms.DEFAULT;
+        return new LeaseTerms(length == null ? defaults.length() : Duration.ofMillis(length),
+                drift == null ? defaults.drift() : drift,
+                writeLag == null ? defaults.writeLag() : Duration.ofMillis(writeLag));
     }
 
-    private static String text(TomlParseResult toml, String key) {
+    private static String requireString(TomlParseResult toml, String key) {
         String text = toml.getString(key);
         if (text == null) {
             throw new IllegalArgumentException("'" + key + "' is missing");
@@ -99,9 +100,9 @@
     /** Reads the key file that the configuration names. */
     public KeyRing readKeys() {
         try {
-            return KeyRing.read(Files.readString(keys));
+            return KeyRing.read(Files.readString(keyFile));
         } catch (IOException e) {
-            throw new IllegalArgumentException("key file " + keys + " can't be read", e);
+            throw new IllegalArgumentException("key file " + keyFile + " can't be read", e);
         }
     }
 }
--- a/voter/src/main/java/pathlane/voter/VoterMain.java
+++ b/voter/src/main/java/pathlane/voter/VoterMain.java
@@ -27,19 +27,19 @@
 public final class VoterMain {
 
     private static final Logger LOG = System.getLogger("register");
-    private static final Duration DIAL_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration REDIAL = Duration.ofMillis(200);
-    private static final int MOST_MEMBERS = 1024;
-    private static final int MOST_VOTERS = 64;
-    private static final long MOST_UNWRITTEN = 16L << 20;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration RECONNECT_DELAY = Duration.ofMillis(200);
+    private static final int MAX_MEMBERS = 1024;
+    private static final int MAX_VOTER_CONNECTIONS = 64;
+    private static final long MAX_UNWRITTEN_BYTES = 16L << 20;
     private static final int NONCE_BYTES = 16;
 
     private final VoterFile file;
     private final EventLoop loop = new EventLoop();
     private final Network network = new Network(loop);
     private final RaftCodec codec = new RaftCodec();
-    private final Map<String, Away> others = new HashMap<>();
-    private final AuthenticatedLink.Context common;
+    private final Map<String, OutgoingConnection> outgoingConnections = new HashMap<>();
+    private final AuthenticatedLink.Context context;
     private KeyRing keys;
     private RaftLog log;
 
@@ -47,7 +47,7 @@
         this.file = file;
         this.keys = file.readKeys();
         SecureRandom random = new SecureRandom();
-        this.common = new AuthenticatedLink.Context(file.name(), () -> keys, () -> {
+        this.context = new AuthenticatedLink.Context(file.name(), () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
@@ -69,37 +69,39 @@
     }
 
     private void run() throws IOException {
-        Files.createDirectories(file.store());
-        RaftSqliteStore store = RaftSqliteStore.create(file.store().resolve("raft.db").toFile(),
+        Files.createDirectories(file.storeDirectory());
+        RaftSqliteStore store = RaftSqliteStore.create(file.storeDirectory().resolve("raft.db").toFile(),
                 new DefaultRaftModelFactory(), codec);
-        Voter voter = new Voter(file.lease(), common, System::nanoTime);
-        InetSocketAddress own = file.voters().get(file.name());
-        network.listen(own, () -> new AuthenticatedLink(common, false, new Incoming()), MOST_VOTERS, MOST_UNWRITTEN);
-        InetSocketAddress bound = network.listen(file.members(), voter::accept, MOST_MEMBERS, MOST_UNWRITTEN);
+        Voter voter = new Voter(file.lease(), context, System::nanoTime);
+        InetSocketAddress voterAddress = file.voters().get(file.name());
+        network.listen(voterAddress, () -> new AuthenticatedLink(context, false, new IncomingConnection()),
+                MAX_VOTER_CONNECTIONS, MAX_UNWRITTEN_BYTES);
+        InetSocketAddress memberAddress =
+                network.listen(file.memberAddress(), voter::accept, MAX_MEMBERS, MAX_UNWRITTEN_BYTES);
         loop.execute(() -> {
             file.voters().forEach((name, address) -> {
                 if (!name.equals(file.name())) {
-                    others.put(name, new Away(name, address));
+                    outgoingConnections.put(name, new OutgoingConnection(name, address));
                 }
             });
-            others.values().forEach(Away::dial);
+            outgoingConnections.values().forEach(OutgoingConnection::connect);
             log = new RaftLog(file.name(), new ArrayList<>(file.voters().keySet()), voter, loop, System::nanoTime,
                     new RaftLog.Sender() {
                         @Override
                         public void send(String to, RaftMessage message) {
-                            others.get(to).send(message);
+                            outgoingConnections.get(to).send(message);
                         }
 
                         @Override
                         public boolean isReachable(String to) {
-                            return others.get(to).link.isAuthenticated();
+                            return outgoingConnections.get(to).link.isAuthenticated();
                         }
                     }, store, store.getRestoredRaftState(true), new SecureRandom());
             log.start();
             voter.start(log);
         });
         Signal.handle(new Signal("HUP"), signal -> loop.execute(this::reload));
-        LOG.log(Level.INFO, "{0} votes for members on {1}", file.name(), bound);
+        LOG.log(Level.INFO, "{0} votes for members on {1}", file.name(), memberAddress);
     }
 
     private void reload() {
@@ -113,36 +115,36 @@
 
     private void handle(byte[] payload) {
         if (log != null) {
-            log.received(codec.message(payload));
+            log.received(codec.decodeMessage(payload));
         }
     }
 
     /** The outgoing connection to another voter; reconnects until it succeeds. */
-    private final class Away implements AuthenticatedLink.Listener {
+    private final class OutgoingConnection implements AuthenticatedLink.Listener {
 
         private final String name;
         private final InetSocketAddress address;
         private AuthenticatedLink link;
 
-        Away(String name, InetSocketAddress address) {
+        OutgoingConnection(String name, InetSocketAddress address) {
             this.name = name;
             this.address = address;
-            this.link = new AuthenticatedLink(common, true, this);
+            this.link = new AuthenticatedLink(context, true, this);
         }
 
-        void dial() {
-            link = new AuthenticatedLink(common, true, this);
-            network.connect(address, DIAL_TIMEOUT, link);
+        void connect() {
+            link = new AuthenticatedLink(context, true, this);
+            network.connect(address, CONNECT_TIMEOUT, link);
         }
 
         void send(RaftMessage message) {
             if (link.isAuthenticated()) {
-                link.send(codec.bytes(message));
+                link.send(codec.encode(message));
             }
         }
 
         @Override
-        public void authenticated(AuthenticatedLink up, String says) {
+        public void authenticated(AuthenticatedLink authenticatedLink, String remoteName) {
             LOG.log(Level.INFO, "connected to voter {0}", name);
         }
 
@@ -152,15 +154,15 @@
         }
 
         @Override
-        public void closed(CloseReason end) {
-            loop.after(REDIAL, this::dial);
+        public void closed(CloseReason reason) {
+            loop.after(RECONNECT_DELAY, this::connect);
         }
     }
 
-    private final class Incoming implements AuthenticatedLink.Listener {
+    private final class IncomingConnection implements AuthenticatedLink.Listener {
 
         @Override
-        public void authenticated(AuthenticatedLink up, String name) {
+        public void authenticated(AuthenticatedLink authenticatedLink, String remoteName) {
             // Each message names its sender.
         }
 
@@ -170,7 +172,7 @@
         }
 
         @Override
-        public void closed(CloseReason end) {
+        public void closed(CloseReason reason) {
             // The other voter reconnects.
         }
     }
