--- a/group/src/main/java/pathlane/group/AuthenticatedLink.java
+++ b/group/src/main/java/pathlane/group/AuthenticatedLink.java
@@ -187,8 +187,7 @@
     }
 
     private static byte[] sign(Mac mac, byte[] senderHandshake, byte[] receiverHandshake, boolean isSenderInitiator,
-            long sequenceNumber,
-            byte[] payload, int payloadLength) {
+            long sequenceNumber, byte[] payload, int payloadLength) {
         mac.update((byte) (isSenderInitiator ? 1 : 0));
         mac.update(senderHandshake);
         mac.update(receiverHandshake);
--- a/group/src/main/java/pathlane/group/LeaseHolder.java
+++ b/group/src/main/java/pathlane/group/LeaseHolder.java
@@ -65,8 +65,7 @@
      * @param nanoClock the monotonic clock
      */
     public LeaseHolder(String name, long incarnation, String address, int replicaCount, LeaseTerms terms,
-            RegistryAccess registry,
-            Scheduler scheduler, LongSupplier nanoClock, Listener listener) {
+            RegistryAccess registry, Scheduler scheduler, LongSupplier nanoClock, Listener listener) {
         this.name = name;
         this.incarnation = incarnation;
         this.address = address;
--- a/group/src/test/java/pathlane/group/LeaseExplorationTest.java
+++ b/group/src/test/java/pathlane/group/LeaseExplorationTest.java
@@ -39,8 +39,7 @@
 
     /** The records are entries TOKEN:CALL: the lease under which a record of a call exists. */
     private record State(int nowMillis, byte[] registryBytes, List<Controller> controllers, Set<String> inFlight,
-            boolean hasRestarted,
-            Set<String> records) {
+            boolean hasRestarted, Set<String> records) {
 
         HashValue128 key() {
             byte[] rest =
@@ -120,8 +119,7 @@
                 // Only the owner of the calls is suspended in this model; the owner and one successor may die.
                 nextStates.add(withController(state, i,
                         new Controller(controller.token, controller.validUntilMillis, controller.renewalNumber,
-                                !controller.isSuspended, false,
-                                controller.ownedCalls)));
+                                !controller.isSuspended, false, controller.ownedCalls)));
             }
             // Deaths multiply the number of states; reclaiming without agreement fails without any.
             if (i < 2 && omission != Omission.RECLAIM_AGREEMENT) {
@@ -138,8 +136,7 @@
                             replace(state.controllers, i, new Controller(controller.token,
                                     controller.validUntilMillis, controller.renewalNumber + 1, false, false,
                                     controller.ownedCalls)),
-                            inFlight, state.hasRestarted,
-                            state.records));
+                            inFlight, state.hasRestarted, state.records));
                 }
                 addClaims(state, registry, i, omission, nextStates);
             }
@@ -158,8 +155,7 @@
         Reply.Granted granted = (Reply.Granted) registry.apply(join(index, 2, 0));
         return new State(state.nowMillis, RegistryCodec.encode(registry), replace(state.controllers, index,
                 new Controller(granted.token(), state.nowMillis + validForMillis(), 2, false, false, Set.of())),
-                state.inFlight, true,
-                state.records);
+                state.inFlight, true, state.records);
     }
 
     private void addClaims(State state, LeaseRegistry registry, int index, Omission omission, List<State> nextStates) {
@@ -220,8 +216,7 @@
                     ? new Controller(0, 0, controller.renewalNumber, false, false, Set.of())
                     : new Controller(token,
                             Math.max(controller.validUntilMillis, Integer.parseInt(parts[4]) + validForMillis()),
-                            controller.renewalNumber,
-                            false, false, controller.ownedCalls);
+                            controller.renewalNumber, false, false, controller.ownedCalls);
             nextStates.add(new State(state.nowMillis, bytes, replace(state.controllers, index, notified), inFlight,
                     state.hasRestarted, state.records));
             if (ended.tokens().contains(token) && index == 0) {
@@ -280,8 +275,7 @@
 
     private static State withController(State state, int index, Controller controller) {
         return new State(state.nowMillis, state.registryBytes, replace(state.controllers, index, controller), state.inFlight,
-                state.hasRestarted,
-                state.records);
+                state.hasRestarted, state.records);
     }
 
     private static List<Controller> replace(List<Controller> controllers, int index, Controller controller) {
