--- a/group/src/main/java/pathlane/group/AuthenticatedLink.java
+++ b/group/src/main/java/pathlane/group/AuthenticatedLink.java
@@ -18,12 +18,14 @@
 import pathlane.wire.FrameAssembler;
 
 /**
- * One connection of the group's: frames that are each signed by a key that both sides have (HMAC-SHA-256, RFC 2104, cut
- * to 16 bytes), over what both sides said at the opening and the frame's place in the order, so that none can be forged,
- * changed, left out, or played again here or on another connection. A state machine fed bytes, on the loop's thread.
+ * An authenticated connection between members of a group. Each frame carries a MAC under a shared key (HMAC-SHA-256, RFC
+ * 2104, truncated to 16 bytes) over the handshake frames of both sides and the frame's sequence number, so that no frame can
+ * be forged, altered, dropped or replayed, on this connection or another. A state machine that is fed bytes, confined to the
+ * event loop's thread.
  *
- * <p>A frame is length:4 payload mac:16, big-endian. Each side begins with an open frame of "PLG1", the name of its key,
- * its own name and 16 random bytes, and then signs an empty one; what comes before that has been checked reaches nobody.
+ * <p>A frame is length:4 payload mac:16, big-endian. Each side begins with a handshake frame without a MAC that holds
+ * "PLG1", the name of its key, its own name and a random nonce of 16 bytes, and then sends an empty frame with a MAC.
+ * Nothing reaches the listener before that MAC is verified.
  */
 public final class AuthenticatedLink implements Protocol {
 
@@ -31,199 +33,206 @@
     private static final int LENGTH_BYTES = 4;
     private static final int MAC_BYTES = 16;
     private static final int NONCE_BYTES = 16;
-    /** Records of a shard with tens of thousands of calls. */
-    private static final int LONGEST = 4 << 20;
-    private static final int LONGEST_OPENING = 512;
+    /** Large enough for the records of a shard with tens of thousands of calls. */
+    private static final int MAX_FRAME_BYTES = 4 << 20;
+    private static final int MAX_HANDSHAKE_BYTES = 512;
     private static final String ALGORITHM = "HmacSHA256";
-    private static final Duration OPENING = Duration.ofSeconds(2);
+    private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** What the frames are for. */
+    /** Receives the authenticated payloads of a link. */
     public interface Listener {
-        /** The other side has shown that it has a key; it says that its name is this. */
+        /** The peer has proven that it holds a shared key; the name is the one that it claims. */
         void authenticated(AuthenticatedLink link, String name);
 
-        /** @throws BadInput where it can't be used; the connection then ends */
+        /** @throws BadInput if the payload is malformed; the connection is then closed */
         void received(byte[] payload);
 
-        /** It has ended, or never came up; called once, and last. */
-        void closed(CloseReason end);
+        /** The connection is closed or was never established; the last notification, sent once. */
+        void closed(CloseReason reason);
     }
 
     /**
-     * What all links of a process share.
+     * The context that all links of a process share.
      *
-     * @param keys asked for at each opening, so that a reload holds for the next one
-     * @param random fills 16 bytes that are never the same again
+     * @param keys read at each handshake, so that reloaded keys apply to new connections
+     * @param nonces supplies nonces of 16 bytes, each of them new
      */
-    public record Context(String name, Supplier<KeyRing> keys, Supplier<byte[]> random, Scheduler scheduler,
+    public record Context(String name, Supplier<KeyRing> keys, Supplier<byte[]> nonces, Scheduler scheduler,
             RateLimitedLog log) {}
 
-    private final AuthenticatedLink.Context common;
-    private final boolean dialled;
-    private final AuthenticatedLink.Listener upper;
-    private final FrameAssembler assembler = new FrameAssembler(LENGTH_BYTES, 0, LONGEST);
+    private final AuthenticatedLink.Context context;
+    private final boolean isInitiator;
+    private final AuthenticatedLink.Listener listener;
+    private final FrameAssembler assembler = new FrameAssembler(LENGTH_BYTES, 0, MAX_FRAME_BYTES);
     private Connection connection;
-    private Scheduler.Timer opening;
-    private byte[] ownOpening;
-    private byte[] otherOpening;
-    private String otherName;
-    private Mac signs;
-    private Mac checks;
-    private long written;
-    private long read;
-    private boolean proven;
-    private boolean ended;
-
-    /** {@code dialled} tells the two sides apart: what one signed is never taken for the other's. */
-    public AuthenticatedLink(AuthenticatedLink.Context common, boolean dialled, AuthenticatedLink.Listener upper) {
-        this.common = common;
-        this.dialled = dialled;
-        this.upper = upper;
+    private Scheduler.Timer handshakeTimer;
+    private byte[] localHandshake;
+    private byte[] remoteHandshake;
+    private String remoteName;
+    private Mac signingMac;
+    private Mac verifyingMac;
+    private long framesSent;
+    private long framesReceived;
+    private boolean isPeerVerified;
+    private boolean isClosed;
+
+    /**
+     * Creates a link that is not connected yet.
+     *
+     * @param isInitiator whether this side connects; it goes into each MAC, so that no frame can be reflected to its sender
+     */
+    public AuthenticatedLink(AuthenticatedLink.Context context, boolean isInitiator, AuthenticatedLink.Listener listener) {
+        this.context = context;
+        this.isInitiator = isInitiator;
+        this.listener = listener;
     }
 
     @Override
-    public void opened(Connection up) {
-        connection = up;
-        KeyRing.Key key = common.keys().get().signingKey();
+    public void opened(Connection openedConnection) {
+        connection = openedConnection;
+        KeyRing.Key key = context.keys().get().signingKey();
         byte[] keyName = key.name().getBytes(StandardCharsets.UTF_8);
-        byte[] name = common.name().getBytes(StandardCharsets.UTF_8);
-        ownOpening = ByteBuffer.allocate(MAGIC.length + 1 + keyName.length + 1 + name.length + NONCE_BYTES).put(MAGIC)
-                .put((byte) keyName.length).put(keyName).put((byte) name.length).put(name).put(common.random().get())
+        byte[] name = context.name().getBytes(StandardCharsets.UTF_8);
+        localHandshake = ByteBuffer.allocate(MAGIC.length + 1 + keyName.length + 1 + name.length + NONCE_BYTES).put(MAGIC)
+                .put((byte) keyName.length).put(keyName).put((byte) name.length).put(name).put(context.nonces().get())
                 .array();
-        signs = mac(key.secret());
-        connection.write(ByteBuffer.allocate(LENGTH_BYTES + ownOpening.length).putInt(ownOpening.length).put(ownOpening)
-                .array());
-        opening = common.scheduler().after(OPENING, () -> close(CloseReason.UNFINISHED));
+        signingMac = createMac(key.secret());
+        connection.write(
+                ByteBuffer.allocate(LENGTH_BYTES + localHandshake.length).putInt(localHandshake.length).put(localHandshake)
+                        .array());
+        handshakeTimer = context.scheduler().after(HANDSHAKE_TIMEOUT, () -> close(CloseReason.UNFINISHED));
     }
 
-    private static Mac mac(byte[] secret) {
+    private static Mac createMac(byte[] secret) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(secret, ALGORITHM));
             return mac;
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);   // every JDK has it
+            throw new IllegalStateException(e);   // can't happen: every JDK provides HmacSHA256
         }
     }
 
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            assembler.feed(bytes, this::frame);
+            assembler.feed(bytes, this::handleFrame);
         } catch (BadInput e) {
-            common.log().warn("{0} closed: {1}", otherName == null ? connection.remote() : otherName, e.getMessage());
+            context.log().warn("{0} closed: {1}", remoteName == null ? connection.remote() : remoteName, e.getMessage());
             bytes.position(bytes.limit());
             close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
-    private void frame(ByteBuffer frame) {
-        if (ended) {
+    private void handleFrame(ByteBuffer frame) {
+        if (isClosed) {
             return;
         }
         byte[] bytes = new byte[frame.remaining()];
         frame.get(bytes);
-        if (otherOpening == null) {
-            opening(bytes);
+        if (remoteHandshake == null) {
+            handleHandshake(bytes);
             return;
         }
         if (bytes.length < MAC_BYTES) {
-            throw new BadInput("a frame without a signature");
-        }
-        int size = bytes.length - MAC_BYTES;
-        byte[] expected = sign(checks, otherOpening, ownOpening, !dialled, read++, bytes, size);
-        if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(bytes, size, bytes.length))) {
-            throw new BadInput(proven ? "a frame that is forged, changed or out of its order" : "another key than it says");
-        }
-        if (!proven) {
-            proven = true;
-            opening.cancel();
-            upper.authenticated(this, otherName);
+            throw new BadInput("frame shorter than a MAC");
+        }
+        int payloadLength = bytes.length - MAC_BYTES;
+        byte[] expected =
+                sign(verifyingMac, remoteHandshake, localHandshake, !isInitiator, framesReceived++, bytes, payloadLength);
+        if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(bytes, payloadLength, bytes.length))) {
+            throw new BadInput(isPeerVerified ? "MAC mismatch: frame forged, altered or out of order"
+                    : "MAC mismatch: the peer lacks the key that it names");
+        }
+        if (!isPeerVerified) {
+            isPeerVerified = true;
+            handshakeTimer.cancel();
+            listener.authenticated(this, remoteName);
         } else {
-            upper.received(Arrays.copyOf(bytes, size));
+            listener.received(Arrays.copyOf(bytes, payloadLength));
         }
     }
 
-    private void opening(byte[] bytes) {
-        ByteBuffer read = ByteBuffer.wrap(bytes);
+    private void handleHandshake(byte[] bytes) {
+        ByteBuffer handshake = ByteBuffer.wrap(bytes);
         byte[] magic = new byte[MAGIC.length];
-        if (bytes.length > LONGEST_OPENING || bytes.length < MAGIC.length + 2 + NONCE_BYTES) {
-            throw new BadInput("not an opening of the group's");
+        if (bytes.length > MAX_HANDSHAKE_BYTES || bytes.length < MAGIC.length + 2 + NONCE_BYTES) {
+            throw new BadInput("handshake frame of invalid length");
         }
-        read.get(magic);
+        handshake.get(magic);
         if (!Arrays.equals(magic, MAGIC)) {
-            throw new BadInput("not the group's protocol, or another version of it");
+            throw new BadInput("unknown protocol or protocol version");
         }
-        String key = text(read);
-        otherName = text(read);
-        if (read.remaining() != NONCE_BYTES) {
-            throw new BadInput("an opening that is cut short");
+        String keyName = readString(handshake);
+        remoteName = readString(handshake);
+        if (handshake.remaining() != NONCE_BYTES) {
+            throw new BadInput("handshake frame with trailing or missing bytes");
         }
-        byte[] secret = common.keys().get().find(key);
+        byte[] secret = context.keys().get().findSecret(keyName);
         if (secret == null) {
-            throw new BadInput("a key '" + key + "' that is not in the file");
+            throw new BadInput("key '" + keyName + "' is not in the key file");
         }
-        otherOpening = bytes;
-        checks = mac(secret);
-        send(new byte[0]);   // shows that the key is there
+        remoteHandshake = bytes;
+        verifyingMac = createMac(secret);
+        send(new byte[0]);   // proves that this side holds the key
     }
 
-    private static String text(ByteBuffer from) {
-        byte[] text = new byte[from.get() & 0xff];
-        if (text.length > from.remaining()) {
-            throw new BadInput("an opening that is cut short");
+    private static String readString(ByteBuffer handshake) {
+        byte[] text = new byte[handshake.get() & 0xff];
+        if (text.length > handshake.remaining()) {
+            throw new BadInput("truncated handshake frame");
         }
-        from.get(text);
+        handshake.get(text);
         return new String(text, StandardCharsets.UTF_8);
     }
 
-    private static byte[] sign(Mac mac, byte[] signer, byte[] other, boolean bySideThatDialled, long number,
-            byte[] payload, int size) {
-        mac.update((byte) (bySideThatDialled ? 1 : 0));
-        mac.update(signer);
-        mac.update(other);
-        mac.update(ByteBuffer.allocate(Long.BYTES).putLong(number).array());
-        mac.update(payload, 0, size);
+    private static byte[] sign(Mac mac, byte[] senderHandshake, byte[] receiverHandshake, boolean isSenderInitiator,
+            long sequenceNumber, byte[] payload, int payloadLength) {
+        mac.update((byte) (isSenderInitiator ? 1 : 0));
+        mac.update(senderHandshake);
+        mac.update(receiverHandshake);
+        mac.update(ByteBuffer.allocate(Long.BYTES).putLong(sequenceNumber).array());
+        mac.update(payload, 0, payloadLength);
         return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
     }
 
-    /** Whether the other side has shown who it is. */
+    /** Whether the peer is authenticated and the link is open. */
     public boolean isAuthenticated() {
-        return proven && !ended;
+        return isPeerVerified && !isClosed;
     }
 
-    /** Signs and sends. */
+    /** Sends a payload with its MAC. */
     public void send(byte[] payload) {
-        if (ended) {
+        if (isClosed) {
             return;
         }
-        byte[] mac = sign(signs, ownOpening, otherOpening, dialled, written++, payload, payload.length);
+        byte[] mac = sign(signingMac, localHandshake, remoteHandshake, isInitiator, framesSent++, payload, payload.length);
         connection.write(ByteBuffer.allocate(LENGTH_BYTES + payload.length + MAC_BYTES)
                 .putInt(payload.length + MAC_BYTES).put(payload).put(mac).array());
     }
 
-    /** Whether the other side has stopped reading. */
+    /** Whether the peer has stopped reading. */
     public boolean isBlocked() {
         return connection != null && connection.isBlocked();
     }
 
-    /** Closes it; {@link AuthenticatedLink.Listener#closed} follows. */
-    public void close(CloseReason why) {
-        ended = true;
-        if (opening != null) {
-            opening.cancel();
+    /** Closes the link; {@link AuthenticatedLink.Listener#closed} follows. */
+    public void close(CloseReason reason) {
+        isClosed = true;
+        if (handshakeTimer != null) {
+            handshakeTimer.cancel();
         }
         if (connection != null) {
-            connection.close(why);
+            connection.close(reason);
         }
     }
 
     @Override
-    public void closed(CloseReason end) {
-        ended = true;
-        if (opening != null) {
-            opening.cancel();
+    public void closed(CloseReason reason) {
+        isClosed = true;
+        if (handshakeTimer != null) {
+            handshakeTimer.cancel();
         }
-        upper.closed(end);
+        listener.closed(reason);
     }
 }
--- a/voter/src/main/java/pathlane/voter/VoterFile.java
+++ b/voter/src/main/java/pathlane/voter/VoterFile.java
@@ -16,40 +16,40 @@
 import pathlane.transport.Addresses;
 
 /**
- * The file of a voter, in TOML.
+ * The configuration file of a voter, in TOML.
  *
- * @param name its name among the voters
- * @param members where members come
- * @param voters all voters by name, this one too, and where they reach each other
- * @param keys the file of the group's keys
- * @param store the folder of its log
+ * @param name the name of this voter
+ * @param memberAddress the address on which members connect
+ * @param voters the names of all voters including this one, and the addresses on which they connect to each other
+ * @param keyFile the file of the group's keys
+ * @param storeDirectory the directory of the log
  */
-public record VoterFile(String name, InetSocketAddress members, Map<String, InetSocketAddress> voters, Path keys,
-        Path store, LeaseTerms lease) {
+public record VoterFile(String name, InetSocketAddress memberAddress, Map<String, InetSocketAddress> voters, Path keyFile,
+        Path storeDirectory, LeaseTerms lease) {
 
-    private static final Set<String> KNOWN = Set.of("name", "members", "voters", "keys", "store", "lease",
+    private static final Set<String> KNOWN_KEYS = Set.of("name", "members", "voters", "keys", "store", "lease",
             "lease.length-ms", "lease.drift", "lease.write-lag-ms");
 
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException with one sentence that says what is wrong, and where
+     * @throws IllegalArgumentException if it is invalid; the message says in one sentence what is wrong, and where
      */
     public static VoterFile read(Path file) {
         TomlParseResult toml;
         try {
             toml = Toml.parse(file);
         } catch (IOException e) {
-            throw new IllegalArgumentException("the voter's file " + file + " can't be read", e);
+            throw new IllegalArgumentException("voter configuration " + file + " can't be read", e);
         }
         if (toml.hasErrors()) {
             throw new IllegalArgumentException(file + " line " + toml.errors().get(0).position().line() + ": "
                     + toml.errors().get(0).getMessage());
         }
         for (String key : toml.dottedKeySet()) {
-            if (!KNOWN.contains(key)) {
+            if (!KNOWN_KEYS.contains(key)) {
                 throw new IllegalArgumentException(file + " line " + toml.inputPositionOf(key).line() + ": '" + key
-                        + "' is no key; there are " + String.join(", ", KNOWN.stream().sorted().toList()));
+                        + "' is not a known key; known keys: " + String.join(", ", KNOWN_KEYS.stream().sorted().toList()));
             }
         }
         try {
@@ -60,35 +60,36 @@
     }
 
     private static VoterFile read(Path file, TomlParseResult toml) {
-        String name = text(toml, "name");
+        String name = requireString(toml, "name");
         Map<String, InetSocketAddress> voters = new LinkedHashMap<>();
-        TomlArray array = toml.getArray("voters");
-        for (int i = 0; array != null && i < array.size(); i++) {
-            String[] parts = array.getString(i).split("=", 2);
+        TomlArray entries = toml.getArray("voters");
+        for (int i = 0; entries != null && i < entries.size(); i++) {
+            String[] parts = entries.getString(i).split("=", 2);
             if (parts.length != 2 || voters.put(parts[0], Addresses.parse(parts[1])) != null) {
-                throw new IllegalArgumentException("'voters' has '" + array.getString(i)
-                        + "'; right would be a name of its own, '=' and an address with a port");
+                throw new IllegalArgumentException("'voters' has '" + entries.getString(i)
+                        + "'; expected a unique name, '=' and an address with a port");
             }
         }
         if (!voters.containsKey(name) || voters.size() % 2 == 0) {
             throw new IllegalArgumentException("'voters' are " + voters.keySet()
-                    + "; right would be an odd number, '" + name + "' among them");
+                    + "; expected an odd number of voters, '" + name + "' among them");
         }
-        return new VoterFile(name, Addresses.parse(text(toml, "members")), voters,
-                file.toAbsolutePath().resolveSibling(text(toml, "keys")),
-                file.toAbsolutePath().resolveSibling(text(toml, "store")), lease(toml));
+        return new VoterFile(name, Addresses.parse(requireString(toml, "members")), voters,
+                file.toAbsolutePath().resolveSibling(requireString(toml, "keys")),
+                file.toAbsolutePath().resolveSibling(requireString(toml, "store")), lease(toml));
     }
 
     private static LeaseTerms lease(TomlParseResult toml) {
         Long length = toml.getLong("lease.length-ms");
         Double drift = toml.getDouble("lease.drift");
-        Long lag = toml.getLong("lease.write-lag-ms");
-        LeaseTerms usual = LeaseTerms.DEFAULT;
-        return new LeaseTerms(length == null ? usual.length() : Duration.ofMillis(length),
-                drift == null ? usual.drift() : drift, lag == null ? usual.writeLag() : Duration.ofMillis(lag));
+        Long writeLag = toml.getLong("lease.write-lag-ms");
+        LeaseTerms defaults = LeaseTerms.DEFAULT;
+        return new LeaseTerms(length == null ? defaults.length() : Duration.ofMillis(length),
+                drift == null ? defaults.drift() : drift,
+                writeLag == null ? defaults.writeLag() : Duration.ofMillis(writeLag));
     }
 
-    private static String text(TomlParseResult toml, String key) {
+    private static String requireString(TomlParseResult toml, String key) {
         String text = toml.getString(key);
         if (text == null) {
             throw new IllegalArgumentException("'" + key + "' is missing");
@@ -96,12 +97,12 @@
         return text;
     }
 
-    /** Reads the keys that the file names. */
+    /** Reads the key file that the configuration names. */
     public KeyRing readKeys() {
         try {
-            return KeyRing.read(Files.readString(keys));
+            return KeyRing.read(Files.readString(keyFile));
         } catch (IOException e) {
-            throw new IllegalArgumentException("the keys' file " + keys + " can't be read", e);
+            throw new IllegalArgumentException("key file " + keyFile + " can't be read", e);
         }
     }
 }
