--- a/example/grpc/src/main/java/example/SigningExample.java
+++ b/example/grpc/src/main/java/example/SigningExample.java
@@ -24,21 +24,21 @@
 import pathlane.standin.GrpcFront;
 import pathlane.standin.Processor;
 
-/** An application that checks and signs over the plug-in, with a stand-in server in the same process. */
+/** An example application that makes check and signing calls through the plug-in, to a stand-in server in its process. */
 public final class SigningExample {
 
     private SigningExample() {}
 
-    /** Makes a few calls, one of them with a retry loop of its own, and says what came of each. */
+    /** Makes a few calls, one of them with its own retry loop, and prints the result of each. */
     public static void main(String[] args) throws Exception {
-        ScheduledExecutorService turn = Executors.newSingleThreadScheduledExecutor();
-        Server server = server(turn);
+        ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
+        Server server = server(executor);
         String settings;
         try (InputStream file = SigningExample.class.getResourceAsStream("/settings.json")) {
             settings = new String(file.readAllBytes(), StandardCharsets.UTF_8);
         }
 
-        // The two lines that turn the plug-in on.
+        // These two statements enable the plug-in.
         Pathlane pathlane = Pathlane.builder().configuration(settings).build();
         ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget("127.0.0.1:" + server.getPort())
                 .usePlaintext()).build();
@@ -46,18 +46,18 @@
         byte[] document = "document 7".getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < 3; i++) {
             try {
-                long from = System.nanoTime();
+                long startNanos = System.nanoTime();
                 ClientCalls.blockingUnaryCall(channel, GrpcFront.CHECK, CallOptions.DEFAULT, document);
-                System.out.println("checked in " + (System.nanoTime() - from) / 1_000_000 + " ms");
+                System.out.println("checked in " + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
             } catch (StatusRuntimeException e) {
-                // A refusal is no fault: it tells when to come back.
-                System.out.println(e.getStatus() + ", come back after " + e.getTrailers().get(GrpcFront.PUSHBACK) + " ms");
+                // A rejection is an expected answer: its trailers say when to retry.
+                System.out.println(e.getStatus() + ", retry after " + e.getTrailers().get(GrpcFront.PUSHBACK) + " ms");
             }
         }
         Iterator<byte[]> session = ClientCalls.blockingServerStreamingCall(channel, GrpcFront.SIGN,
                 CallOptions.DEFAULT.withDeadlineAfter(5, TimeUnit.SECONDS), document);
         session.next();
-        System.out.println("signing session stands");
+        System.out.println("signing session established");
         session.hasNext();
         System.out.println("signing session ended");
 
@@ -76,10 +76,10 @@
         channel.shutdownNow();
         pathlane.close();
         server.shutdownNow();
-        turn.shutdownNow();
+        executor.shutdownNow();
     }
 
-    private static Server server(ScheduledExecutorService turn) throws Exception {
+    private static Server server(ScheduledExecutorService executor) throws Exception {
         Scheduler time = new Scheduler() {
             @Override
             public Instant now() {
@@ -93,13 +93,13 @@
 
             @Override
             public Timer after(Duration delay, Runnable task) {
-                var timer = turn.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
+                var timer = executor.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
                 return () -> timer.cancel(false);
             }
         };
         Rules rules = new Rules(0.28, Duration.ofSeconds(13), 3, Duration.ofMillis(1500), Duration.ofMillis(200));
         Processor processor = new Processor(Processor.Model.of(30, rules), time);
         return NettyServerBuilder.forAddress(new InetSocketAddress("127.0.0.1", 0)).addService(
-                new GrpcFront("example", processor, time, turn, Duration.ofSeconds(1), null).service()).build().start();
+                new GrpcFront("example", processor, time, executor, Duration.ofSeconds(1), null).service()).build().start();
     }
 }
--- a/grpc/src/main/java/pathlane/grpc/Attachment.java
+++ b/grpc/src/main/java/pathlane/grpc/Attachment.java
@@ -9,20 +9,20 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One channel that the plug-in serves: its interceptor, and the paths that its load balancer has. */
+/** One channel that the plug-in is attached to: its interceptor and its load balancer's paths to the servers. */
 final class Attachment implements ClientInterceptor {
 
-    /** By this the channel's load balancer finds the plug-in. */
+    /** The resolver argument by which the channel's load balancer finds the plug-in. */
     static final NameResolver.Args.Key<Attachment> KEY = NameResolver.Args.Key.create("pathlane-attachment");
 
     final Engine engine;
-    /** In the plug-in's turn only. */
+    /** Used in the engine's synchronization context only. */
     private final Map<Long, ServerPath> paths = new HashMap<>();
-    /** Whether the channel has a load balancer that was told its servers. */
-    private volatile boolean listed;
+    /** Whether the channel has a load balancer that has received a list of servers. */
+    private volatile boolean hasServerList;
 
-    /** gRPC has asked for a hedged stream on this channel. */
-    private volatile boolean hedges;
+    /** Whether gRPC has requested a hedged stream on this channel. */
+    private volatile boolean hedging;
 
     Attachment(Engine engine) {
         this.engine = engine;
@@ -33,32 +33,32 @@
         return new PluginCall<>(this, method, options, next);
     }
 
-    boolean isListed() {
-        return listed;
+    boolean hasServerList() {
+        return hasServerList;
     }
 
-    void listed(boolean now) {
-        listed = now;
+    void setHasServerList(boolean value) {
+        hasServerList = value;
     }
 
-    boolean hedges() {
-        return hedges;
+    boolean isHedging() {
+        return hedging;
     }
 
-    void seenHedging() {
-        hedges = true;
+    void recordHedging() {
+        hedging = true;
     }
 
-    void put(ServerPath path) {
+    void addPath(ServerPath path) {
         paths.put(path.server, path);
     }
 
-    /** A server's path is no more; another that has taken its place stays. */
-    void remove(ServerPath path) {
+    /** Removes a server's path, unless another path has replaced it. */
+    void removePath(ServerPath path) {
         paths.remove(path.server, path);
     }
 
-    /** The path to a server, or null where this channel has none. */
+    /** Returns the path to a server, or null if this channel has none. */
     ServerPath path(long server) {
         return paths.get(server);
     }
--- a/grpc/src/main/java/pathlane/grpc/Attempt.java
+++ b/grpc/src/main/java/pathlane/grpc/Attempt.java
@@ -14,115 +14,117 @@
 import java.util.concurrent.atomic.AtomicReference;
 import pathlane.core.Scheduler;
 import pathlane.decision.Outcome;
-import pathlane.grpc.Endings.StreamEnd;
+import pathlane.grpc.StreamOutcomes.StreamEnd;
 
 /**
- * One attempt of a call: one stream to the one server that the module chose. Whether its call stands is decided once,
- * by whoever comes first: the transport's thread that hears the answer, or the turn that gives the attempt up.
+ * One attempt of a call: one stream to the server that the controller has chosen. It is either established or abandoned,
+ * whichever happens first: the transport's thread receives the answer, or the engine cancels the attempt.
  */
 final class Attempt<Q, R> extends ClientCall.Listener<R> {
 
-    /** By this the picker knows the attempt and its server. */
+    /** The call option by which the picker finds the attempt and its server. */
     static final CallOptions.Key<Attempt<?, ?>> KEY = CallOptions.Key.create("pathlane-attempt");
     static final Metadata.Key<String> PREVIOUS_ATTEMPTS =
             Metadata.Key.of("grpc-previous-rpc-attempts", Metadata.ASCII_STRING_MARSHALLER);
 
-    static final Status HEDGED = Status.FAILED_PRECONDITION.withDescription("the channel's service config hedges this"
-            + " method: pathlane makes the attempts itself, so take the hedgingPolicy out");
+    static final Status HEDGING_UNSUPPORTED = Status.FAILED_PRECONDITION.withDescription(
+            "the channel's service config has a hedgingPolicy for this"
+                    + " method: pathlane makes the attempts itself, so remove the hedgingPolicy");
 
-    /** What an attempt has come to. */
-    enum State { OUT, STOOD, GIVEN_UP, ENDED }
+    /** The state of an attempt. All but PENDING are final. */
+    enum State { PENDING, ESTABLISHED, ABANDONED, ENDED }
 
     final PluginCall<Q, R> owner;
     final ServerPath path;
-    private final Duration patience;
-    private final AtomicReference<State> state = new AtomicReference<>(State.OUT);
-    private final AtomicInteger streams = new AtomicInteger();
+    private final Duration remainingDeadline;
+    private final AtomicReference<State> state = new AtomicReference<>(State.PENDING);
+    private final AtomicInteger streamCount = new AtomicInteger();
     private volatile boolean neverSent;
     private volatile boolean fromServer;
     private volatile ClientCall<Q, R> call;
-    private Scheduler.Timer dial;
-    private Metadata heldHeaders;
+    private Scheduler.Timer connectTimer;
+    private Metadata bufferedHeaders;
 
-    Attempt(PluginCall<Q, R> owner, ServerPath path, Duration patience) {
+    Attempt(PluginCall<Q, R> owner, ServerPath path, Duration remainingDeadline) {
         this.owner = owner;
         this.path = path;
-        this.patience = patience;
+        this.remainingDeadline = remainingDeadline;
     }
 
-    // ---- in the plug-in's turn
+    // ---- in the engine's context
 
-    /** Leaves now, or once the server's connection is up; one that does not come up in time ends the attempt. */
-    void begin(Duration dialTimeout) {
+    /** Sends the attempt now or as soon as the server's connection is ready. The attempt ends if that takes too long. */
+    void startOrWait(Duration connectTimeout) {
         if (path.isReady()) {
-            leave();
-        } else if (!path.mayComeUp()) {
-            owner.later(this::neverLeft);
+            send();
+        } else if (!path.mayConnect()) {
+            owner.runInEngine(this::endUnsent);
         } else {
-            dial = owner.time().after(dialTimeout, () -> {
-                path.awaitsNoMore(this);
-                neverLeft();
+            connectTimer = owner.scheduler().after(connectTimeout, () -> {
+                path.removeWaiting(this);
+                endUnsent();
             });
-            path.await(this);
+            path.addWaiting(this);
         }
     }
 
-    void leave() {
-        stopDial();
+    void send() {
+        cancelConnectTimer();
         CallOptions options = owner.options.withOption(KEY, this).withoutWaitForReady()
-                .withStreamTracerFactory(new Tracers());
+                .withStreamTracerFactory(new TracerFactory());
         if (owner.method.getType().serverSendsOneMessage()) {
-            // What the attempt may take is what is left. A stream may last beyond the time in which it must stand.
-            Deadline own = Deadline.after(patience.toNanos(), TimeUnit.NANOSECONDS);
-            options = options.withDeadline(options.getDeadline() == null ? own : options.getDeadline().minimum(own));
+            // A unary attempt must end within the remaining deadline. A stream may outlast the time to be established.
+            Deadline attemptDeadline = Deadline.after(remainingDeadline.toNanos(), TimeUnit.NANOSECONDS);
+            options = options.withDeadline(
+                    options.getDeadline() == null ? attemptDeadline : options.getDeadline().minimum(attemptDeadline));
         }
-        Context before = owner.context.attach();
+        Context previousContext = owner.context.attach();
         try {
-            ClientCall<Q, R> started = owner.next.newCall(owner.method, options);
-            call = started;
-            started.start(this, owner.headersOfAttempt());
-            owner.replay(started);
+            ClientCall<Q, R> stream = owner.next.newCall(owner.method, options);
+            call = stream;
+            stream.start(this, owner.attemptHeaders());
+            owner.replay(stream);
         } finally {
-            owner.context.detach(before);
+            owner.context.detach(previousContext);
         }
     }
 
-    /** It could not be sent: its server has no connection and gets none in time. */
-    void neverLeft() {
-        stopDial();
-        if (state.compareAndSet(State.OUT, State.ENDED)) {
+    /** Ends an attempt that can't be sent because its server has no connection and gets none in time. */
+    void endUnsent() {
+        cancelConnectTimer();
+        if (state.compareAndSet(State.PENDING, State.ENDED)) {
             owner.attemptEnded(this, new StreamEnd(Status.Code.UNAVAILABLE, false, true, Optional.empty()),
                     Status.UNAVAILABLE.withDescription("no connection to the session server"), new Metadata());
         }
     }
 
-    private void stopDial() {
-        if (dial != null) {
-            dial.cancel();
-            dial = null;
+    private void cancelConnectTimer() {
+        if (connectTimer != null) {
+            connectTimer.cancel();
+            connectTimer = null;
         }
     }
 
-    /** Nobody waits for it any more. False: its call stood before, and the answer is on its way. */
-    boolean giveUp() {
-        stopDial();
-        path.awaitsNoMore(this);
-        if (!state.compareAndSet(State.OUT, State.GIVEN_UP)) {
+    /** Abandons the attempt. Returns false if it is already established, so that its answer is about to be delivered. */
+    boolean abandon() {
+        cancelConnectTimer();
+        path.removeWaiting(this);
+        if (!state.compareAndSet(State.PENDING, State.ABANDONED)) {
             return false;
         }
         if (call != null) {
-            call.cancel("given up by the call controller", null);
+            call.cancel("attempt cancelled by the call controller", null);
         }
         return true;
     }
 
-    boolean hasLeft() {
+    boolean isSent() {
         return call != null;
     }
 
-    /** Whether the channel itself ended it, before it could become a stream: it is shut down, or has no resolver. */
-    boolean endedByChannel() {
-        return streams.get() == 0 && call != null;
+    /** Returns whether the channel ended it before it became a stream, because it is shut down or has no resolver. */
+    boolean wasEndedByChannel() {
+        return streamCount.get() == 0 && call != null;
     }
 
     ClientCall<Q, R> call() {
@@ -131,49 +133,49 @@
 
     // ---- on any thread
 
-    /** The picker is asked for this attempt's way. Only one stream may leave for it, whoever asks for a second. */
-    Status whyNot() {
-        if (streams.get() > 1) {
+    /** Returns null if the picker may use this attempt's subchannel, else the error. Any second stream is dropped. */
+    Status pickError() {
+        if (streamCount.get() > 1) {
             return Status.UNAVAILABLE.withDescription("pathlane makes the attempts itself");
         }
         if (path.isReady()) {
             return null;
         }
         neverSent = true;
-        return Status.UNAVAILABLE.withDescription("the connection to the session server has gone");
+        return Status.UNAVAILABLE.withDescription("the connection to the session server is lost");
     }
 
-    /** The answer has come: from now on the call is this attempt's, unless it was given up before. */
-    private void stood() {
-        if (state.compareAndSet(State.OUT, State.STOOD)) {
-            owner.stood(this);
+    /** Establishes the attempt when its answer arrives, unless it has been abandoned. */
+    private void markEstablished() {
+        if (state.compareAndSet(State.PENDING, State.ESTABLISHED)) {
+            owner.attemptEstablished(this);
         }
     }
 
-    private final class Tracers extends ClientStreamTracer.Factory {
+    private final class TracerFactory extends ClientStreamTracer.Factory {
 
         @Override
         public ClientStreamTracer newClientStreamTracer(ClientStreamTracer.StreamInfo info, Metadata headers) {
             if (info.isHedging()) {
-                owner.seenHedging();
+                owner.recordHedging();
             }
-            return streams.incrementAndGet() == 1 ? new Tracer() : new ClientStreamTracer() {};
+            return streamCount.incrementAndGet() == 1 ? new Tracer() : new ClientStreamTracer() {};
         }
     }
 
-    /** On the transport's thread, so that a busy application makes no server look slow. */
+    /** Called on the transport's thread, so that a busy application doesn't make a server appear slow. */
     private final class Tracer extends ClientStreamTracer {
 
         @Override
         public void inboundHeaders(Metadata headers) {
             if (!owner.method.getType().serverSendsOneMessage()) {
-                stood();
+                markEstablished();
             }
         }
 
         @Override
         public void inboundMessage(int number) {
-            stood();
+            markEstablished();
         }
 
         @Override
@@ -182,53 +184,53 @@
         }
     }
 
-    // ---- the stream's own callbacks, one at a time, on the application's executor
+    // ---- callbacks of the stream, one at a time, on the application's executor
 
     @Override
     public void onHeaders(Metadata headers) {
-        heldHeaders = headers;
-        if (state.get() == State.STOOD) {
-            passHeaders();
+        bufferedHeaders = headers;
+        if (state.get() == State.ESTABLISHED) {
+            deliverHeaders();
         }
     }
 
-    private void passHeaders() {
-        if (heldHeaders != null) {
-            Metadata headers = heldHeaders;
-            heldHeaders = null;
+    private void deliverHeaders() {
+        if (bufferedHeaders != null) {
+            Metadata headers = bufferedHeaders;
+            bufferedHeaders = null;
             owner.listener().onHeaders(headers);
         }
     }
 
     @Override
     public void onMessage(R message) {
-        stood();   // a transport that tells no tracer
-        if (state.get() == State.STOOD) {
-            passHeaders();
+        markEstablished();   // for transports that don't notify tracers
+        if (state.get() == State.ESTABLISHED) {
+            deliverHeaders();
             owner.listener().onMessage(message);
         }
     }
 
     @Override
     public void onReady() {
-        if (state.get() == State.OUT || state.get() == State.STOOD) {
+        if (state.get() == State.PENDING || state.get() == State.ESTABLISHED) {
             owner.listener().onReady();
         }
     }
 
     @Override
     public void onClose(Status status, Metadata trailers) {
-        boolean neverRan = neverSent || streams.get() > 1 && !fromServer;
+        boolean neverRan = neverSent || streamCount.get() > 1 && !fromServer;
         StreamEnd end = new StreamEnd(status.getCode(), fromServer, neverRan,
-                Optional.ofNullable(trailers.get(Endings.PUSHBACK)));
-        if (Endings.ofAttempt(end) == Outcome.COMPLETED) {
-            stood();
-        }
-        if (state.get() == State.STOOD) {
-            passHeaders();
-            owner.closed(this, end, status, trailers);
-        } else if (state.compareAndSet(State.OUT, State.ENDED)) {
-            owner.later(() -> owner.attemptEnded(this, end, status, trailers));
+                Optional.ofNullable(trailers.get(StreamOutcomes.PUSHBACK)));
+        if (StreamOutcomes.ofAttempt(end) == Outcome.COMPLETED) {
+            markEstablished();
+        }
+        if (state.get() == State.ESTABLISHED) {
+            deliverHeaders();
+            owner.streamClosed(this, end, status, trailers);
+        } else if (state.compareAndSet(State.PENDING, State.ENDED)) {
+            owner.runInEngine(() -> owner.attemptEnded(this, end, status, trailers));
         }
     }
 }
--- a/grpc/src/main/java/pathlane/grpc/BusNameResolver.java
+++ b/grpc/src/main/java/pathlane/grpc/BusNameResolver.java
@@ -16,26 +16,26 @@
 import pathlane.decision.ServerStatus;
 
 /**
- * Follows the event bus: servers with their ids, drains and starts, as soon as the bus tells them. Each address group
- * bears the server's line as an attribute. Everything happens in the channel's synchronization context.
+ * Follows the event bus, which announces servers with their ids, drains and starts. Each address group carries the
+ * server's endpoint as an attribute. Everything happens in the channel's synchronization context.
  */
 final class BusNameResolver extends NameResolver {
 
-    /** All that the list says of the server at an address. */
+    /** The endpoint list's entry for the server at an address. */
     @EquivalentAddressGroup.Attr
-    static final Attributes.Key<ServerEndpoint> LINE = Attributes.Key.create("pathlane-server-line");
+    static final Attributes.Key<ServerEndpoint> ENDPOINT = Attributes.Key.create("pathlane-server-line");
 
     private final InetSocketAddress bus;
-    private final SocketDialer dialer;
-    private final LoopTime time;
-    private final Map<Long, ServerEndpoint> lines = new LinkedHashMap<>();
+    private final SocketConnector connector;
+    private final ExecutorScheduler scheduler;
+    private final Map<Long, ServerEndpoint> endpoints = new LinkedHashMap<>();
     private Listener2 listener;
     private boolean shutdown;
 
     BusNameResolver(InetSocketAddress bus, Args args) {
         this.bus = bus;
-        this.dialer = new SocketDialer(args.getSynchronizationContext());
-        this.time = new LoopTime(args.getScheduledExecutorService(), args.getSynchronizationContext());
+        this.connector = new SocketConnector(args.getSynchronizationContext());
+        this.scheduler = new ExecutorScheduler(args.getScheduledExecutorService(), args.getSynchronizationContext());
     }
 
     @Override
@@ -44,34 +44,34 @@
     }
 
     @Override
-    public void start(Listener2 to) {
-        listener = to;
-        new BusFeed(0, dialer, time, new SplittableRandom(), this::event, () -> {}).follow(bus);
+    public void start(Listener2 resolutionListener) {
+        listener = resolutionListener;
+        new BusFeed(0, connector, scheduler, new SplittableRandom(), this::updateServers, () -> {}).follow(bus);
     }
 
-    private void event(ServerList list) {
+    private void updateServers(ServerList list) {
         if (shutdown) {
             return;
         }
         if (list.whole()) {
-            lines.clear();
+            endpoints.clear();
         }
-        for (ServerEndpoint line : list.lines()) {
-            if (line.status() == ServerStatus.GONE) {
-                lines.remove(line.id());
+        for (ServerEndpoint endpoint : list.lines()) {
+            if (endpoint.status() == ServerStatus.GONE) {
+                endpoints.remove(endpoint.id());
             } else {
-                lines.put(line.id(), line);
+                endpoints.put(endpoint.id(), endpoint);
             }
         }
         List<EquivalentAddressGroup> groups = new ArrayList<>();
-        lines.values().forEach(line -> groups.add(new EquivalentAddressGroup(line.address(),
-                Attributes.newBuilder().set(LINE, line).build())));
+        endpoints.values().forEach(endpoint -> groups.add(new EquivalentAddressGroup(endpoint.address(),
+                Attributes.newBuilder().set(ENDPOINT, endpoint).build())));
         listener.onResult2(ResolutionResult.newBuilder().setAddressesOrError(StatusOr.fromValue(groups)).build());
     }
 
     @Override
     public void shutdown() {
         shutdown = true;
-        dialer.close();
+        connector.close();
     }
 }
--- a/grpc/src/main/java/pathlane/grpc/BusNameResolverProvider.java
+++ b/grpc/src/main/java/pathlane/grpc/BusNameResolverProvider.java
@@ -8,7 +8,7 @@
 import java.util.Collection;
 import java.util.Set;
 
-/** Found by gRPC itself: targets such as {@code pathlane-bus:///10.2.0.1:9092} name the event bus to follow. */
+/** Resolves targets that name an event bus, such as {@code pathlane-bus:///10.2.0.1:9092}. gRPC loads it as a service. */
 public final class BusNameResolverProvider extends NameResolverProvider {
 
     static final String SCHEME = "pathlane-bus";
@@ -18,7 +18,7 @@
         return true;
     }
 
-    /** Below that of DNS: the first among equals would take every target that names no scheme. */
+    /** Lower than that of DNS: the resolver with the highest priority handles all targets without a scheme. */
     @Override
     protected int priority() {
         return 1;
@@ -39,17 +39,17 @@
         if (!SCHEME.equals(target.getScheme())) {
             return null;
         }
-        String place = target.getPath() == null ? "" : target.getPath().replaceFirst("^/", "");
-        int colon = place.lastIndexOf(':');
+        String hostAndPort = target.getPath() == null ? "" : target.getPath().replaceFirst("^/", "");
+        int colon = hostAndPort.lastIndexOf(':');
         try {
-            int port = Integer.parseInt(place.substring(colon + 1));
+            int port = Integer.parseInt(hostAndPort.substring(colon + 1));
             if (colon > 0 && port > 0 && port <= 65_535) {
-                return new BusNameResolver(new InetSocketAddress(place.substring(0, colon), port), args);
+                return new BusNameResolver(new InetSocketAddress(hostAndPort.substring(0, colon), port), args);
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
-        throw new IllegalArgumentException("target '" + target + "' names no event bus: " + SCHEME
-                + ":///HOST:PORT is wanted");
+        throw new IllegalArgumentException("target '" + target + "' names no event bus; expected " + SCHEME
+                + ":///HOST:PORT");
     }
 }
--- a/grpc/src/main/java/pathlane/grpc/CallMark.java
+++ b/grpc/src/main/java/pathlane/grpc/CallMark.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * What all tries of one call share, where an application tries again by itself: made once before the first try, and
- * given with each as {@link PathlaneOptions#MARK}. With it a retry is known for certain; without it by what it asks.
- * Immutable, for any thread.
+ * Identifies the tries of one call for an application that retries on its own. It is created before the first try and
+ * passed with each one as {@link PathlaneOptions#MARK}. Without a mark, a retry is recognized by its request, which is
+ * less certain. Immutable and thread-safe.
  */
 public final class CallMark {
 
@@ -15,7 +15,7 @@
         this.key = key;
     }
 
-    /** A mark that no other call has. */
+    /** Creates a mark with a random key of 64 bits. */
     public static CallMark create() {
         return new CallMark(ThreadLocalRandom.current().nextLong());
     }
--- a/grpc/src/main/java/pathlane/grpc/Engine.java
+++ b/grpc/src/main/java/pathlane/grpc/Engine.java
@@ -21,21 +21,21 @@
 import pathlane.retry.RetryTracker;
 
 /**
- * The controller inside the plug-in, shared by the channels that it is attached to. Everything in it happens in one
- * turn, {@link #execute}: one task at a time, on whichever thread brings it, so that a call in quiet times changes no
- * thread.
+ * Runs the controller inside the plug-in, shared by all attached channels. All its tasks run through {@link #execute} in
+ * one synchronization context, one at a time, on the thread that submits them, so that without contention a call doesn't
+ * switch threads.
  */
 final class Engine implements ClientPort {
 
     private static final Logger LOG = System.getLogger("grpc");
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_CONTENT = {};
 
-    private final SynchronizationContext turn = new SynchronizationContext(
-            (thread, fault) -> LOG.log(Level.ERROR, "fault in the plug-in", fault));
-    private final Scheduler time;
+    private final SynchronizationContext synchronizationContext = new SynchronizationContext(
+            (thread, error) -> LOG.log(Level.ERROR, "uncaught exception in the plug-in", error));
+    private final Scheduler scheduler;
     private final long seed;
     private final Map<String, PluginCall<?, ?>> calls = new HashMap<>();
-    private final Directory directory = new Directory();
+    private final MergedServerList serverList = new MergedServerList();
     private PluginConfig config;
     private CallController controller;
     private RetryTracker retries;
@@ -43,36 +43,37 @@
     private long lastId;
     private boolean closed;
 
-    /** {@code config} is null where the service config is to bring it. */
-    Engine(PluginConfig config, long seed, Function<SynchronizationContext, Scheduler> time) {
+    /** {@code config} is null if it will come from the service config. */
+    Engine(PluginConfig config, long seed, Function<SynchronizationContext, Scheduler> schedulerFactory) {
         this.seed = seed;
-        this.time = time.apply(turn);
+        this.scheduler = schedulerFactory.apply(synchronizationContext);
         if (config != null) {
             configure(config);
         }
     }
 
-    /** Runs a task in the engine's turn: now, on this thread, unless another thread's task is at it. */
+    /** Runs a task in the engine's synchronization context: now and on this thread, unless another thread is running one. */
     void execute(Runnable task) {
-        turn.execute(task);
+        synchronizationContext.execute(task);
     }
 
-    // ---- all that follows happens in the turn
+    // ---- all methods below run in the synchronization context
 
-    /** The first configuration is the one that holds; it is read once, as a daemon's. */
-    void configure(PluginConfig fresh) {
+    /** Sets the configuration. As in a daemon it is read once, and later ones are ignored. */
+    void configure(PluginConfig newConfig) {
         if (config != null) {
-            if (!config.equals(fresh)) {
-                LOG.log(Level.WARNING, "another configuration came by the service config; the first one stays");
+            if (!config.equals(newConfig)) {
+                LOG.log(Level.WARNING,
+                        "ignored a different configuration from the service config; the first one stays in force");
             }
             return;
         }
-        config = fresh;
-        Settings settings = fresh.settings();
-        double longest = settings.classes().stream().mapToDouble(Settings.CallClass::deadlineMs).max().orElseThrow();
-        retries = new RetryTracker(fresh.remembered(), Math.max(longest, settings.rules().retryDelayMs()),
+        config = newConfig;
+        Settings settings = newConfig.settings();
+        double maxDeadlineMs = settings.classes().stream().mapToDouble(Settings.CallClass::deadlineMs).max().orElseThrow();
+        retries = new RetryTracker(newConfig.remembered(), Math.max(maxDeadlineMs, settings.rules().retryDelayMs()),
                 settings.rules().retryDelayMs());
-        controller = new CallController(settings, seed, time, line -> new Port(line.id()));
+        controller = new CallController(settings, seed, scheduler, endpoint -> new EngineServerPort(endpoint.id()));
         controller.clientConnected(this);
     }
 
@@ -92,52 +93,52 @@
         return retries;
     }
 
-    Scheduler time() {
-        return time;
+    Scheduler scheduler() {
+        return scheduler;
     }
 
     double nowMs() {
-        return Millis.of(time.now());
+        return Millis.of(scheduler.now());
     }
 
     /**
-     * Channels that share a controller share its servers: one for another target would be sent to servers that are
-     * not its own. Returns the target that it should have been, or null where it is the same.
+     * Checks a channel's target. Channels that share a controller share its servers, so a channel with another target
+     * would use servers that are not its own. Returns the expected target, or null if it is the same.
      */
-    String otherTarget(String channelTarget) {
+    String mismatchedTarget(String channelTarget) {
         target = target == null ? channelTarget : target;
         return target.equals(channelTarget) ? null : target;
     }
 
-    /** A channel's resolver names its servers. */
-    void named(Attachment channel, List<ServerEndpoint> lines) {
-        directory.named(channel, lines);
-        tellList();
+    /** Updates the list of servers from a channel's resolver. */
+    void updateServerList(Attachment channel, List<ServerEndpoint> endpoints) {
+        serverList.setList(channel, endpoints);
+        updateControllerServers();
     }
 
-    /** A channel has no load balancer any more: it is idle, or shut down. */
-    void silent(Attachment channel) {
-        directory.silent(channel);
+    /** Removes the list of a channel that has lost its load balancer because it is idle or shut down. */
+    void removeServerList(Attachment channel) {
+        serverList.removeSource(channel);
     }
 
-    private void tellList() {
-        if (directory.isAny()) {
-            controller.updateServers(true, directory.lines());
+    private void updateControllerServers() {
+        if (serverList.hasNamedServer()) {
+            controller.updateServers(true, serverList.merge());
         }
     }
 
-    /** Servers that the controller was last told of, those that drain included. */
-    int listedServers() {
-        return directory.listed();
+    /** Returns the number of servers in the controller's list, including draining ones. */
+    int listedServerCount() {
+        return serverList.size();
     }
 
-    void attemptBegins(long server) {
-        directory.callBegins(server);
+    void attemptStarted(long server) {
+        serverList.attemptStarted(server);
     }
 
-    void attemptOver(long server) {
-        if (directory.callEnds(server)) {
-            tellList();
+    void attemptEnded(long server) {
+        if (serverList.attemptEnded(server)) {
+            updateControllerServers();
         }
     }
 
@@ -145,11 +146,11 @@
         return ++lastId;
     }
 
-    void begin(String id, PluginCall<?, ?> call) {
+    void addCall(String id, PluginCall<?, ?> call) {
         calls.put(id, call);
     }
 
-    void over(String id) {
+    void removeCall(String id) {
         calls.remove(id);
     }
 
@@ -157,64 +158,64 @@
         return closed;
     }
 
-    /** Calls that are open are refused; what stands goes on without the controller. */
+    /** Ends open calls with UNAVAILABLE. Established calls continue without the controller. */
     void close() {
         closed = true;
         for (PluginCall<?, ?> call : new ArrayList<>(calls.values())) {
-            call.abandon();
+            call.abort();
         }
     }
 
-    /** What is kept, of whatever kind: it must not grow with the length of the day. */
-    int kept() {
-        return calls.size() + directory.kept() + (controller == null ? 0 : controller.retainedEntries());
+    /** Returns the number of retained entries of all kinds; it must not grow with the time that the plug-in runs. */
+    int retainedEntries() {
+        return calls.size() + serverList.retainedEntries() + (controller == null ? 0 : controller.retainedEntries());
     }
 
-    // ---- the core's way to the callers, by id
+    // ---- the core's answers to calls, by call id
 
     @Override
     public void answer(String id, byte[] description) {
-        calls.get(id).stands();
+        calls.get(id).callEstablished();
     }
 
     @Override
-    public void reject(String id, Duration comeBackAfter) {
-        calls.get(id).refused(comeBackAfter);
+    public void reject(String id, Duration retryAfter) {
+        calls.get(id).callRejected(retryAfter);
     }
 
     @Override
     public void fail(String id) {
-        calls.get(id).failed();
+        calls.get(id).callFailed();
     }
 
     @Override
-    public void release(String id, Outcome how) {
+    public void release(String id, Outcome outcome) {
         if (calls.containsKey(id)) {
             calls.get(id).releasedByController();
         }
     }
 
-    /** The core's way to one server: whichever channel a call came by, it leaves by that channel's path. */
-    private final class Port implements ServerPort {
+    /** The core's port to one server. Each call is sent through the channel that it was made on. */
+    private final class EngineServerPort implements ServerPort {
 
         private final long server;
 
-        Port(long server) {
+        EngineServerPort(long server) {
             this.server = server;
         }
 
         @Override
-        public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
-            calls.get(setUp.id()).attempt(server, patience);
+        public void sendRequest(CallRequest request, Duration remainingDeadline, boolean mayHaveRun) {
+            calls.get(request.id()).startAttempt(server, remainingDeadline);
         }
 
         @Override
         public void cancel(String id) {
-            calls.get(id).giveUpAttempt();
+            calls.get(id).cancelAttempt();
         }
 
         @Override
-        public void release(String id, Outcome how, byte[] content) {
+        public void release(String id, Outcome outcome, byte[] content) {
             if (calls.containsKey(id)) {
                 calls.get(id).releasedByController();
             }
@@ -223,7 +224,7 @@
         @Override
         public void drain() {
             calls.values().stream().map(call -> call.waitingPath(server)).filter(path -> path != null).distinct()
-                    .toList().forEach(ServerPath::endWaiting);
+                    .toList().forEach(ServerPath::failWaiting);
         }
 
         @Override
@@ -232,8 +233,8 @@
         }
     }
 
-    /** A call's answer is the server's from its attempt: nothing is passed through the core. */
-    static byte[] nothing() {
-        return NOTHING;
+    /** Empty content: the server's answer goes from the attempt to the application and not through the core. */
+    static byte[] emptyContent() {
+        return EMPTY_CONTENT;
     }
 }
--- a/grpc/src/main/java/pathlane/grpc/LoopTime.java
+++ b/grpc/src/main/java/pathlane/grpc/ExecutorScheduler.java
@@ -8,26 +8,26 @@
 import java.util.concurrent.TimeUnit;
 import pathlane.core.Scheduler;
 
-/** Time for the core inside a plug-in: timers on an executor's threads, whose tasks run in the plug-in's turn. */
-final class LoopTime implements Scheduler {
+/** The core's scheduler inside a plug-in: timers on an executor's threads that pass their tasks to another executor. */
+final class ExecutorScheduler implements Scheduler {
 
     private final ScheduledExecutorService timers;
-    private final Executor turn;
+    private final Executor taskExecutor;
     private final Instant startedAt = Instant.now();
     private final long startedNanos = System.nanoTime();
 
-    LoopTime(ScheduledExecutorService timers, Executor turn) {
+    ExecutorScheduler(ScheduledExecutorService timers, Executor taskExecutor) {
         this.timers = timers;
-        this.turn = turn;
+        this.taskExecutor = taskExecutor;
     }
 
-    /** The Unix time at the start, moved on by the clock that never runs back. */
+    /** The Unix time at the start plus the time elapsed by the monotonic clock. */
     @Override
     public Instant now() {
         return startedAt.plusNanos(System.nanoTime() - startedNanos);
     }
 
-    /** Nought: calls come in on the application's own threads, and none waits for a loop. */
+    /** Zero: calls arrive on the application's own threads and don't wait for an event loop. */
     @Override
     public Duration lag() {
         return Duration.ZERO;
@@ -35,7 +35,7 @@
 
     @Override
     public Timer after(Duration delay, Runnable task) {
-        Future<?> timer = timers.schedule(() -> turn.execute(task), Math.max(0, delay.toNanos()),
+        Future<?> timer = timers.schedule(() -> taskExecutor.execute(task), Math.max(0, delay.toNanos()),
                 TimeUnit.NANOSECONDS);
         return () -> timer.cancel(false);
     }
--- a/grpc/src/main/java/pathlane/grpc/Pathlane.java
+++ b/grpc/src/main/java/pathlane/grpc/Pathlane.java
@@ -16,15 +16,15 @@
 import pathlane.core.Scheduler;
 
 /**
- * The call controller as a plug-in of gRPC channels: which server a call goes to, when, whether it is tried again, and
- * whom to turn away are the decision module's, under the same rules as a daemon's.
+ * The call controller as a plug-in for gRPC channels. The decision module chooses the server for each call, schedules
+ * and repeats attempts and rejects calls under overload, by the same rules as in a daemon.
  *
  * <pre>{@code
  * Pathlane pathlane = Pathlane.builder().configuration(json).build();
  * ManagedChannel channel = pathlane.attach(Grpc.newChannelBuilder(target, credentials)).build();
  * }</pre>
  *
- * <p>Channels that one plug-in is attached to share one controller and count as one sender; they must have the same
+ * <p>All channels attached to one plug-in share one controller and count as one sender, so they must have the same
  * target. Thread-safe.
  */
 public final class Pathlane implements AutoCloseable {
@@ -37,35 +37,36 @@
         this.ownTimers = ownTimers;
     }
 
-    /** Starts a plug-in's configuration. Without settings there, they are awaited from the service config. */
+    /** Returns a builder. If it is given no settings, the plug-in takes them from the service config. */
     public static Builder builder() {
         return new Builder();
     }
 
     /**
-     * Attaches the plug-in to a channel that is about to be built, and returns its builder. The channel's policy is
-     * {@code pathlane} then unless its service config names another. gRPC's retryPolicy and hedgingPolicy make no
-     * attempts on it. Interceptors that are added later see the application's calls, earlier ones see attempts.
+     * Attaches the plug-in to a channel builder and returns that builder. The channel then uses the load-balancing policy
+     * {@code pathlane} unless its service config names another, and gRPC's retryPolicy and hedgingPolicy make no attempts
+     * on it. Interceptors added after this call see the application's calls; those added before see the attempts.
      */
     public <T extends ManagedChannelBuilder<T>> T attach(T channel) {
         Attachment attachment = new Attachment(engine);
         channel.defaultLoadBalancingPolicy(PathlaneLoadBalancerProvider.POLICY).intercept(attachment)
                 .setNameResolverArg(Attachment.KEY, attachment);
-        // Transparent retries stay on: by them it shows that a stream never ran. The picker lets none leave.
+        // Transparent retries stay enabled because they reveal that a stream was never processed. The picker drops them.
         return channel.enableRetry().maxRetryAttempts(1).maxHedgedAttempts(1);
     }
 
     /**
-     * The same with a service config of the application's own.
+     * Attaches the plug-in to a channel builder and sets the application's own default service config.
      *
-     * @throws IllegalArgumentException where it hedges: pathlane makes the attempts itself
+     * @throws IllegalArgumentException if the service config has a hedgingPolicy: pathlane makes the attempts itself
      */
     public <T extends ManagedChannelBuilder<T>> T attach(T channel, Map<String, ?> serviceConfig) {
         if (serviceConfig.get("methodConfig") instanceof List<?> methods) {
             for (Object method : methods) {
-                if (method instanceof Map<?, ?> one && one.containsKey("hedgingPolicy")) {
-                    throw new IllegalArgumentException("the service config hedges " + one.get("name")
-                            + ": pathlane makes the attempts itself, so take the hedgingPolicy out");
+                if (method instanceof Map<?, ?> methodConfig && methodConfig.containsKey("hedgingPolicy")) {
+                    throw new IllegalArgumentException(
+                            "the service config has a hedgingPolicy for " + methodConfig.get("name")
+                                    + ": pathlane makes the attempts itself, so remove the hedgingPolicy");
                 }
             }
         }
@@ -73,33 +74,33 @@
     }
 
     /**
-     * What the controller has done since its start, every try of a call counted for itself.
+     * Returns the controller's counters since its start. Each try that an application makes counts as a call of its own.
      *
-     * @throws IllegalStateException where no channel has brought the settings yet
+     * @throws IllegalStateException if no settings have been received from a channel's service config yet
      */
     public Counters counters() {
         if (engine.controller() == null) {
-            throw new IllegalStateException("the service config has brought no settings yet");
+            throw new IllegalStateException("no settings received from a service config yet");
         }
         return engine.controller().counters();
     }
 
     /**
-     * Calls, with the tries of one counted together.
+     * Counts of calls, where all tries of one call belong together.
      *
      * @param calls first tries
-     * @param retries further tries of calls that had ended in vain, by their marks or by what they ask
-     * @param heldBack tries that had to wait for the release of an earlier one's lost attempt
+     * @param retries further tries of calls that had failed, recognized by their mark or by their request
+     * @param heldBack tries that were delayed until the retry delay after an earlier lost attempt was over
      */
     public record Tries(long calls, long retries, long heldBack) {}
 
-    /** Calls and their tries since the start. */
+    /** Returns the counts of calls and their tries since the start. */
     public Tries tries() {
         return engine.retries() == null ? new Tries(0, 0, 0) : new Tries(engine.retries().firstCalls(),
                 engine.retries().retries(), engine.retries().delayed());
     }
 
-    /** Gives open calls their final answer, UNAVAILABLE; streams that stand go on, channels stay open. */
+    /** Ends open calls with UNAVAILABLE as their final answer. Established streams continue and channels stay open. */
     @Override
     public void close() {
         engine.execute(engine::close);
@@ -112,13 +113,13 @@
         return engine;
     }
 
-    /** A plug-in's configuration. Not thread-safe. */
+    /** Builds a plug-in from its configuration. Not thread-safe. */
     public static final class Builder {
 
         private PluginConfig config;
         private final Map<String, String> classes = new HashMap<>();
         private String defaultClass;
-        private int remembered = PluginConfig.REMEMBERED;
+        private int remembered = PluginConfig.DEFAULT_REMEMBERED_CALLS;
         private ScheduledExecutorService timers;
         private Long seed;
         private Function<SynchronizationContext, Scheduler> time;
@@ -126,97 +127,100 @@
         private Builder() {}
 
         /**
-         * The settings as JSON: the object {@code settings} of a daemon's configuration, with an object
-         * {@code plug-in} beside its keys where wanted.
+         * Sets the settings from JSON: the object {@code settings} of a daemon's configuration, optionally with an object
+         * {@code plug-in} next to its keys.
          *
-         * @throws IllegalArgumentException where it can't be used
+         * @throws IllegalArgumentException if the configuration is invalid
          */
         public Builder configuration(String json) {
             config = PluginConfig.read(json);
             return this;
         }
 
-        /** The same as a map, as gRPC holds JSON. */
+        /** Sets the settings from a map, the form in which gRPC represents JSON. */
         public Builder configuration(Map<String, ?> json) {
             return configuration(new Gson().toJson(json));
         }
 
-        /** The settings. */
+        /** Sets the settings, without the keys that only the plug-in has. */
         public Builder settings(Settings settings) {
-            config = new PluginConfig(settings, Optional.empty(), Map.of(), PluginConfig.REMEMBERED);
+            config = new PluginConfig(settings, Optional.empty(), Map.of(), PluginConfig.DEFAULT_REMEMBERED_CALLS);
             return this;
         }
 
-        /** The class of calls of which nothing else says it; the one worth the least where this is not called. */
+        /** Sets the class of calls that have no other; the default is the class with the lowest priority weight. */
         public Builder defaultClass(String name) {
             defaultClass = name;
             return this;
         }
 
-        /** The class of a method's calls, by its full name ({@code package.Service/Method}), or of a service's. */
+        /** Sets the class of calls of a method, by its full name ({@code package.Service/Method}), or of a service. */
         public Builder callClass(String methodOrService, String name) {
             classes.put(methodOrService, name);
             return this;
         }
 
-        /** Calls that ended in vain and are remembered at once, at most; 16,384 where this is not called. */
+        /** Sets how many failed calls are remembered at a time to recognize their retries; the default is 16,384. */
         public Builder remembered(int calls) {
             remembered = calls;
             return this;
         }
 
-        /** Whose threads the timers run on; the plug-in's own daemon thread where this is not called. */
+        /** Sets the executor that runs the timers; the default is a daemon thread of the plug-in. */
         public Builder timers(ScheduledExecutorService executor) {
             timers = executor;
             return this;
         }
 
-        /** The only source of chance in the module's decisions; another one each time where this is not called. */
+        /** Sets the seed of all random decisions of the controller; the default is a new random seed. */
         public Builder seed(long value) {
             seed = value;
             return this;
         }
 
-        /** For tests: time that the test moves. */
+        /** For tests: sets a scheduler whose time the test controls. */
         Builder time(Function<SynchronizationContext, Scheduler> source) {
             time = source;
             return this;
         }
 
         /**
-         * Builds it.
+         * Builds the plug-in.
          *
-         * @throws IllegalArgumentException where a class is not in the settings, or stands here without settings
+         * @throws IllegalArgumentException if a class is not in the settings, or is given here without settings
          */
         public Pathlane build() {
-            boolean own = defaultClass != null || !classes.isEmpty() || remembered != PluginConfig.REMEMBERED;
-            if (config == null && own) {
-                throw new IllegalArgumentException("classes and limits go with settings: the service config brings both");
+            boolean hasOwnOptions =
+                    defaultClass != null || !classes.isEmpty() || remembered != PluginConfig.DEFAULT_REMEMBERED_CALLS;
+            if (config == null && hasOwnOptions) {
+                throw new IllegalArgumentException(
+                        "classes and limits need settings: without them, set both in the service config");
             }
-            if (config != null && own) {
-                Map<String, String> all = new HashMap<>(config.classes());
-                all.putAll(classes);
+            if (config != null && hasOwnOptions) {
+                Map<String, String> allClasses = new HashMap<>(config.classes());
+                allClasses.putAll(classes);
                 config = new PluginConfig(config.settings(),
-                        defaultClass == null ? config.defaultClass() : Optional.of(defaultClass), all, remembered);
+                        defaultClass == null ? config.defaultClass() : Optional.of(defaultClass), allClasses, remembered);
             }
-            long chance = seed != null ? seed : ThreadLocalRandom.current().nextLong();
+            long engineSeed = seed != null ? seed : ThreadLocalRandom.current().nextLong();
             if (time != null) {
-                return new Pathlane(new Engine(config, chance, time), null);
+                return new Pathlane(new Engine(config, engineSeed, time), null);
             }
             ScheduledExecutorService ownTimers = timers == null ? newTimers() : null;
-            ScheduledExecutorService used = timers == null ? ownTimers : timers;
-            return new Pathlane(new Engine(config, chance, turn -> new LoopTime(used, turn)), ownTimers);
+            ScheduledExecutorService usedTimers = timers == null ? ownTimers : timers;
+            return new Pathlane(new Engine(config, engineSeed, context -> new ExecutorScheduler(usedTimers, context)),
+                    ownTimers);
         }
 
         private static ScheduledExecutorService newTimers() {
-            ScheduledThreadPoolExecutor made = new ScheduledThreadPoolExecutor(1, task -> {
+            ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1, task -> {
                 Thread thread = new Thread(task, "pathlane-timers");
                 thread.setDaemon(true);
                 return thread;
             });
-            made.setRemoveOnCancelPolicy(true);
-            made.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-            return made;
+            executor.setRemoveOnCancelPolicy(true);
+            executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+            return executor;
         }
     }
 }
--- a/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancer.java
+++ b/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancer.java
@@ -18,22 +18,22 @@
 import pathlane.decision.ServerStatus;
 
 /**
- * The channel's side of the plug-in: keeps a connection to each server that the resolver names, and leads each attempt
- * to the one that the module chose. Everything here happens in the channel's synchronization context, but for the
- * picker, which any thread may ask.
+ * The plug-in's load balancer in a channel: keeps a connection to each server that the resolver lists and directs each
+ * attempt to the server that the controller has chosen. Everything runs in the channel's synchronization context, except
+ * the picker, which is thread-safe.
  */
 final class PathlaneLoadBalancer extends LoadBalancer {
 
     private static final Status NOT_ATTACHED = Status.INTERNAL.withDescription(
             "the policy 'pathlane' needs its plug-in: build the channel with Pathlane.attach(builder)");
-    private static final Status HEARD = Status.UNAVAILABLE.withDescription("the channel has its servers");
+    private static final Status HAS_SERVERS = Status.UNAVAILABLE.withDescription("the channel has a list of servers");
 
     private final Helper helper;
     private final Attachment attachment;
     private final Map<List<SocketAddress>, Entry> servers = new HashMap<>();
     private boolean shutdown;
-    /** What keeps the policy from serving at all; null while nothing does. */
-    private Status broken;
+    /** The error that prevents the policy from serving calls, or null. */
+    private Status failure;
 
     private record Entry(Subchannel subchannel, ServerPath path) {}
 
@@ -50,140 +50,141 @@
     @Override
     public Status acceptResolvedAddresses(ResolvedAddresses resolved) {
         if (attachment == null) {
-            return unusable(NOT_ATTACHED);
+            return failPolicy(NOT_ATTACHED);
         }
         if (resolved.getAddresses().isEmpty() && servers.isEmpty()) {
-            Status none = Status.UNAVAILABLE.withDescription("the resolver names no session server");
-            handleNameResolutionError(none);
-            return none;
+            Status noServers = Status.UNAVAILABLE.withDescription("the resolver lists no session server");
+            handleNameResolutionError(noServers);
+            return noServers;
         }
-        Map<List<SocketAddress>, ServerEndpoint> lines = new HashMap<>();
+        Map<List<SocketAddress>, ServerEndpoint> endpoints = new HashMap<>();
         List<ServerEndpoint> inOrder = new ArrayList<>();
         for (EquivalentAddressGroup group : resolved.getAddresses()) {
-            ServerEndpoint line = line(group, inOrder.size());
-            if (lines.putIfAbsent(group.getAddresses(), line) == null) {
-                inOrder.add(line);
-                connect(group, line);
+            ServerEndpoint endpoint = endpointOf(group, inOrder.size());
+            if (endpoints.putIfAbsent(group.getAddresses(), endpoint) == null) {
+                inOrder.add(endpoint);
+                connect(group, endpoint);
             }
         }
-        List<Entry> left = new ArrayList<>();
-        servers.entrySet().removeIf(one -> {
-            boolean gone = !lines.containsKey(one.getKey());
-            if (gone) {
-                left.add(one.getValue());
+        List<Entry> removed = new ArrayList<>();
+        servers.entrySet().removeIf(server -> {
+            boolean isGone = !endpoints.containsKey(server.getKey());
+            if (isGone) {
+                removed.add(server.getValue());
             }
-            return gone;
+            return isGone;
         });
         Engine engine = attachment.engine;
-        PluginConfig config = resolved.getLoadBalancingPolicyConfig() instanceof PluginConfig told ? told : null;
+        PluginConfig config =
+                resolved.getLoadBalancingPolicyConfig() instanceof PluginConfig resolvedConfig ? resolvedConfig : null;
         engine.execute(() -> {
             if (config != null) {
                 engine.configure(config);
             }
-            String other = engine.otherTarget(helper.getChannelTarget());
+            String expectedTarget = engine.mismatchedTarget(helper.getChannelTarget());
             if (!engine.isConfigured()) {
-                unusableSoon("pathlane has no settings: give them to its builder or in the service config");
-            } else if (other != null) {
-                unusableSoon("this plug-in serves channels to " + other + ": build another for "
+                scheduleFailure("pathlane has no settings: set them in its builder or in the service config");
+            } else if (expectedTarget != null) {
+                scheduleFailure("this plug-in serves channels to " + expectedTarget + ": build another for "
                         + helper.getChannelTarget());
             } else {
-                servers(inOrder);
+                applyServers(inOrder);
             }
         });
-        left.forEach(this::close);
-        update();
+        removed.forEach(this::close);
+        updatePicker();
         return resolved.getAddresses().isEmpty()
-                ? Status.UNAVAILABLE.withDescription("the resolver names no session server any more") : Status.OK;
+                ? Status.UNAVAILABLE.withDescription("the resolver no longer lists any session server") : Status.OK;
     }
 
-    /** In the engine's turn: the controller hears of its servers, then calls may come. */
-    private void servers(List<ServerEndpoint> lines) {
-        attachment.engine.named(attachment, lines);
-        attachment.listed(true);
+    /** Runs in the engine's context: updates the controller's servers before calls are admitted. */
+    private void applyServers(List<ServerEndpoint> endpoints) {
+        attachment.engine.updateServerList(attachment, endpoints);
+        attachment.setHasServerList(true);
         helper.getSynchronizationContext().execute(() -> {
-            broken = null;   // what the service config lacked may have come
-            update();        // calls that knocked are heard now
+            failure = null;   // the service config may now have the missing settings
+            updatePicker();   // completes waiting readiness probes
         });
     }
 
-    private void unusableSoon(String why) {
-        helper.getSynchronizationContext().execute(() -> unusable(Status.INTERNAL.withDescription(why)));
+    private void scheduleFailure(String reason) {
+        helper.getSynchronizationContext().execute(() -> failPolicy(Status.INTERNAL.withDescription(reason)));
     }
 
-    private Status unusable(Status why) {
-        broken = why;
+    private Status failPolicy(Status status) {
+        failure = status;
         helper.updateBalancingState(ConnectivityState.TRANSIENT_FAILURE, new SubchannelPicker() {
             @Override
             public PickResult pickSubchannel(PickSubchannelArgs args) {
-                return PickResult.withDrop(why);
+                return PickResult.withDrop(status);
             }
         });
-        return why;
+        return status;
     }
 
-    private void connect(EquivalentAddressGroup group, ServerEndpoint line) {
-        Entry known = servers.get(group.getAddresses());
-        if (known != null && known.path().server == line.id()) {
+    private void connect(EquivalentAddressGroup group, ServerEndpoint endpoint) {
+        Entry existing = servers.get(group.getAddresses());
+        if (existing != null && existing.path().server == endpoint.id()) {
             return;
         }
-        if (known != null) {
-            close(known);   // another server at the same address
+        if (existing != null) {
+            close(existing);   // a different server at the same address
         }
         Subchannel subchannel = helper.createSubchannel(CreateSubchannelArgs.newBuilder().setAddresses(group).build());
-        ServerPath path = new ServerPath(line.id(), subchannel,
+        ServerPath path = new ServerPath(endpoint.id(), subchannel,
                 () -> helper.getSynchronizationContext().execute(subchannel::requestConnection));
         servers.put(group.getAddresses(), new Entry(subchannel, path));
-        attachment.engine.execute(() -> attachment.put(path));
-        subchannel.start(info -> changed(path, subchannel, info));
+        attachment.engine.execute(() -> attachment.addPath(path));
+        subchannel.start(info -> subchannelStateChanged(path, subchannel, info));
         subchannel.requestConnection();
     }
 
-    private void changed(ServerPath path, Subchannel subchannel, ConnectivityStateInfo info) {
-        path.state(info.getState());
+    private void subchannelStateChanged(ServerPath path, Subchannel subchannel, ConnectivityStateInfo info) {
+        path.setState(info.getState());
         if (info.getState() == ConnectivityState.TRANSIENT_FAILURE || info.getState() == ConnectivityState.IDLE) {
             helper.refreshNameResolution();
         }
         if (info.getState() == ConnectivityState.IDLE) {
             subchannel.requestConnection();
         }
-        attachment.engine.execute(path::settle);
-        update();
+        attachment.engine.execute(path::processStateChange);
+        updatePicker();
     }
 
     private void close(Entry entry) {
-        entry.path().state(ConnectivityState.SHUTDOWN);
+        entry.path().setState(ConnectivityState.SHUTDOWN);
         attachment.engine.execute(() -> {
-            entry.path().settle();
-            attachment.remove(entry.path());
+            entry.path().processStateChange();
+            attachment.removePath(entry.path());
         });
-        entry.subchannel().shutdown();   // streams that are open go on
+        entry.subchannel().shutdown();   // open streams continue
     }
 
-    /** Where the server stands in the resolver's list, unless the resolver tells all of it. */
-    private static ServerEndpoint line(EquivalentAddressGroup group, int place) {
-        ServerEndpoint told = group.getAttributes().get(BusNameResolver.LINE);
-        if (told != null) {
-            return told;
+    /** Returns the endpoint that the resolver attached, or one made from the address and its position in the list. */
+    private static ServerEndpoint endpointOf(EquivalentAddressGroup group, int position) {
+        ServerEndpoint endpoint = group.getAttributes().get(BusNameResolver.ENDPOINT);
+        if (endpoint != null) {
+            return endpoint;
         }
         String text = group.getAddresses().toString();
         SocketAddress first = group.getAddresses().get(0);
         InetSocketAddress address = first instanceof InetSocketAddress inet ? inet
                 : InetSocketAddress.createUnresolved(text, 0);
-        // The same address has the same id whenever it comes back, without anything being kept for it.
+        // A hash gives the same address the same id whenever it is listed again, without keeping state.
         long id = Hashing.murmur3_128().hashString(text, StandardCharsets.UTF_8).asLong();
-        return new ServerEndpoint(id, address, ServerStatus.RUNNING, place, 1, Instant.EPOCH);
+        return new ServerEndpoint(id, address, ServerStatus.RUNNING, position, 1, Instant.EPOCH);
     }
 
-    /** A fresh picker, so that what waits is asked for again. */
-    private void update() {
-        if (shutdown || broken != null) {
+    /** Sets a new picker, so that gRPC evaluates waiting calls again. */
+    private void updatePicker() {
+        if (shutdown || failure != null) {
             return;
         }
         ConnectivityState state = ConnectivityState.TRANSIENT_FAILURE;
         for (Entry entry : servers.values()) {
             if (entry.path().isReady()) {
                 state = ConnectivityState.READY;
-            } else if (entry.path().mayComeUp() && state != ConnectivityState.READY) {
+            } else if (entry.path().mayConnect() && state != ConnectivityState.READY) {
                 state = ConnectivityState.CONNECTING;
             }
         }
@@ -202,18 +203,18 @@
         public PickResult pickSubchannel(PickSubchannelArgs args) {
             Attempt<?, ?> attempt = args.getCallOptions().getOption(Attempt.KEY);
             if (attempt != null) {
-                Status why = attempt.whyNot();
-                return why == null ? PickResult.withSubchannel(attempt.path.subchannel) : PickResult.withDrop(why);
+                Status error = attempt.pickError();
+                return error == null ? PickResult.withSubchannel(attempt.path.subchannel) : PickResult.withDrop(error);
             }
-            PluginCall.Knock knock = args.getCallOptions().getOption(PluginCall.KNOCK);
-            if (knock == null) {
+            PluginCall.ReadinessProbe probe = args.getCallOptions().getOption(PluginCall.READINESS_PROBE);
+            if (probe == null) {
                 return PickResult.withDrop(NOT_ATTACHED);
             }
-            if (!attachment.isListed()) {
+            if (!attachment.hasServerList()) {
                 return PickResult.withNoResult();
             }
-            knock.heard = true;
-            return PickResult.withDrop(HEARD);
+            probe.answered = true;
+            return PickResult.withDrop(HAS_SERVERS);
         }
     }
 
@@ -234,8 +235,8 @@
     public void shutdown() {
         shutdown = true;
         if (attachment != null) {
-            attachment.listed(false);
-            attachment.engine.execute(() -> attachment.engine.silent(attachment));
+            attachment.setHasServerList(false);
+            attachment.engine.execute(() -> attachment.engine.removeServerList(attachment));
             servers.values().forEach(this::close);
             servers.clear();
         }
--- a/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancerProvider.java
+++ b/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancerProvider.java
@@ -6,7 +6,7 @@
 import io.grpc.Status;
 import java.util.Map;
 
-/** Found by gRPC itself: the policy {@code pathlane}, for {@code loadBalancingConfig} in a service config. */
+/** Provides the policy {@code pathlane} for {@code loadBalancingConfig} in a service config. gRPC loads it as a service. */
 public final class PathlaneLoadBalancerProvider extends LoadBalancerProvider {
 
     /** The policy's name in service configs. */
@@ -32,7 +32,7 @@
         return new PathlaneLoadBalancer(helper);
     }
 
-    /** An empty object leaves the settings to the builder; any other holds them all. */
+    /** Parses the policy's config. An empty object leaves the settings to the builder; any other must be complete. */
     @Override
     public ConfigOrError parseLoadBalancingPolicyConfig(Map<String, ?> raw) {
         if (raw.isEmpty()) {
@@ -42,11 +42,11 @@
             return ConfigOrError.fromConfig(PluginConfig.read(raw));
         } catch (IllegalArgumentException e) {
             return ConfigOrError.fromError(Status.UNAVAILABLE
-                    .withDescription("the config of the policy 'pathlane' can't be used: " + e.getMessage())
+                    .withDescription("invalid config for the policy 'pathlane': " + e.getMessage())
                     .withCause(e));
         }
     }
 
-    /** A config that says nothing. */
+    /** The result of parsing an empty config. */
     enum NoConfig { NONE }
 }
--- a/grpc/src/main/java/pathlane/grpc/PluginCall.java
+++ b/grpc/src/main/java/pathlane/grpc/PluginCall.java
@@ -29,32 +29,32 @@
 import pathlane.core.CallRequest;
 import pathlane.core.Scheduler;
 import pathlane.decision.Outcome;
-import pathlane.grpc.Endings.StreamEnd;
+import pathlane.grpc.StreamOutcomes.StreamEnd;
 import pathlane.retry.RetryTracker;
 import pathlane.retry.RetryTracker.Admission;
 
 /**
- * One call of the application, over all its attempts. What the application says is kept until an attempt's call
- * stands, so that each attempt says the same; from then on the application talks to that stream itself.
+ * One call of the application with all its attempts. The application's operations are recorded until an attempt is
+ * established, so that each attempt can replay them; after that they go directly to the established stream.
  *
- * <p>Threads: the methods of {@link ClientCall} come from the application, one at a time, {@code cancel} from any
- * thread; what follows "in the turn" happens in the engine's turn; {@link #stood} and {@link #closed} come from the
- * stream's threads.
+ * <p>Threads: the application calls the methods of {@link ClientCall} one at a time, {@code cancel} from any thread. The
+ * methods below "in the engine's context" run in the engine's synchronization context. {@link #attemptEstablished} and
+ * {@link #streamClosed} are called on the stream's threads.
  */
 final class PluginCall<Q, R> extends ClientCall<Q, R> {
 
-    /** A call made to hear whether the channel has a load balancer; the picker says so, and drops it. */
-    static final CallOptions.Key<Knock> KNOCK = CallOptions.Key.create("pathlane-knock");
-    private static final HashFunction HASH = Hashing.sipHash24(ThreadLocalRandom.current().nextLong(),
+    /** Marks a call that only probes whether the channel has a load balancer. The picker records that and drops the call. */
+    static final CallOptions.Key<ReadinessProbe> READINESS_PROBE = CallOptions.Key.create("pathlane-knock");
+    private static final HashFunction REQUEST_HASH = Hashing.sipHash24(ThreadLocalRandom.current().nextLong(),
             ThreadLocalRandom.current().nextLong());
-    /** Messages kept for further attempts; a call that has said more is not sent again. */
-    private static final int MOST_KEPT = 64;
-    /** A deadline this near counts as over, in words to the application. */
-    private static final Duration NEAR = Duration.ofMillis(50);
+    /** The maximum number of messages kept for replay; a call that has sent more is not attempted again. */
+    private static final int MAX_BUFFERED_MESSAGES = 64;
+    /** A remaining deadline below this is reported to the application as expired. */
+    private static final Duration DEADLINE_TOLERANCE = Duration.ofMillis(50);
 
-    /** Whether the picker has been asked: the channel has servers, or is known to have none. */
-    static final class Knock {
-        volatile boolean heard;
+    /** Records whether the picker has seen the probe, which means that the channel has a list of servers. */
+    static final class ReadinessProbe {
+        volatile boolean answered;
     }
 
     final MethodDescriptor<Q, R> method;
@@ -65,42 +65,42 @@
     private final Engine engine;
     private Metadata headers;
     private volatile Listener<R> listener;
-    private final Context.CancellationListener withdrawn = ended -> cancel("the context was cancelled", null);
+    private final Context.CancellationListener contextListener = ended -> cancel("the context was cancelled", null);
 
-    /** What was said so far: the application's until it is handed over, then the turn's. */
+    /** The operations so far. Owned by the application's thread until handed to the engine, then by the engine. */
     private final List<Q> messages = new ArrayList<>();
-    private int requested;
+    private int requestedMessages;
     private boolean halfClosed;
     private Boolean compression;
-    private boolean handedOver;
-    /** What the application has said and the turn has not yet done: while there is any, all goes that way. */
-    private final AtomicInteger underWay = new AtomicInteger();
-    /** The stream of the attempt that stands; from then on the application talks to it. */
-    private volatile ClientCall<Q, R> direct;
-    private volatile ClientCall<Q, R> latest;
-    private volatile ClientCall<Q, R> knocking;
-    /** The application has cancelled it. */
-    private volatile boolean left;
-
-    // in the turn
-    private long number;
+    private boolean handedToEngine;
+    /** Operations that are queued in the engine. While there are any, all others follow through it, to keep their order. */
+    private final AtomicInteger pendingOperations = new AtomicInteger();
+    /** The stream of the established attempt, which receives the application's operations directly. */
+    private volatile ClientCall<Q, R> establishedStream;
+    private volatile ClientCall<Q, R> latestStream;
+    private volatile ClientCall<Q, R> probeCall;
+    /** Whether the application has cancelled the call. */
+    private volatile boolean cancelledByApplication;
+
+    // used in the engine's context only
+    private long callNumber;
     private String id;
     private Instant deadline;
     private Admission admission;
-    private OptionalDouble lostAt = OptionalDouble.empty();
-    private Attempt<Q, R> current;
-    private int attempts;
-    private Outcome lastEnding;
+    private OptionalDouble attemptLostAtMs = OptionalDouble.empty();
+    private Attempt<Q, R> currentAttempt;
+    private int attemptCount;
+    private Outcome lastOutcome;
     private Status lastStatus;
     private Metadata lastTrailers;
-    private Scheduler.Timer gap;
-    private boolean open;
-    private boolean standing;
-    private boolean over;
-    private boolean sayMore = true;
-    /** An answer came in the moment in which its attempt was given up: the answer holds. */
-    private boolean raced;
-    private Status cut;
+    private Scheduler.Timer retryDelayTimer;
+    private boolean openInController;
+    private boolean established;
+    private boolean finished;
+    private boolean replayable = true;
+    /** Whether the answer arrived while its attempt was being cancelled; the answer takes precedence. */
+    private boolean answeredDuringCancel;
+    private Status releaseStatus;
 
     PluginCall(Attachment attachment, MethodDescriptor<Q, R> method, CallOptions options, Channel next) {
         this.attachment = attachment;
@@ -110,124 +110,124 @@
         this.next = next;
     }
 
-    // ---- from the application
+    // ---- called by the application
 
     @Override
-    public void start(Listener<R> to, Metadata with) {
+    public void start(Listener<R> responseListener, Metadata requestHeaders) {
         if (listener != null) {
             throw new IllegalStateException("already started");
         }
-        listener = to;
-        headers = with;
+        listener = responseListener;
+        headers = requestHeaders;
         if (!method.getType().clientSendsOneMessage()) {
-            handOver();   // what it will say may depend on what it hears
+            handToEngine();   // its later messages may depend on the server's answers
         }
     }
 
     @Override
-    public void request(int messagesMore) {
-        say(stream -> stream.request(messagesMore), () -> requested += messagesMore);
+    public void request(int additionalMessages) {
+        perform(stream -> stream.request(additionalMessages), () -> requestedMessages += additionalMessages);
     }
 
     @Override
     public void sendMessage(Q message) {
-        say(stream -> stream.sendMessage(message), () -> {
-            if (messages.size() < MOST_KEPT) {
+        perform(stream -> stream.sendMessage(message), () -> {
+            if (messages.size() < MAX_BUFFERED_MESSAGES) {
                 messages.add(message);
             } else {
-                sayMore = false;   // too much to say again: the attempt that is out is the last
+                replayable = false;   // too much to replay: the current attempt is the last
             }
         });
     }
 
     @Override
     public void halfClose() {
-        say(ClientCall::halfClose, () -> halfClosed = true);
-        if (!handedOver) {
-            handOver();
+        perform(ClientCall::halfClose, () -> halfClosed = true);
+        if (!handedToEngine) {
+            handToEngine();
         }
     }
 
     @Override
     public void setMessageCompression(boolean enabled) {
-        say(stream -> stream.setMessageCompression(enabled), () -> compression = enabled);
+        perform(stream -> stream.setMessageCompression(enabled), () -> compression = enabled);
     }
 
-    private interface Word<Q, R> {
-        void to(ClientCall<Q, R> stream);
+    private interface StreamOperation<Q, R> {
+        void applyTo(ClientCall<Q, R> stream);
     }
 
-    private void say(Word<Q, R> word, Runnable keep) {
-        if (!handedOver) {
-            keep.run();
+    private void perform(StreamOperation<Q, R> operation, Runnable record) {
+        if (!handedToEngine) {
+            record.run();
             return;
         }
-        ClientCall<Q, R> stream = direct;
-        if (stream != null && underWay.get() == 0) {
-            word.to(stream);
+        ClientCall<Q, R> stream = establishedStream;
+        if (stream != null && pendingOperations.get() == 0) {
+            operation.applyTo(stream);
             return;
         }
-        underWay.incrementAndGet();
+        pendingOperations.incrementAndGet();
         engine.execute(() -> {
-            keep.run();
-            if (current != null && current.hasLeft()) {
-                word.to(current.call());
+            record.run();
+            if (currentAttempt != null && currentAttempt.isSent()) {
+                operation.applyTo(currentAttempt.call());
             }
-            underWay.decrementAndGet();
+            pendingOperations.decrementAndGet();
         });
     }
 
     @Override
     public boolean isReady() {
-        ClientCall<Q, R> stream = latest;
+        ClientCall<Q, R> stream = latestStream;
         return stream != null && stream.isReady();
     }
 
     @Override
     public Attributes getAttributes() {
-        ClientCall<Q, R> stream = direct;
+        ClientCall<Q, R> stream = establishedStream;
         return stream == null ? Attributes.EMPTY : stream.getAttributes();
     }
 
     @Override
     public void cancel(String message, Throwable cause) {
         if (listener == null) {
-            return;   // never started: there is nobody to tell
+            return;   // never started: there is no listener to notify
         }
-        left = true;
-        ClientCall<Q, R> stream = direct;
+        cancelledByApplication = true;
+        ClientCall<Q, R> stream = establishedStream;
         if (stream != null) {
             stream.cancel(message, cause);
         }
         Status status = Status.CANCELLED.withDescription(message == null ? "cancelled" : message).withCause(cause);
-        engine.execute(() -> cancelled(status));
+        engine.execute(() -> handleCancellation(status));
     }
 
-    private void handOver() {
-        handedOver = true;
+    private void handToEngine() {
+        handedToEngine = true;
         if (context != Context.ROOT) {
-            context.addListener(withdrawn, Runnable::run);
+            context.addListener(contextListener, Runnable::run);
         }
-        if (attachment.isListed()) {
-            engine.execute(this::arrive);
+        if (attachment.hasServerList()) {
+            engine.execute(this::processArrival);
         } else {
-            knock();
+            probeReadiness();
         }
     }
 
     /**
-     * The channel has no load balancer yet, or none any more, and calls are what makes it look for one: a call of no
-     * consequence waits for it as this one would, and hears what keeps this one from being made.
+     * The channel creates its load balancer when it gets a call, and has none before that or while it is idle. A probe
+     * call waits for the load balancer as this call would, and receives the error that prevents this call.
      */
-    private void knock() {
-        Knock knock = new Knock();
-        ClientCall<Q, R> call = next.newCall(method, options.withOption(KNOCK, knock));
-        knocking = call;
+    private void probeReadiness() {
+        ReadinessProbe probe = new ReadinessProbe();
+        ClientCall<Q, R> call = next.newCall(method, options.withOption(READINESS_PROBE, probe));
+        probeCall = call;
         call.start(new Listener<R>() {
             @Override
             public void onClose(Status status, Metadata trailers) {
-                if (knock.heard) {
-                    engine.execute(PluginCall.this::arrive);
+                if (probe.answered) {
+                    engine.execute(PluginCall.this::processArrival);
                 } else {
                     engine.execute(() -> finish(status, trailers));
                 }
@@ -235,125 +235,127 @@
         }, new Metadata());
     }
 
-    // ---- in the turn
+    // ---- in the engine's context
 
-    Scheduler time() {
-        return engine.time();
+    Scheduler scheduler() {
+        return engine.scheduler();
     }
 
-    void later(Runnable task) {
+    void runInEngine(Runnable task) {
         engine.execute(task);
     }
 
-    private void arrive() {
-        if (over) {
+    private void processArrival() {
+        if (finished) {
             return;
         }
-        number = engine.nextId();
-        id = Long.toString(number);
-        Instant now = engine.time().now();
-        String named = options.getOption(PathlaneOptions.CLASS);
-        int callClass = engine.config().classOf(method.getFullMethodName(), method.getServiceName(), named);
+        callNumber = engine.nextId();
+        id = Long.toString(callNumber);
+        Instant now = engine.scheduler().now();
+        String requestedClass = options.getOption(PathlaneOptions.CLASS);
+        int callClass = engine.config().classOf(method.getFullMethodName(), method.getServiceName(), requestedClass);
         if (callClass < 0) {
-            finish(Status.INVALID_ARGUMENT.withDescription("class '" + named + "' is not in the settings"),
+            finish(Status.INVALID_ARGUMENT.withDescription("class '" + requestedClass + "' is not in the settings"),
                     new Metadata());
             return;
         }
-        if (attachment.hedges()) {
-            finish(Attempt.HEDGED, new Metadata());
+        if (attachment.isHedging()) {
+            finish(Attempt.HEDGING_UNSUPPORTED, new Metadata());
             return;
         }
         if (engine.isClosed()) {
             finish(Status.UNAVAILABLE.withDescription("the plug-in is closed"), new Metadata());
             return;
         }
-        Duration patience = patience(engine.config().settings().classes().get(callClass));
-        if (patience.isNegative() || patience.isZero()) {
+        Duration remaining = remainingDeadline(engine.config().settings().classes().get(callClass));
+        if (remaining.isNegative() || remaining.isZero()) {
             finish(Status.DEADLINE_EXCEEDED.withDescription("the deadline had passed before the call was made"),
                     new Metadata());
             return;
         }
-        deadline = now.plus(patience);
-        admit(Millis.of(now));
-        engine.begin(id, this);
+        deadline = now.plus(remaining);
+        admitByRetryTracker(Millis.of(now));
+        engine.addCall(id, this);
         Duration wait = Millis.toDuration(admission.notBefore() - Millis.of(now));
         if (wait.isNegative() || wait.isZero()) {
-            setUp(callClass);
-        } else if (wait.compareTo(patience) >= 0) {
-            finish(Refusal.of(null, null, false, wait));   // it can't stand in time: the answer goes out now
+            submitToController(callClass);
+        } else if (wait.compareTo(remaining) >= 0) {
+            finish(Rejection.of(null, null, false, wait));   // it can't be established in time, so it is rejected now
         } else {
-            gap = engine.time().after(wait, () -> {
-                gap = null;
-                if (!over) {
-                    setUp(callClass);
+            retryDelayTimer = engine.scheduler().after(wait, () -> {
+                retryDelayTimer = null;
+                if (!finished) {
+                    submitToController(callClass);
                 }
             });
         }
     }
 
-    /** The time left: of the call's own deadline, of its context's, and of its class. */
-    private Duration patience(Settings.CallClass callClass) {
-        Duration left = callClass.deadline();
-        for (Deadline one : new Deadline[] {options.getDeadline(), context.getDeadline()}) {
-            if (one != null) {
-                Duration remaining = Duration.ofNanos(one.timeRemaining(TimeUnit.NANOSECONDS));
-                left = remaining.compareTo(left) < 0 ? remaining : left;
+    /** Returns the shortest of the remaining deadlines of the call, its context and its class. */
+    private Duration remainingDeadline(Settings.CallClass callClass) {
+        Duration shortest = callClass.deadline();
+        for (Deadline callDeadline : new Deadline[] {options.getDeadline(), context.getDeadline()}) {
+            if (callDeadline != null) {
+                Duration remaining = Duration.ofNanos(callDeadline.timeRemaining(TimeUnit.NANOSECONDS));
+                shortest = remaining.compareTo(shortest) < 0 ? remaining : shortest;
             }
         }
-        return left;
+        return shortest;
     }
 
-    /** On any thread: gRPC has asked for a second stream beside this one. The picker lets it not leave. */
-    void seenHedging() {
-        attachment.seenHedging();
+    /** Thread-safe: gRPC has requested a second stream in parallel to this one. The picker drops it. */
+    void recordHedging() {
+        attachment.recordHedging();
     }
 
-    /** At one time for all: a call that is held back by nothing must not wait for a timer. */
-    private void admit(double now) {
-        RetryTracker guard = engine.retries();
-        // Nothing is remembered in quiet times, and then no request is read for its key.
-        admission = guard.isEmpty(now) ? guard.arrivedWhileEmpty(number, now)
-                : guard.arrived(key(), number, now);
+    /** Registers the call with the retry tracker at the given time. The delay is computed from the same time, since a
+     * call without a delay must not wait for a timer. */
+    private void admitByRetryTracker(double now) {
+        RetryTracker tracker = engine.retries();
+        // Without recent failures the tracker is empty, and requests needn't be hashed for their keys.
+        admission = tracker.isEmpty(now) ? tracker.arrivedWhileEmpty(callNumber, now)
+                : tracker.arrived(retryKey(), callNumber, now);
     }
 
-    /** The key by which a retry is known: of its mark, else of what it asks; 0 is as good as any. */
-    private long key() {
+    /** Returns the key that identifies a call's retries: its mark's, else a hash of its request. 0 is a valid key. */
+    private long retryKey() {
         CallMark mark = options.getOption(PathlaneOptions.MARK);
         if (mark != null) {
             return mark.key();
         }
-        Hasher hash = HASH.newHasher().putString(method.getFullMethodName(), StandardCharsets.UTF_8);
+        Hasher hash = REQUEST_HASH.newHasher().putString(method.getFullMethodName(), StandardCharsets.UTF_8);
         for (Q message : messages) {
             try (InputStream bytes = method.streamRequest(message)) {
                 hash.putBytes(ByteStreams.toByteArray(bytes));
             } catch (IOException e) {
-                return number;   // what can't be read is like nothing else
+                return callNumber;   // a request that can't be read matches no other
             }
         }
-        return messages.isEmpty() ? number : hash.hash().asLong();
+        return messages.isEmpty() ? callNumber : hash.hash().asLong();
     }
 
-    private void setUp(int callClass) {
-        String called = options.getOption(PathlaneOptions.NUMBER);
-        Integer first = options.getOption(PathlaneOptions.FIRST_CHOICE);
-        open = true;
-        boolean taken = engine.controller().submit(new CallRequest(id, callClass,
-                called != null ? called : Long.toString(admission.firstCallId()),
-                Duration.between(engine.time().now(), deadline), first == null ? -1 : first, Engine.nothing()), engine);
-        if (!taken) {
-            throw new IllegalStateException("call " + id + " is there already");
+    private void submitToController(int callClass) {
+        String destination = options.getOption(PathlaneOptions.NUMBER);
+        Integer firstChoice = options.getOption(PathlaneOptions.FIRST_CHOICE);
+        openInController = true;
+        boolean accepted = engine.controller().submit(new CallRequest(id, callClass,
+                destination != null ? destination : Long.toString(admission.firstCallId()),
+                Duration.between(engine.scheduler().now(), deadline), firstChoice == null ? -1 : firstChoice,
+                Engine.emptyContent()), engine);
+        if (!accepted) {
+            throw new IllegalStateException("call " + id + " already exists");
         }
     }
 
-    /** The controller sends the call to a server. */
-    void attempt(long server, Duration patience) {
-        attempts++;
+    /** Starts an attempt at the server that the controller has chosen. */
+    void startAttempt(long server, Duration remainingDeadline) {
+        attemptCount++;
         ServerPath path = attachment.path(server);
-        if (!sayMore) {
+        if (!replayable) {
             engine.execute(() -> {
-                leaveController();
-                finish(Status.RESOURCE_EXHAUSTED.withDescription("more than " + MOST_KEPT
-                        + " messages were sent before the call stood"), new Metadata());
+                releaseInController();
+                finish(Status.RESOURCE_EXHAUSTED.withDescription("more than " + MAX_BUFFERED_MESSAGES
+                        + " messages were sent before the call was established"), new Metadata());
             });
             return;
         }
@@ -361,30 +363,30 @@
             engine.execute(() -> engine.controller().serverReleased(server, id, Outcome.UNREACHABLE, Duration.ZERO));
             return;
         }
-        Attempt<Q, R> made = new Attempt<>(this, path, patience);
-        current = made;
-        engine.attemptBegins(server);
-        made.begin(engine.config().settings().connectTimeout());
+        Attempt<Q, R> attempt = new Attempt<>(this, path, remainingDeadline);
+        currentAttempt = attempt;
+        engine.attemptStarted(server);
+        attempt.startOrWait(engine.config().settings().connectTimeout());
     }
 
-    Metadata headersOfAttempt() {
-        Metadata all = new Metadata();
-        all.merge(headers);
-        if (attempts > 1) {
-            all.discardAll(Attempt.PREVIOUS_ATTEMPTS);
-            all.put(Attempt.PREVIOUS_ATTEMPTS, Integer.toString(attempts - 1));
+    Metadata attemptHeaders() {
+        Metadata merged = new Metadata();
+        merged.merge(headers);
+        if (attemptCount > 1) {
+            merged.discardAll(Attempt.PREVIOUS_ATTEMPTS);
+            merged.put(Attempt.PREVIOUS_ATTEMPTS, Integer.toString(attemptCount - 1));
         }
-        return all;
+        return merged;
     }
 
-    /** Says to a stream that has just begun what was said so far. */
+    /** Replays the operations recorded so far to a stream that has just started. */
     void replay(ClientCall<Q, R> stream) {
-        latest = stream;
+        latestStream = stream;
         if (compression != null) {
             stream.setMessageCompression(compression);
         }
-        if (requested > 0) {
-            stream.request(requested);
+        if (requestedMessages > 0) {
+            stream.request(requestedMessages);
         }
         messages.forEach(stream::sendMessage);
         if (halfClosed) {
@@ -393,212 +395,215 @@
     }
 
     ServerPath waitingPath(long server) {
-        return current != null && !current.hasLeft() && current.path.server == server ? current.path : null;
+        return currentAttempt != null && !currentAttempt.isSent() && currentAttempt.path.server == server
+                ? currentAttempt.path : null;
     }
 
     void attemptEnded(Attempt<Q, R> attempt, StreamEnd end, Status status, Metadata trailers) {
-        if (over || attempt != current) {
+        if (finished || attempt != currentAttempt) {
             return;
         }
-        current = null;
-        latest = null;
-        lastEnding = Endings.ofAttempt(end);
+        currentAttempt = null;
+        latestStream = null;
+        lastOutcome = StreamOutcomes.ofAttempt(end);
         lastStatus = status;
         lastTrailers = trailers;
-        if (RetryTracker.requiresRetryDelay(lastEnding)) {
-            lostAt = OptionalDouble.of(engine.nowMs());
+        if (RetryTracker.requiresRetryDelay(lastOutcome)) {
+            attemptLostAtMs = OptionalDouble.of(engine.nowMs());
         }
         if (context.isCancelled()) {
-            cancelled(status);
-        } else if (attempt.endedByChannel() || !sayMore) {
-            leaveController();
+            handleCancellation(status);
+        } else if (attempt.wasEndedByChannel() || !replayable) {
+            releaseInController();
             finish(status, trailers);
         } else {
-            engine.controller().serverReleased(attempt.path.server, id, lastEnding, Endings.statedWait(end));
+            engine.controller().serverReleased(attempt.path.server, id, lastOutcome, StreamOutcomes.statedRetryDelay(end));
         }
-        engine.attemptOver(attempt.path.server);
+        engine.attemptEnded(attempt.path.server);
     }
 
-    /** The controller no longer waits for the attempt that is out. */
-    void giveUpAttempt() {
-        Attempt<Q, R> attempt = current;
+    /** Cancels the current attempt for the controller, which no longer waits for it. */
+    void cancelAttempt() {
+        Attempt<Q, R> attempt = currentAttempt;
         if (attempt == null) {
             return;
         }
-        if (!attempt.giveUp()) {
-            raced = true;
+        if (!attempt.abandon()) {
+            answeredDuringCancel = true;
             return;
         }
-        current = null;
-        latest = null;
-        lastEnding = Outcome.TIMED_OUT;
+        currentAttempt = null;
+        latestStream = null;
+        lastOutcome = Outcome.TIMED_OUT;
         lastStatus = Status.DEADLINE_EXCEEDED;
-        if (attempt.hasLeft()) {
-            lostAt = OptionalDouble.of(engine.nowMs());
+        if (attempt.isSent()) {
+            attemptLostAtMs = OptionalDouble.of(engine.nowMs());
         }
-        engine.attemptOver(attempt.path.server);
+        engine.attemptEnded(attempt.path.server);
     }
 
-    /** The controller has heard that the call stands. */
-    void stands() {
-        standing = true;
-        open = false;
+    /** Called when the controller has recorded the call as established. */
+    void callEstablished() {
+        established = true;
+        openInController = false;
         if (admission.isRetry()) {
-            engine.retries().recordSuccess(key());
+            engine.retries().recordSuccess(retryKey());
         }
     }
 
-    void refused(Duration comeBackAfter) {
-        if (!raced) {
-            open = false;
-            boolean deadlineOver = Duration.between(engine.time().now(), deadline).compareTo(NEAR) < 0;
-            finish(Refusal.of(lastEnding, lastStatus, deadlineOver, comeBackAfter));
+    void callRejected(Duration retryAfter) {
+        if (!answeredDuringCancel) {
+            openInController = false;
+            boolean deadlineExpired = Duration.between(engine.scheduler().now(), deadline).compareTo(DEADLINE_TOLERANCE) < 0;
+            finish(Rejection.of(lastOutcome, lastStatus, deadlineExpired, retryAfter));
         }
     }
 
-    /** It failed: the application hears what the last server said. */
-    void failed() {
-        if (!raced) {
-            open = false;
+    /** Ends a call that the controller reports as failed. The application receives the last server's status. */
+    void callFailed() {
+        if (!answeredDuringCancel) {
+            openInController = false;
             finish(lastStatus == null ? Status.UNAVAILABLE.withDescription("the call failed") : lastStatus,
                     lastTrailers == null ? new Metadata() : lastTrailers);
         }
     }
 
-    /** A standing call is over by the controller's word: its server has gone from the list, or started anew. */
+    /** Ends an established call whose server has left the list or has restarted, as reported by the controller. */
     void releasedByController() {
-        if (current != null && standing) {
-            cut = Status.UNAVAILABLE.withDescription("the session server has gone");
-            current.call().cancel("the session server has gone", null);
+        if (currentAttempt != null && established) {
+            releaseStatus = Status.UNAVAILABLE.withDescription("the session server is gone");
+            currentAttempt.call().cancel("the session server is gone", null);
         }
     }
 
-    /** The plug-in is closed. */
-    void abandon() {
-        if (!standing && !raced) {
-            leaveController();
+    /** Ends a call that isn't established because the plug-in is closed. */
+    void abort() {
+        if (!established && !answeredDuringCancel) {
+            releaseInController();
             finish(Status.UNAVAILABLE.withDescription("the plug-in is closed"), new Metadata());
         }
     }
 
-    private void cancelled(Status status) {
-        ClientCall<Q, R> knock = knocking;
-        if (over) {
+    private void handleCancellation(Status status) {
+        ClientCall<Q, R> probe = probeCall;
+        if (finished) {
             return;
         }
-        if (standing || raced) {
-            if (direct != null) {
-                direct.cancel(status.getDescription(), status.getCause());
+        if (established || answeredDuringCancel) {
+            if (establishedStream != null) {
+                establishedStream.cancel(status.getDescription(), status.getCause());
             }
-            return;   // its end comes by the stream
+            return;   // the stream reports the end
         }
-        if (current != null && !current.giveUp()) {
-            direct.cancel(status.getDescription(), status.getCause());
-            return;   // it stood in this very moment
+        if (currentAttempt != null && !currentAttempt.abandon()) {
+            establishedStream.cancel(status.getDescription(), status.getCause());
+            return;   // it has just been established
         }
-        if (current != null) {
-            long server = current.path.server;
-            lostAt = current.hasLeft() ? OptionalDouble.of(engine.nowMs()) : lostAt;
-            current = null;
-            engine.attemptOver(server);
+        if (currentAttempt != null) {
+            long server = currentAttempt.path.server;
+            attemptLostAtMs = currentAttempt.isSent() ? OptionalDouble.of(engine.nowMs()) : attemptLostAtMs;
+            currentAttempt = null;
+            engine.attemptEnded(server);
         }
-        leaveController();
+        releaseInController();
         finish(status, new Metadata());
-        if (knock != null) {
-            knock.cancel("cancelled", null);
+        if (probe != null) {
+            probe.cancel("cancelled", null);
         }
     }
 
-    /** No answer is owed any more: the controller gives the call up. */
-    private void leaveController() {
-        if (open) {
-            open = false;
-            engine.controller().clientReleased(id, Engine.nothing(), engine);
+    /** Releases the call in the controller, which needs to answer it no more. */
+    private void releaseInController() {
+        if (openInController) {
+            openInController = false;
+            engine.controller().clientReleased(id, Engine.emptyContent(), engine);
         }
     }
 
-    private void finish(Refusal refusal) {
-        finish(refusal.status(), refusal.trailers());
+    private void finish(Rejection rejection) {
+        finish(rejection.status(), rejection.trailers());
     }
 
-    /** The one place from which a final answer leaves that no server gave. */
+    /** Gives the call a final answer that doesn't come from a server. No other method does. */
     private void finish(Status status, Metadata trailers) {
-        if (over) {
+        if (finished) {
             return;
         }
-        end(true);
+        releaseResources(true);
         deliver(status, trailers);
     }
 
-    private void end(boolean inVain) {
-        over = true;
-        if (gap != null) {
-            gap.cancel();
-            gap = null;
+    private void releaseResources(boolean unsuccessful) {
+        finished = true;
+        if (retryDelayTimer != null) {
+            retryDelayTimer.cancel();
+            retryDelayTimer = null;
         }
         if (admission != null) {
-            engine.over(id);
-            if (inVain) {
-                engine.retries().recordFailure(key(), admission, lostAt, engine.nowMs());
+            engine.removeCall(id);
+            if (unsuccessful) {
+                engine.retries().recordFailure(retryKey(), admission, attemptLostAtMs, engine.nowMs());
             }
         }
         if (context != Context.ROOT) {
-            context.removeListener(withdrawn);
+            context.removeListener(contextListener);
         }
     }
 
-    /** Answers on the application's executor, in its way and order: by a call of the channel that never leaves. */
+    /** Notifies the listener on the application's executor and in order, by means of a channel call that is never sent. */
     private void deliver(Status status, Metadata trailers) {
-        Listener<R> to = listener;
-        ClientCall<Q, R> carrier = next.newCall(method, options.withOption(KNOCK, new Knock()).withDeadline(null));
+        Listener<R> responseListener = listener;
+        ClientCall<Q, R> carrier =
+                next.newCall(method, options.withOption(READINESS_PROBE, new ReadinessProbe()).withDeadline(null));
         carrier.start(new Listener<R>() {
             @Override
             public void onClose(Status carried, Metadata none) {
-                to.onClose(status, trailers);
+                responseListener.onClose(status, trailers);
             }
         }, new Metadata());
         carrier.cancel("carries a final answer", null);
     }
 
-    // ---- from the streams' threads
+    // ---- on the streams' threads
 
     Listener<R> listener() {
         return listener;
     }
 
-    /** An attempt's answer has come, and nobody had given it up. */
-    void stood(Attempt<Q, R> attempt) {
-        direct = attempt.call();
+    /** Called when an attempt that was not cancelled before has received its answer. */
+    void attemptEstablished(Attempt<Q, R> attempt) {
+        establishedStream = attempt.call();
         engine.execute(() -> {
-            if (raced || current != attempt) {
-                // It was given up in this very moment. The application has its answer: nothing more is tried.
-                current = attempt;
-                standing = true;
-                leaveController();
+            if (answeredDuringCancel || currentAttempt != attempt) {
+                // It was being cancelled when the answer arrived. The application has its answer, so no attempt follows.
+                currentAttempt = attempt;
+                established = true;
+                releaseInController();
             } else {
-                engine.controller().serverAnswered(attempt.path.server, id, Engine.nothing());
+                engine.controller().serverAnswered(attempt.path.server, id, Engine.emptyContent());
             }
         });
     }
 
-    /** The stream that stood has ended. */
-    void closed(Attempt<Q, R> attempt, StreamEnd end, Status status, Metadata trailers) {
-        Status last = cut != null && status.getCode() == Status.Code.CANCELLED ? cut : status;
+    /** Called when the established stream has ended. */
+    void streamClosed(Attempt<Q, R> attempt, StreamEnd end, Status status, Metadata trailers) {
+        Status finalStatus = releaseStatus != null && status.getCode() == Status.Code.CANCELLED ? releaseStatus : status;
         engine.execute(() -> {
-            Outcome how = Endings.ofStanding(end);
-            boolean leftByCaller = !end.fromServer() && (left || status.getCode() == Status.Code.DEADLINE_EXCEEDED);
-            if (how == Outcome.RESET) {
-                lostAt = OptionalDouble.of(engine.nowMs());
+            Outcome outcome = StreamOutcomes.ofEstablished(end);
+            boolean endedByClient =
+                    !end.fromServer() && (cancelledByApplication || status.getCode() == Status.Code.DEADLINE_EXCEEDED);
+            if (outcome == Outcome.RESET) {
+                attemptLostAtMs = OptionalDouble.of(engine.nowMs());
             }
-            current = null;
-            if (leftByCaller) {
-                engine.controller().clientReleased(id, Engine.nothing(), engine);
+            currentAttempt = null;
+            if (endedByClient) {
+                engine.controller().clientReleased(id, Engine.emptyContent(), engine);
             } else {
-                engine.controller().serverReleased(attempt.path.server, id, how, Duration.ZERO);
+                engine.controller().serverReleased(attempt.path.server, id, outcome, Duration.ZERO);
             }
-            end(how == Outcome.RESET && !leftByCaller);
-            engine.attemptOver(attempt.path.server);
+            releaseResources(outcome == Outcome.RESET && !endedByClient);
+            engine.attemptEnded(attempt.path.server);
         });
-        listener.onClose(last, trailers);
+        listener.onClose(finalStatus, trailers);
     }
 }
--- a/grpc/src/main/java/pathlane/grpc/ServerPath.java
+++ b/grpc/src/main/java/pathlane/grpc/ServerPath.java
@@ -6,7 +6,8 @@
 import java.util.Set;
 
 /**
- * One channel's way to one server. The picker reads the state from any thread; all else happens in the plug-in's turn.
+ * One channel's path to one server. The picker reads the state from any thread; everything else happens in the engine's
+ * synchronization context.
  */
 final class ServerPath {
 
@@ -16,7 +17,7 @@
     private final Set<Attempt<?, ?>> waiting = new LinkedHashSet<>();
     private volatile ConnectivityState state = ConnectivityState.IDLE;
 
-    /** {@code connect} asks the subchannel for a connection, in the turn that it wants. */
+    /** {@code connect} requests a connection from the subchannel, in the channel's synchronization context. */
     ServerPath(long server, Subchannel subchannel, Runnable connect) {
         this.server = server;
         this.subchannel = subchannel;
@@ -27,41 +28,41 @@
         return state == ConnectivityState.READY;
     }
 
-    /** Whether a connection may still come up by itself. */
-    boolean mayComeUp() {
+    /** Returns whether a connection may still be established without a further request. */
+    boolean mayConnect() {
         return state != ConnectivityState.TRANSIENT_FAILURE && state != ConnectivityState.SHUTDOWN;
     }
 
-    /** From any thread: what the picker sees changes before anybody is told of it. */
-    void state(ConnectivityState now) {
-        state = now;
+    /** Thread-safe: sets the state that the picker sees, before waiting attempts are processed. */
+    void setState(ConnectivityState newState) {
+        state = newState;
     }
 
-    /** The state has changed: attempts that waited for a connection leave, or learn that there is none. */
-    void settle() {
+    /** Sends the waiting attempts if the connection is ready, or ends them if it has failed. */
+    void processStateChange() {
         if (isReady()) {
             waiting.removeIf(attempt -> {
-                attempt.leave();
+                attempt.send();
                 return true;
             });
-        } else if (!mayComeUp()) {
-            endWaiting();
+        } else if (!mayConnect()) {
+            failWaiting();
         }
     }
 
-    /** Nothing new goes there: what has not left yet comes back. */
-    void endWaiting() {
+    /** Ends all attempts that wait for the connection as not sent. */
+    void failWaiting() {
         Set<Attempt<?, ?>> ended = Set.copyOf(waiting);
         waiting.clear();
-        ended.forEach(Attempt::neverLeft);
+        ended.forEach(Attempt::endUnsent);
     }
 
-    void await(Attempt<?, ?> attempt) {
+    void addWaiting(Attempt<?, ?> attempt) {
         waiting.add(attempt);
         connect.run();
     }
 
-    void awaitsNoMore(Attempt<?, ?> attempt) {
+    void removeWaiting(Attempt<?, ?> attempt) {
         waiting.remove(attempt);
     }
 }
--- a/grpc/src/main/java/pathlane/grpc/SocketDialer.java
+++ b/grpc/src/main/java/pathlane/grpc/SocketConnector.java
@@ -18,19 +18,19 @@
 import pathlane.transport.Protocol;
 
 /**
- * Sockets for the one connection to the event bus, with a thread that reads it: a driver without decisions, so that
- * the plug-in needs no transport library beside gRPC's. What is read is handed on in the given turn.
+ * Connects to the event bus over a plain socket with a reader thread, so that the plug-in needs no transport library
+ * besides gRPC's. Callbacks run on the given executor.
  */
-final class SocketDialer implements Connector {
+final class SocketConnector implements Connector {
 
-    private static final int READ = 8 * 1024;
+    private static final int READ_BUFFER_BYTES = 8 * 1024;
 
-    private final Executor turn;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Executor callbackExecutor;
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
 
-    SocketDialer(Executor turn) {
-        this.turn = turn;
+    SocketConnector(Executor callbackExecutor) {
+        this.callbackExecutor = callbackExecutor;
     }
 
     @Override
@@ -41,67 +41,67 @@
     }
 
     private void run(InetSocketAddress address, Duration timeout, Protocol protocol) {
-        CloseReason end = CloseReason.NOT_ATTEMPTED;
+        CloseReason reason = CloseReason.NOT_ATTEMPTED;
         Socket socket = new Socket();
-        Line line = new Line(socket, address);
-        open.add(socket);
+        SocketConnection connection = new SocketConnection(socket, address);
+        openSockets.add(socket);
         try (socket) {
             if (closed) {
                 return;
             }
             socket.setTcpNoDelay(true);
             socket.connect(address, (int) Math.max(1, timeout.toMillis()));
-            end = CloseReason.RESET;
-            turn.execute(() -> protocol.opened(line));
+            reason = CloseReason.RESET;
+            callbackExecutor.execute(() -> protocol.opened(connection));
             InputStream in = socket.getInputStream();
-            byte[] buffer = new byte[READ];
+            byte[] buffer = new byte[READ_BUFFER_BYTES];
             for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
                 ByteBuffer bytes = ByteBuffer.wrap(Arrays.copyOf(buffer, read));
-                turn.execute(() -> {
-                    if (line.why == null) {
+                callbackExecutor.execute(() -> {
+                    if (connection.closeReason == null) {
                         protocol.received(bytes);
                     }
                 });
             }
-            end = CloseReason.CLOSED_BY_PEER;
+            reason = CloseReason.CLOSED_BY_PEER;
         } catch (SocketTimeoutException e) {
-            end = CloseReason.CONNECT_TIMED_OUT;
+            reason = CloseReason.CONNECT_TIMED_OUT;
         } catch (ConnectException e) {
-            end = CloseReason.REFUSED;
+            reason = CloseReason.REFUSED;
         } catch (IOException e) {
-            // it broke, or could not be tried: as noted so far
+            // the reason set so far applies: NOT_ATTEMPTED before the connection was open, RESET after that
         } finally {
-            open.remove(socket);
-            CloseReason last = end;
-            turn.execute(() -> {
+            openSockets.remove(socket);
+            CloseReason finalReason = reason;
+            callbackExecutor.execute(() -> {
                 if (!closed) {
-                    protocol.closed(line.why != null ? line.why : last);
+                    protocol.closed(connection.closeReason != null ? connection.closeReason : finalReason);
                 }
             });
         }
     }
 
-    /** Closes everything; nothing is heard of it any more. */
+    /** Closes all sockets; no callback follows. */
     void close() {
         closed = true;
-        open.forEach(SocketDialer::closeQuietly);
+        openSockets.forEach(SocketConnector::closeQuietly);
     }
 
     private static void closeQuietly(Socket socket) {
         try {
             socket.close();
         } catch (IOException e) {
-            // it is of no use any more either way
+            // the socket is discarded in any case
         }
     }
 
-    private static final class Line implements Connection {
+    private static final class SocketConnection implements Connection {
 
         private final Socket socket;
         private final InetSocketAddress address;
-        private volatile CloseReason why;
+        private volatile CloseReason closeReason;
 
-        Line(Socket socket, InetSocketAddress address) {
+        SocketConnection(Socket socket, InetSocketAddress address) {
             this.socket = socket;
             this.address = address;
         }
@@ -116,8 +116,8 @@
         }
 
         @Override
-        public void close(CloseReason end) {
-            why = why == null ? end : why;
+        public void close(CloseReason reason) {
+            closeReason = closeReason == null ? reason : closeReason;
             closeQuietly(socket);
         }
 
--- a/grpc/src/main/java/pathlane/grpc/Endings.java
+++ b/grpc/src/main/java/pathlane/grpc/StreamOutcomes.java
@@ -6,26 +6,26 @@
 import java.util.Optional;
 import pathlane.decision.Outcome;
 
-/** What every gRPC status, and every way in which a stream ends, means to the module: the one place that says so. */
-final class Endings {
+/** Maps gRPC statuses and the ways in which a stream ends to outcomes. No other class makes this mapping. */
+final class StreamOutcomes {
 
-    /** Set by a server that turns a call away; the gRPC retry design (gRFC A6) gives it. */
+    /** The retry delay set by a server that rejects a call, as defined by the gRPC retry design (gRFC A6). */
     static final Metadata.Key<String> PUSHBACK =
             Metadata.Key.of("grpc-retry-pushback-ms", Metadata.ASCII_STRING_MARSHALLER);
 
     /**
      * How a stream ended.
      *
-     * @param fromServer whether the status came in the server's trailers; else this side made it up
-     * @param neverRan whether no server has begun on it: it was not sent, refused (REFUSED_STREAM), or beyond the last
-     *                 stream that a GOAWAY names
-     * @param pushback the server's {@code grpc-retry-pushback-ms}, as it stands in the trailers
+     * @param fromServer whether the status came in the server's trailers; otherwise it was generated locally
+     * @param neverRan whether no server has processed it: it was not sent, was refused (REFUSED_STREAM), or came after the
+     *                 last stream that a GOAWAY names
+     * @param pushback the unparsed value of {@code grpc-retry-pushback-ms} in the trailers
      */
     record StreamEnd(Status.Code code, boolean fromServer, boolean neverRan, Optional<String> pushback) {}
 
-    private Endings() {}
+    private StreamOutcomes() {}
 
-    /** The end of an attempt before its call stood. COMPLETED: the status is the server's answer, and goes on. */
+    /** Maps the end of an attempt that was not established. COMPLETED means that the status is the server's final answer. */
     static Outcome ofAttempt(StreamEnd end) {
         if (end.neverRan()) {
             return Outcome.UNREACHABLE;
@@ -42,24 +42,24 @@
             case RESOURCE_EXHAUSTED -> end.fromServer() ? Outcome.REJECTED : Outcome.ERROR;
             case UNAVAILABLE -> end.fromServer() ? Outcome.REJECTED : Outcome.RESET;
             case DEADLINE_EXCEEDED -> Outcome.TIMED_OUT;
-            case CANCELLED -> Outcome.RESET;   // what this side cancels is not asked here
+            case CANCELLED -> Outcome.RESET;   // cancellation by the client itself is handled elsewhere
         };
     }
 
-    /** The end of a call that stood: COMPLETED, or RESET for one that was cut; its own deadline cuts no call. */
-    static Outcome ofStanding(StreamEnd end) {
-        boolean cut = end.code() == Status.Code.UNAVAILABLE || !end.fromServer() && end.code() != Status.Code.OK
+    /** Maps the end of an established call: RESET if it was lost, else COMPLETED, also when its own deadline expired. */
+    static Outcome ofEstablished(StreamEnd end) {
+        boolean reset = end.code() == Status.Code.UNAVAILABLE || !end.fromServer() && end.code() != Status.Code.OK
                 && end.code() != Status.Code.DEADLINE_EXCEEDED;
-        return cut ? Outcome.RESET : Outcome.COMPLETED;
+        return reset ? Outcome.RESET : Outcome.COMPLETED;
     }
 
-    /** The wait that a server states; nought where it states none. */
-    static Duration statedWait(StreamEnd end) {
+    /** Returns the retry delay that the server states, or zero if it states none. */
+    static Duration statedRetryDelay(StreamEnd end) {
         return end.pushback().isEmpty() || forbidsRetry(end) ? Duration.ZERO
                 : Duration.ofMillis(Integer.parseInt(end.pushback().get()));
     }
 
-    /** gRFC A6: a pushback that is negative, or no number, asks for no further try. */
+    /** gRFC A6: a pushback that is negative or not a number forbids a retry. */
     private static boolean forbidsRetry(StreamEnd end) {
         try {
             return end.pushback().isPresent() && Integer.parseInt(end.pushback().get()) < 0;
--- a/grpc/src/main/java/pathlane/grpc/package-info.java
+++ b/grpc/src/main/java/pathlane/grpc/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The controller's decisions inside gRPC channels: a load balancer and an interceptor around {@code core}. Owns the
- * life of a gRPC call and its attempts; decides nothing itself, and opens no connection but through gRPC.
+ * The call controller inside gRPC channels: a load balancer and an interceptor around {@code core}. The package manages
+ * the life of gRPC calls and their attempts, makes no routing decisions, and connects to servers through gRPC only.
  */
 package pathlane.grpc;
--- a/grpc/src/test/java/pathlane/grpc/BusResolverTest.java
+++ b/grpc/src/test/java/pathlane/grpc/BusResolverTest.java
@@ -24,22 +24,22 @@
 /** Servers from the event bus, over a socket on loopback. */
 class BusResolverTest {
 
-    /** A bus that tells what the test says, to each connection from the event that it asks for. */
-    private static final class Bus implements AutoCloseable {
+    /** An event bus that sends the test's events, and records the event number that each connection requests. */
+    private static final class FakeEventBus implements AutoCloseable {
         private final ServerSocket listening = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         private final BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
-        private final BlockingQueue<Long> asked = new LinkedBlockingQueue<>();
+        private final BlockingQueue<Long> requestedEvents = new LinkedBlockingQueue<>();
 
-        Bus() throws IOException {
+        FakeEventBus() throws IOException {
             Thread thread = new Thread(() -> {
                 try {
                     while (true) {
                         Socket socket = listening.accept();
-                        asked.add(new DataInputStream(socket.getInputStream()).readLong());
+                        requestedEvents.add(new DataInputStream(socket.getInputStream()).readLong());
                         connections.add(socket);
                     }
                 } catch (IOException e) {
-                    // closed: the test is over
+                    // closed at the end of the test
                 }
             });
             thread.setDaemon(true);
@@ -48,11 +48,11 @@
 
         Socket connection() throws InterruptedException {
             Socket socket = connections.poll(20, TimeUnit.SECONDS);
-            assertTrue(socket != null, "nobody follows the bus");
+            assertTrue(socket != null, "no connection to the event bus");
             return socket;
         }
 
-        static void tell(Socket to, long number, int kind, byte[]... records) throws IOException {
+        static void send(Socket to, long number, int kind, byte[]... records) throws IOException {
             DataOutputStream out = new DataOutputStream(to.getOutputStream());
             out.writeInt(9 + 27 * records.length);
             out.writeLong(number);
@@ -80,55 +80,56 @@
     }
 
     @Test
-    void drainsAndMovesOfTheBusAreFollowedAndItsEventsAskedForFromTheLast() throws Exception {
-        try (Bus bus = new Bus(); RawServer first = new RawServer(); RawServer second = new RawServer();
+    void busEventsAreFollowedAndResumedFromLast() throws Exception {
+        try (FakeEventBus bus = new FakeEventBus(); ScriptedHttp2Server first = new ScriptedHttp2Server();
+                ScriptedHttp2Server second = new ScriptedHttp2Server();
                 Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
             ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget("pathlane-bus:///127.0.0.1:"
                     + bus.listening.getLocalPort()).usePlaintext()).build();
             try {
                 channel.getState(true);
                 Socket socket = bus.connection();
-                assertEquals(0L, bus.asked.poll());
-                int one = Integer.parseInt(first.target().substring("127.0.0.1:".length()));
-                int two = Integer.parseInt(second.target().substring("127.0.0.1:".length()));
-                Bus.tell(socket, 1, 1, Bus.record(1, one, 0));
+                assertEquals(0L, bus.requestedEvents.poll());
+                int firstPort = Integer.parseInt(first.target().substring("127.0.0.1:".length()));
+                int secondPort = Integer.parseInt(second.target().substring("127.0.0.1:".length()));
+                FakeEventBus.send(socket, 1, 1, FakeEventBus.record(1, firstPort, 0));
                 call(channel);
                 assertEquals(1, first.arrivals.size());
-                Bus.tell(socket, 2, 2, Bus.record(1, one, 1), Bus.record(2, two, 0));
+                FakeEventBus.send(socket, 2, 2, FakeEventBus.record(1, firstPort, 1), FakeEventBus.record(2, secondPort, 0));
                 awaitList(pathlane, 2);
                 for (int i = 0; i < 5; i++) {
                     call(channel);
                 }
-                assertEquals(1, first.arrivals.size(), "sent to a server that drains");
+                assertEquals(1, first.arrivals.size(), "sent to a draining server");
                 assertEquals(5, second.arrivals.size());
                 socket.close();
                 bus.connection();
-                assertEquals(2L, bus.asked.poll(20, TimeUnit.SECONDS));
+                assertEquals(2L, bus.requestedEvents.poll(20, TimeUnit.SECONDS));
             } finally {
                 channel.shutdownNow();
             }
         }
     }
 
-    /** Until the controller has been told of so many servers; bounded by the test's own patience. */
+    /** Waits until the controller's list has the given number of servers, with a limit on the time. */
     private static void awaitList(Pathlane pathlane, int servers) throws Exception {
-        Scheduler time = pathlane.engine().time();
+        Scheduler time = pathlane.engine().scheduler();
         for (int i = 0; i < 2000; i++) {
             java.util.concurrent.CompletableFuture<Integer> kept = new java.util.concurrent.CompletableFuture<>();
-            time.after(java.time.Duration.ofMillis(10), () -> kept.complete(pathlane.engine().listedServers()));
+            time.after(java.time.Duration.ofMillis(10), () -> kept.complete(pathlane.engine().listedServerCount()));
             if (kept.get(20, TimeUnit.SECONDS) >= servers) {
                 return;
             }
         }
-        throw new AssertionError("the list was never told");
+        throw new AssertionError("the controller's list was not updated");
     }
 
     @Test
-    void aTargetThatNamesNoBusIsRefusedWithOneSentence() {
+    void targetWithoutBusAddressIsRejected() {
         Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build();
-        IllegalArgumentException said = assertThrows(IllegalArgumentException.class, () -> pathlane.attach(
+        IllegalArgumentException error = assertThrows(IllegalArgumentException.class, () -> pathlane.attach(
                 NettyChannelBuilder.forTarget("pathlane-bus:///nowhere").usePlaintext()).build());
-        assertTrue(said.getMessage().contains("names no event bus"), said.getMessage());
+        assertTrue(error.getMessage().contains("names no event bus"), error.getMessage());
         pathlane.close();
     }
 }
--- a/grpc/src/test/java/pathlane/grpc/ChannelTest.java
+++ b/grpc/src/test/java/pathlane/grpc/ChannelTest.java
@@ -19,7 +19,7 @@
 import pathlane.standin.GrpcFront;
 import pathlane.standin.Processor;
 
-/** Channels around the plug-in: lists of servers, configuration, sharing, gRPC's own retries, ends. */
+/** Channels with the plug-in: server lists, configuration, sharing, gRPC's own retries and shutdown. */
 class ChannelTest {
 
     @SuppressWarnings("unchecked")
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aServerThatGoesSilentCostsItsCallsTheirTimeAndNoOther() {
+    void silentServerDelaysOnlyItsOwnCalls() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             List<Response> streams = new ArrayList<>();
@@ -46,14 +46,14 @@
             harness.time.pass(20_000);
             assertTrue(streams.stream().allMatch(response -> response.closes == 1 && response.messages.size() == 1));
             assertTrue(calls.stream().allMatch(response -> response.closes == 1));
-            long stood = calls.stream().filter(response -> response.status.isOk()).count();
-            assertTrue(stood >= 55, "stood: " + stood);
+            long answered = calls.stream().filter(response -> response.status.isOk()).count();
+            assertTrue(answered >= 55, "answered: " + answered);
             assertEquals(List.of(), harness.rules.broken());
         }
     }
 
     @Test
-    void anEmptyListIsObeyedAndWhenAllServersComeBackColdNoneIsPushedOver() {
+    void emptyListStopsCallsAndColdServersAreNotOverloaded() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             List<Response> calls = new ArrayList<>();
@@ -68,7 +68,8 @@
                 calls.add(harness.check(channel, "e" + i));
                 harness.time.pass(40);
             }
-            assertEquals(before, harness.processors.values().stream().mapToLong(Processor::setUps).sum(), "sent nowhere");
+            assertEquals(before, harness.processors.values().stream().mapToLong(Processor::setUps).sum(),
+                    "sent to an unlisted server");
             harness.add("c").startCold();
             harness.add("d").startCold();
             harness.list("c", "d");
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void aStreamOutlivesItsServersNameAndNothingNewGoesThere() {
+    void streamContinuesAfterServerIsUnlisted() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
             Response response = harness.sign(channel, "one");
@@ -112,25 +113,25 @@
     }
 
     @Test
-    void whereTheFirstListIsEmptyCallsFailAtOnceAndThoseThatWaitForItStand() {
+    void emptyFirstListFailsCallsUnlessTheyWaitForReady() {
         try (PluginHarness harness = new PluginHarness()) {
             ManagedChannel channel = harness.channel();
-            Response now = harness.check(channel, "now");
-            assertEquals(Status.Code.UNAVAILABLE, now.code());
-            Response waits = harness.call(channel, GrpcFront.CHECK, CallOptions.DEFAULT.withWaitForReady(), "waits");
-            assertEquals(0, waits.closes);
+            Response immediate = harness.check(channel, "now");
+            assertEquals(Status.Code.UNAVAILABLE, immediate.code());
+            Response waiting = harness.call(channel, GrpcFront.CHECK, CallOptions.DEFAULT.withWaitForReady(), "waits");
+            assertEquals(0, waiting.closes);
             harness.add("a");
             harness.list("a");
             harness.time.pass(100);
-            assertEquals(Status.Code.OK, waits.code());
+            assertEquals(Status.Code.OK, waiting.code());
         }
     }
 
     @Test
-    void settingsComeByTheServiceConfigToo() {
-        Map<String, Object> own = new HashMap<>(json(PluginHarness.SETTINGS));
-        own.put("plug-in", json("{\"classes\": {\"signing.Sessions\": \"deadline-sign\"}}"));
-        Map<String, ?> service = Map.of("loadBalancingConfig", List.of(Map.of("pathlane", own)));
+    void settingsAreReadFromServiceConfig() {
+        Map<String, Object> config = new HashMap<>(json(PluginHarness.SETTINGS));
+        config.put("plug-in", json("{\"classes\": {\"signing.Sessions\": \"deadline-sign\"}}"));
+        Map<String, ?> service = Map.of("loadBalancingConfig", List.of(Map.of("pathlane", config)));
         try (PluginHarness harness = new PluginHarness(Pathlane.builder(), "a")) {
             ManagedChannel channel = harness.keep(harness.pathlane.attach(harness.builder("pool"), service).build());
             Response response = harness.check(channel, "one");
@@ -141,7 +142,7 @@
     }
 
     @Test
-    void aChannelWithoutSettingsSaysSo() {
+    void channelWithoutSettingsFailsCalls() {
         try (PluginHarness harness = new PluginHarness(Pathlane.builder(), "a")) {
             Response response = harness.check(harness.channel(), "one");
             assertEquals(Status.Code.INTERNAL, response.code());
@@ -150,11 +151,11 @@
     }
 
     @Test
-    void aBadConfigIsRefusedWithOneSentence() {
+    void invalidConfigIsRejectedWithClearMessage() {
         PathlaneLoadBalancerProvider provider = new PathlaneLoadBalancerProvider();
         Status error = provider.parseLoadBalancingPolicyConfig(json(
                 PluginHarness.SETTINGS.replace("\"cold-ms\": 13000,", ""))).getError();
-        assertEquals("the config of the policy 'pathlane' can't be used: setting can't be used: cold-ms",
+        assertEquals("invalid config for the policy 'pathlane': setting can't be used: cold-ms",
                 error.getDescription());
         assertThrows(IllegalArgumentException.class, () -> Pathlane.builder().configuration("no json"));
         assertThrows(IllegalArgumentException.class,
@@ -163,7 +164,7 @@
     }
 
     @Test
-    void thePolicyWithoutItsPluginSaysSo() {
+    void policyWithoutPluginFailsCalls() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel bare = harness.keep(harness.builder("pool").defaultLoadBalancingPolicy("pathlane").build());
             Response response = harness.check(bare, "one");
@@ -173,7 +174,7 @@
     }
 
     @Test
-    void hedgingIsRefusedWhereTheChannelIsBuilt() {
+    void hedgingPolicyIsRejectedWhenAttaching() {
         Map<String, ?> hedging = json("""
                 {"methodConfig": [{"name": [{"service": "signing.Sessions"}], "hedgingPolicy":
                  {"maxAttempts": 3, "hedgingDelay": "0.05s", "nonFatalStatusCodes": ["UNAVAILABLE"]}}]}""");
@@ -183,7 +184,7 @@
         }
     }
 
-    /** Asks for a hedged stream of each call, as gRPC does where a service config makes it. */
+    /** Creates a hedged stream for each call, as gRPC does if a service config has a hedgingPolicy. */
     private static final class Hedger implements io.grpc.ClientInterceptor {
         @Override
         public <Q, R> io.grpc.ClientCall<Q, R> interceptCall(io.grpc.MethodDescriptor<Q, R> method, CallOptions options,
@@ -201,12 +202,12 @@
     }
 
     @Test
-    void aChannelThatHedgesAllTheSameIsToldSoAndNoSecondStreamLeaves() {
+    void hedgedStreamIsDroppedAndLaterCallsFail() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
-            ManagedChannel insists = harness.keep(harness.pathlane.attach(harness.builder("pool").intercept(new Hedger()))
+            ManagedChannel hedging = harness.keep(harness.pathlane.attach(harness.builder("pool").intercept(new Hedger()))
                     .build());
-            Response first = harness.check(insists, "one");
-            Response second = harness.check(insists, "two");
+            Response first = harness.check(hedging, "one");
+            Response second = harness.check(hedging, "two");
             assertEquals(Status.Code.FAILED_PRECONDITION, second.code());
             assertTrue(second.status.getDescription().contains("hedgingPolicy"), second.status.toString());
             harness.time.pass(1000);
@@ -217,7 +218,7 @@
     }
 
     @Test
-    void aRetryPolicyMakesNoAttemptOfItsOwn() {
+    void retryPolicyMakesNoAttempt() {
         Map<String, ?> retrying = json("""
                 {"methodConfig": [{"name": [{"service": "signing.Sessions"}], "retryPolicy":
                  {"maxAttempts": 5, "initialBackoff": "0.01s", "maxBackoff": "0.01s", "backoffMultiplier": 1,
@@ -233,32 +234,32 @@
     }
 
     @Test
-    void channelsOfOneTargetShareAControllerAndAnotherTargetIsRefused() {
+    void channelsShareControllerAndOtherTargetIsRejected() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
-            ManagedChannel one = harness.channel();
-            ManagedChannel two = harness.channel();
-            Response first = harness.check(one, "one");
-            Response second = harness.check(two, "two");
+            ManagedChannel firstChannel = harness.channel();
+            ManagedChannel secondChannel = harness.channel();
+            Response first = harness.check(firstChannel, "one");
+            Response second = harness.check(secondChannel, "two");
             harness.time.pass(200);
             assertEquals(Status.Code.OK, first.code());
             assertEquals(Status.Code.OK, second.code());
             assertEquals(2, harness.pathlane.counters().value(Name.ESTABLISHED));
-            ManagedChannel other = harness.keep(harness.pathlane.attach(harness.builder("elsewhere")).build());
-            Response refused = harness.check(other, "three");
-            assertEquals(Status.Code.INTERNAL, refused.code());
-            assertTrue(refused.status.getDescription().contains("build another"), refused.status.toString());
-            one.shutdownNow();
-            Response third = harness.check(two, "four");
+            ManagedChannel otherTarget = harness.keep(harness.pathlane.attach(harness.builder("elsewhere")).build());
+            Response rejected = harness.check(otherTarget, "three");
+            assertEquals(Status.Code.INTERNAL, rejected.code());
+            assertTrue(rejected.status.getDescription().contains("build another"), rejected.status.toString());
+            firstChannel.shutdownNow();
+            Response third = harness.check(secondChannel, "four");
             harness.time.pass(200);
             assertEquals(Status.Code.OK, third.code());
         }
     }
 
     @Test
-    void aChannelThatIsShutDownTakesNothingNewAndEndsWhatIsOpen() {
+    void shutDownChannelRejectsNewCallsAndCompletesOpenOnes() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
-            Response stands = harness.sign(channel, "stands");
+            Response established = harness.sign(channel, "established");
             harness.time.pass(100);
             Response open = harness.check(channel, "open");
             channel.shutdown();
@@ -266,30 +267,30 @@
             assertEquals(Status.Code.UNAVAILABLE, late.code());
             harness.time.pass(9000);
             assertEquals(Status.Code.OK, open.code());
-            assertEquals(Status.Code.OK, stands.code());
+            assertEquals(Status.Code.OK, established.code());
             assertEquals(0, harness.rules.attempts("late"));
             assertTrue(channel.isTerminated());
         }
     }
 
     @Test
-    void aPluginThatIsClosedAnswersWhatIsOpenAndLetsStreamsGoOn() {
+    void closedPluginEndsOpenCallsAndKeepsStreams() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
-            Response stands = harness.sign(channel, "stands");
+            Response established = harness.sign(channel, "established");
             harness.time.pass(100);
             Response open = harness.check(channel, "open");
             harness.pathlane.close();
             assertEquals(Status.Code.UNAVAILABLE, open.code());
             assertEquals(Status.Code.UNAVAILABLE, harness.check(channel, "late").code());
             harness.time.pass(9000);
-            assertEquals(Status.Code.OK, stands.code());
+            assertEquals(Status.Code.OK, established.code());
             assertEquals(1, open.closes);
         }
     }
 
     @Test
-    void aContextThatIsCancelledGivesItsCallUp() {
+    void cancelledContextCancelsCall() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
             harness.processors.get("a").silent();
@@ -305,7 +306,7 @@
     }
 
     @Test
-    void anIdleChannelForgetsNoServerAndServesAgain() {
+    void idleChannelServesCallsAgain() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             harness.check(channel, "one");
@@ -319,7 +320,7 @@
     }
 
     @Test
-    void theProvidersAreFoundByTheirNames() {
+    void providersAreRegistered() {
         assertTrue(io.grpc.LoadBalancerRegistry.getDefaultRegistry()
                 .getProvider("pathlane") instanceof PathlaneLoadBalancerProvider);
         assertTrue(io.grpc.NameResolverRegistry.getDefaultRegistry()
--- a/grpc/src/test/java/pathlane/grpc/FixedResolver.java
+++ b/grpc/src/test/java/pathlane/grpc/FixedResolver.java
@@ -7,7 +7,7 @@
 import java.net.URI;
 import java.util.List;
 
-/** A resolver of addresses that stay as they are, for targets of a scheme of its own. */
+/** A resolver with a fixed list of addresses for targets of the given scheme. */
 final class FixedResolver extends NameResolverProvider {
 
     private final String scheme;
--- a/grpc/src/test/java/pathlane/grpc/PluginHarness.java
+++ b/grpc/src/test/java/pathlane/grpc/PluginHarness.java
@@ -35,7 +35,7 @@
 import pathlane.standin.RuleBook;
 import pathlane.standin.VirtualTime;
 
-/** Stand-in servers, a resolver and a plug-in's channels in one thread and in virtual time. */
+/** Runs stand-in servers, a resolver and a plug-in's channels on one thread and in virtual time. */
 final class PluginHarness implements AutoCloseable {
 
     static final String SETTINGS = """
@@ -48,16 +48,16 @@
              "rules": {"cold-from": 0.28, "cold-ms": 13000, "fall-multiple": 3, "fall-ms": 1500},
              "specifics": {"clear-wait-ms": 200, "t1-ms": 500}}
             """;
-    private static final AtomicInteger HARNESSES = new AtomicInteger();
+    private static final AtomicInteger HARNESS_COUNT = new AtomicInteger();
 
-    /** One answer, as the application hears it. */
+    /** Records what the application receives for one call. */
     final class Response extends ClientCall.Listener<byte[]> {
         ClientCall<byte[], byte[]> call;
         final List<String> messages = new ArrayList<>();
         Status status;
         Metadata trailers;
         int closes;
-        double closedAt;
+        double closedAtMs;
         double firstAt = Double.NaN;
         Runnable onClose = () -> {};
 
@@ -68,11 +68,11 @@
         }
 
         @Override
-        public void onClose(Status how, Metadata with) {
+        public void onClose(Status closeStatus, Metadata closeTrailers) {
             closes++;
-            status = how;
-            trailers = with;
-            closedAt = time.nowMs();
+            status = closeStatus;
+            trailers = closeTrailers;
+            closedAtMs = time.nowMs();
             onClose.run();
         }
 
@@ -85,14 +85,14 @@
     final RuleBook rules = new RuleBook(200);
     final Map<String, Processor> processors = new LinkedHashMap<>();
     final Map<String, GrpcFront> fronts = new LinkedHashMap<>();
-    /** What the list says of a server beside its address, as the bus would tell it. */
-    final Map<String, ServerEndpoint> lines = new LinkedHashMap<>();
+    /** Endpoints that the resolver attaches to a server's address, as the event bus resolver does. */
+    final Map<String, ServerEndpoint> endpoints = new LinkedHashMap<>();
     final List<Server> servers = new ArrayList<>();
     final List<ManagedChannel> channels = new ArrayList<>();
     final Pathlane pathlane;
-    private final String scheme = "field" + HARNESSES.incrementAndGet();
+    private final String scheme = "field" + HARNESS_COUNT.incrementAndGet();
     private final Map<NameResolver.Listener2, SynchronizationContext> listeners = new LinkedHashMap<>();
-    private List<String> listed = List.of();
+    private List<String> listedServers = List.of();
     private Map<String, ?> resolvedConfig;
     private final NameResolverProvider provider = new Provider();
 
@@ -102,14 +102,14 @@
 
     PluginHarness(Pathlane.Builder builder, String... names) {
         NameResolverRegistry.getDefaultRegistry().register(provider);
-        pathlane = builder.seed(7).time(turn -> time).build();
+        pathlane = builder.seed(7).time(context -> time).build();
         for (String name : names) {
             add(name);
         }
-        listed = List.of(names);
+        listedServers = List.of(names);
     }
 
-    /** A stand-in server of 30 calls a second. */
+    /** Adds a stand-in server with a capacity of 30 calls per second. */
     Processor add(String name) {
         return add(name, 30);
     }
@@ -129,16 +129,17 @@
         return processor;
     }
 
-    /** The resolver names these servers from now on. */
+    /** Sets the servers that the resolver lists. */
     void list(String... names) {
-        listed = List.of(names);
-        Map.copyOf(listeners).forEach((listener, turn) -> turn.execute(() -> tell(listener)));
+        listedServers = List.of(names);
+        Map.copyOf(listeners).forEach((listener, context) -> context.execute(() -> notifyListener(listener)));
     }
 
-    private void tell(NameResolver.Listener2 listener) {
+    private void notifyListener(NameResolver.Listener2 listener) {
         List<EquivalentAddressGroup> groups = new ArrayList<>();
-        listed.forEach(name -> groups.add(new EquivalentAddressGroup(new InProcessSocketAddress(scheme + name),
-                lines.containsKey(name) ? Attributes.newBuilder().set(BusNameResolver.LINE, lines.get(name)).build()
+        listedServers.forEach(name -> groups.add(new EquivalentAddressGroup(new InProcessSocketAddress(scheme + name),
+                endpoints.containsKey(name)
+                        ? Attributes.newBuilder().set(BusNameResolver.ENDPOINT, endpoints.get(name)).build()
                         : Attributes.EMPTY)));
         listener.onResult2(NameResolver.ResolutionResult.newBuilder().setAddressesOrError(StatusOr.fromValue(groups))
                 .setAttributes(Attributes.EMPTY).build());
@@ -157,7 +158,7 @@
         return channel;
     }
 
-    /** Calls with a key by which the rules are watched over all tries. */
+    /** Makes a call with a key by which the rule checks recognize all its tries. */
     Response call(ManagedChannel channel, MethodDescriptor<byte[], byte[]> method, CallOptions options, String key) {
         return call(channel, method, options, key, key);
     }
@@ -221,7 +222,7 @@
                 return null;
             }
             return new NameResolver() {
-                private Listener2 mine;
+                private Listener2 registered;
 
                 @Override
                 public String getServiceAuthority() {
@@ -230,14 +231,14 @@
 
                 @Override
                 public void start(Listener2 listener) {
-                    mine = listener;
+                    registered = listener;
                     listeners.put(listener, args.getSynchronizationContext());
-                    tell(listener);
+                    notifyListener(listener);
                 }
 
                 @Override
                 public void shutdown() {
-                    listeners.remove(mine);
+                    listeners.remove(registered);
                 }
             };
         }
--- a/grpc/src/test/java/pathlane/grpc/PluginTest.java
+++ b/grpc/src/test/java/pathlane/grpc/PluginTest.java
@@ -15,11 +15,11 @@
 import pathlane.grpc.PluginHarness.Response;
 import pathlane.standin.GrpcFront;
 
-/** The life of calls through the plug-in, in virtual time and without a socket. */
+/** Calls through the plug-in, in virtual time and without sockets. */
 class PluginTest {
 
     @Test
-    void aUnaryCallStandsAtItsResponseAndIsOver() {
+    void unaryCallIsEstablishedAndEndedByItsResponse() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             Response response = harness.check(harness.channel(), "one");
             assertEquals(0, response.closes);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aStreamStandsAtItsFirstWordAndEndsWithItsStatus() {
+    void streamIsEstablishedByFirstMessageAndEndsWithItsStatus() {
         try (PluginHarness harness = new PluginHarness("a")) {
             Response response = harness.sign(harness.channel(), "one");
             harness.time.pass(100);
@@ -48,24 +48,24 @@
     }
 
     @Test
-    void aStreamIsCutWhenItsServerStopsAndCancelledWhenItsCallerLeaves() {
+    void streamEndsWhenServerStopsOrClientCancels() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
-            Response cut = harness.sign(channel, "one");
-            Response left = harness.sign(channel, "two");
+            Response lost = harness.sign(channel, "one");
+            Response cancelled = harness.sign(channel, "two");
             harness.time.pass(200);
-            left.call.cancel("enough", null);
-            assertEquals(Status.Code.CANCELLED, left.code());
+            cancelled.call.cancel("enough", null);
+            assertEquals(Status.Code.CANCELLED, cancelled.code());
             assertEquals(1, harness.pathlane.counters().value(Name.RELEASED_BY_CLIENT));
             harness.processors.get("a").stop();
-            assertEquals(Status.Code.UNAVAILABLE, cut.code());
+            assertEquals(Status.Code.UNAVAILABLE, lost.code());
             assertEquals(1, harness.pathlane.counters().value(Name.CUT));
         }
     }
 
-    /** Talks: what is said before it stands is said again to the next server, what is said later to the one alone. */
+    /** Messages sent before the call is established are replayed to each server tried; later ones go to its server only. */
     @Test
-    void aCallThatGoesBothWaysStandsAtItsHeadersAndLosesNoWord() {
+    void bidirectionalCallIsEstablishedByHeadersAndLosesNoMessage() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             harness.processors.get("a").drain(java.time.Duration.ofHours(1));
@@ -78,9 +78,10 @@
                 call.request(10);
                 call.sendMessage(new byte[] {'1'});
                 call.sendMessage(new byte[] {'2'});
-                long stood = harness.pathlane.counters().value(Name.ESTABLISHED);
+                long establishedBefore = harness.pathlane.counters().value(Name.ESTABLISHED);
                 harness.time.pass(90);
-                assertEquals(stood + 1, harness.pathlane.counters().value(Name.ESTABLISHED), "stands at its headers");
+                assertEquals(establishedBefore + 1, harness.pathlane.counters().value(Name.ESTABLISHED),
+                        "established by its headers");
                 assertEquals(List.of(), response.messages);
                 call.sendMessage(new byte[] {'3'});
                 harness.time.pass(200);
@@ -90,13 +91,13 @@
                 assertEquals(Status.Code.OK, response.code());
                 harness.time.pass(500);
             }
-            assertTrue(harness.processors.get("a").rejects() > 0, "no call was turned away first");
+            assertTrue(harness.processors.get("a").rejects() > 0, "no call was rejected first");
             assertEquals(List.of(), harness.rules.broken());
         }
     }
 
     @Test
-    void aCallThatSaysTooMuchBeforeItStandsIsRefusedAndNotSentInPart() {
+    void callWithTooManyMessagesBeforeEstablishedIsRejected() {
         try (PluginHarness harness = new PluginHarness("a")) {
             harness.processors.get("a").drain(java.time.Duration.ofHours(1));
             Response response = harness.new Response();
@@ -113,7 +114,7 @@
     }
 
     @Test
-    void aServersOwnAnswerGoesOnUnchangedAndIsNotTriedElsewhere() {
+    void serverAnswerIsPassedUnchangedWithoutRetry() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             harness.fronts.values().forEach(front -> front.answerWith(Status.NOT_FOUND.withDescription("no such one")));
             Response response = harness.check(harness.channel(), "one");
@@ -125,65 +126,66 @@
     }
 
     @Test
-    void aServersErrorIsTriedElsewhere() {
+    void serverErrorIsRetriedAtAnotherServer() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             harness.fronts.get("a").answerWith(Status.INTERNAL);
-            List<Response> all = new ArrayList<>();
+            List<Response> responses = new ArrayList<>();
             ManagedChannel channel = harness.channel();
             for (int i = 0; i < 20; i++) {
-                all.add(harness.check(channel, "n" + i));
+                responses.add(harness.check(channel, "n" + i));
                 harness.time.pass(200);
             }
             harness.time.pass(3000);
-            assertTrue(all.stream().allMatch(response -> response.code() == Status.Code.OK));
+            assertTrue(responses.stream().allMatch(response -> response.code() == Status.Code.OK));
             assertTrue(harness.pathlane.counters().value(Name.ATTEMPTS_IN_ERROR) > 0);
             assertEquals(List.of(), harness.rules.broken());
         }
     }
 
     @Test
-    void whatIsTurnedAwayHearsSoAtOnceWithTheTimeToComeBack() throws Exception {
+    void rejectedCallGetsAnswerWithRetryAfter() throws Exception {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
-            List<Response> all = new ArrayList<>();
+            List<Response> responses = new ArrayList<>();
             for (int i = 0; i < 400; i++) {
-                all.add(harness.check(channel, "n" + i));
+                responses.add(harness.check(channel, "n" + i));
                 harness.time.pass(5);
             }
             harness.time.pass(9000);
-            assertTrue(all.stream().allMatch(response -> response.closes == 1));
-            Response refused = all.stream().filter(response -> response.code() == Status.Code.RESOURCE_EXHAUSTED).findFirst()
-                    .orElseThrow();
-            RetryInfo info = StatusProto.fromStatusAndTrailers(refused.status, refused.trailers).getDetails(0)
+            assertTrue(responses.stream().allMatch(response -> response.closes == 1));
+            Response rejected =
+                    responses.stream().filter(response -> response.code() == Status.Code.RESOURCE_EXHAUSTED).findFirst()
+                            .orElseThrow();
+            RetryInfo info = StatusProto.fromStatusAndTrailers(rejected.status, rejected.trailers).getDetails(0)
                     .unpack(RetryInfo.class);
-            long advised = info.getRetryDelay().getSeconds() * 1000 + info.getRetryDelay().getNanos() / 1_000_000;
-            assertTrue(advised > 0 && advised <= 2000, "advised " + advised);
-            assertEquals(Long.toString(advised), refused.trailers.get(Endings.PUSHBACK));
+            long retryAfterMs = info.getRetryDelay().getSeconds() * 1000 + info.getRetryDelay().getNanos() / 1_000_000;
+            assertTrue(retryAfterMs > 0 && retryAfterMs <= 2000, "retry-after " + retryAfterMs);
+            assertEquals(Long.toString(retryAfterMs), rejected.trailers.get(StreamOutcomes.PUSHBACK));
             assertEquals(harness.pathlane.counters().value(Name.REJECTED),
-                    all.stream().filter(response -> response.code() != Status.Code.OK).count());
+                    responses.stream().filter(response -> response.code() != Status.Code.OK).count());
             assertEquals(List.of(), harness.rules.broken());
         }
     }
 
     @Test
-    void aServerThatTurnsAwayIsLeftAloneAndItsCallsGoElsewhere() {
+    void rejectingServerIsAvoided() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             harness.processors.get("a").drain(java.time.Duration.ofHours(1));
             ManagedChannel channel = harness.channel();
-            List<Response> all = new ArrayList<>();
+            List<Response> responses = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
-                all.add(harness.check(channel, "n" + i));
+                responses.add(harness.check(channel, "n" + i));
                 harness.time.pass(100);
             }
             harness.time.pass(3000);
-            assertTrue(all.stream().allMatch(response -> response.code() == Status.Code.OK));
+            assertTrue(responses.stream().allMatch(response -> response.code() == Status.Code.OK));
             assertTrue(harness.processors.get("a").setUps() < 15, "sent there: " + harness.processors.get("a").setUps());
             assertEquals(List.of(), harness.rules.broken());
         }
     }
 
     @Test
-    void callsWithoutDeadlineHaveTheirClassesAndAnUnknownClassFailsAtOnce() {
+    void callWithoutDeadlineUsesThatOfItsClassAndUnknownClassFails() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
             harness.processors.get("a").silent();
@@ -193,11 +195,12 @@
                     CallOptions.DEFAULT.withOption(PathlaneOptions.CLASS, "no-such"), "unknown");
             assertEquals(Status.Code.INVALID_ARGUMENT, unknown.code());
             assertEquals(0, harness.rules.attempts("unknown"));
-            double from = harness.time.nowMs();
+            double startMs = harness.time.nowMs();
             harness.time.pass(20_000);
-            assertTrue(sign.closedAt - from <= 6000, "signed " + (sign.closedAt - from));
-            assertTrue(plain.closedAt - from <= 9000, "checked " + (plain.closedAt - from));
-            assertTrue(plain.closedAt - from > 6000, "a class of its own: " + (plain.closedAt - from));
+            assertTrue(sign.closedAtMs - startMs <= 6000, "signed " + (sign.closedAtMs - startMs));
+            assertTrue(plain.closedAtMs - startMs <= 9000, "checked " + (plain.closedAtMs - startMs));
+            assertTrue(plain.closedAtMs - startMs > 6000,
+                    "deadline of another class applied: " + (plain.closedAtMs - startMs));
             assertEquals(1, plain.closes);
             assertEquals(1, sign.closes);
             assertEquals(List.of(), harness.rules.broken());
@@ -205,7 +208,7 @@
     }
 
     @Test
-    void nothingIsKeptOfCallsThatAreOver() {
+    void noStateIsRetainedForFinishedCalls() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             for (int i = 0; i < 300; i++) {
@@ -216,7 +219,8 @@
             harness.time.pass(70_000);
             harness.check(channel, "last");
             harness.time.pass(1000);
-            assertTrue(harness.pathlane.engine().kept() < 10, "kept " + harness.pathlane.engine().kept());
+            assertTrue(harness.pathlane.engine().retainedEntries() < 10,
+                    "kept " + harness.pathlane.engine().retainedEntries());
             assertTrue(harness.time.pending() < 10, "timers " + harness.time.pending());
         }
     }
--- a/grpc/src/test/java/pathlane/grpc/RetryTest.java
+++ b/grpc/src/test/java/pathlane/grpc/RetryTest.java
@@ -12,41 +12,41 @@
 import pathlane.grpc.PluginHarness.Response;
 import pathlane.standin.GrpcFront;
 
-/** Applications whose own loops call again: every try counts under the first, and none leaves within the gap. */
+/** Applications that retry in their own loops: all tries count as one call, and each waits for the retry delay. */
 class RetryTest {
 
     private static final int TRIES = 6;
 
-    /** Tries until it stands, each given up after so long and followed at once by the next. */
-    private static List<Response> loop(PluginHarness harness, ManagedChannel channel, CallOptions options, String key,
-            boolean sameRequest, long eachMs) {
+    /** Calls until one succeeds; each try is cancelled after the given time and immediately followed by the next. */
+    private static List<Response> callInLoop(PluginHarness harness, ManagedChannel channel, CallOptions options, String key,
+            boolean sameRequest, long tryTimeoutMs) {
         List<Response> tries = new ArrayList<>();
-        tryOnce(harness, channel, options, key, sameRequest, eachMs, tries);
+        tryOnce(harness, channel, options, key, sameRequest, tryTimeoutMs, tries);
         return tries;
     }
 
     private static void tryOnce(PluginHarness harness, ManagedChannel channel, CallOptions options, String key,
-            boolean sameRequest, long eachMs, List<Response> tries) {
+            boolean sameRequest, long tryTimeoutMs, List<Response> tries) {
         String request = sameRequest ? key : key + ", try " + tries.size();
         Response response = harness.call(channel, GrpcFront.CHECK, options, key, request);
         tries.add(response);
         response.onClose = () -> {
             if (!response.status.isOk() && tries.size() < TRIES) {
-                tryOnce(harness, channel, options, key, sameRequest, eachMs, tries);
+                tryOnce(harness, channel, options, key, sameRequest, tryTimeoutMs, tries);
             }
         };
-        harness.time.after(java.time.Duration.ofMillis(eachMs), () -> {
+        harness.time.after(java.time.Duration.ofMillis(tryTimeoutMs), () -> {
             if (response.closes == 0) {
-                response.call.cancel("the application's own patience is over", null);
+                response.call.cancel("cancelled by the application's own time limit", null);
             }
         });
     }
 
-    private static void keepsTheGap(CallOptions options, boolean sameRequest) {
+    private static void assertRetryDelayKept(CallOptions options, boolean sameRequest) {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             harness.processors.values().forEach(processor -> processor.silent());
-            List<Response> tries = loop(harness, channel, options, "one", sameRequest, 300);
+            List<Response> tries = callInLoop(harness, channel, options, "one", sameRequest, 300);
             harness.time.pass(10_000);
             assertEquals(TRIES, tries.size());
             assertTrue(tries.stream().allMatch(response -> response.closes == 1));
@@ -57,22 +57,22 @@
     }
 
     @Test
-    void aLoopThatKnowsNothingOfThePluginIsKnownByWhatItAsks() {
-        keepsTheGap(CallOptions.DEFAULT, true);
+    void unmarkedRetriesAreRecognizedByRequest() {
+        assertRetryDelayKept(CallOptions.DEFAULT, true);
     }
 
     @Test
-    void aLoopThatMarksItsTriesIsKnownByItsMarkWhateverItAsks() {
-        keepsTheGap(CallOptions.DEFAULT.withOption(PathlaneOptions.MARK, CallMark.create()), false);
+    void markedRetriesAreRecognizedByMark() {
+        assertRetryDelayKept(CallOptions.DEFAULT.withOption(PathlaneOptions.MARK, CallMark.create()), false);
     }
 
     @Test
-    void whoAsksSomethingElseIsNobodysRetryAndWaitsForNothing() {
+    void differentRequestIsNoRetryAndNotDelayed() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
-            Response given = harness.check(channel, "one");
+            Response cancelled = harness.check(channel, "one");
             harness.time.pass(1);
-            given.call.cancel("enough", null);
+            cancelled.call.cancel("enough", null);
             Response other = harness.check(channel, "two");
             harness.time.pass(150);
             assertEquals(Status.Code.OK, other.code());
@@ -81,27 +81,27 @@
     }
 
     @Test
-    void aRetryThatCannotStandInTimeHearsSoAtOnceAndWhenToComeBack() {
-        String brief = PluginHarness.SETTINGS.replace("\"deadline-ms\": 9000", "\"deadline-ms\": 150");
+    void retryThatCannotMeetDeadlineIsRejectedWithRetryAfter() {
+        String shortDeadline = PluginHarness.SETTINGS.replace("\"deadline-ms\": 9000", "\"deadline-ms\": 150");
         try (PluginHarness harness =
-                new PluginHarness(Pathlane.builder().configuration(brief).defaultClass("status-check"), "a")) {
+                new PluginHarness(Pathlane.builder().configuration(shortDeadline).defaultClass("status-check"), "a")) {
             ManagedChannel channel = harness.channel();
-            Response given = harness.check(channel, "one");
+            Response cancelled = harness.check(channel, "one");
             harness.time.pass(1);
-            given.call.cancel("enough", null);
+            cancelled.call.cancel("enough", null);
             Response retry = harness.check(channel, "one");
             assertEquals(Status.Code.RESOURCE_EXHAUSTED, retry.code());
-            assertEquals("200", retry.trailers.get(Endings.PUSHBACK));
+            assertEquals("200", retry.trailers.get(StreamOutcomes.PUSHBACK));
             assertEquals(1, harness.rules.attempts("one"));
         }
     }
 
     @Test
-    void aCallThatStoodIsAskedAnewAfterwards() {
+    void callAfterSuccessIsNoRetry() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
-            Response given = harness.check(channel, "one");
-            given.call.cancel("enough", null);
+            Response cancelled = harness.check(channel, "one");
+            cancelled.call.cancel("enough", null);
             harness.check(channel, "one");
             harness.time.pass(1000);
             harness.check(channel, "one");
@@ -111,14 +111,14 @@
     }
 
     @Test
-    void aStreamThatWasCutWaitsForTheGapWhenItComesAgain() {
+    void retryOfLostStreamWaitsForRetryDelay() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             Response response = harness.sign(channel, "one");
             harness.time.pass(300);
             assertEquals(List.of("one"), response.messages);
-            String there = harness.processors.get("a").standing() == 1 ? "a" : "b";
-            harness.processors.get(there).stop();
+            String server = harness.processors.get("a").standing() == 1 ? "a" : "b";
+            harness.processors.get(server).stop();
             assertEquals(Status.Code.UNAVAILABLE, response.code());
             Response again = harness.sign(channel, "one");
             harness.time.pass(1000);
--- a/grpc/src/test/java/pathlane/grpc/RawServer.java
+++ b/grpc/src/test/java/pathlane/grpc/ScriptedHttp2Server.java
@@ -30,28 +30,28 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A server of HTTP/2 frames, on loopback: does with each stream what the script says next, and answers the rest. */
-final class RawServer implements AutoCloseable {
+/** An HTTP/2 server on loopback that takes the next scripted action for each stream, and answers when there is none left. */
+final class ScriptedHttp2Server implements AutoCloseable {
 
-    /** What may be done with a stream. */
-    enum Act {
+    /** The actions for a stream. */
+    enum Action {
         ANSWER, REFUSE_STREAM, RESET_CANCEL, RESET_INTERNAL, GO_AWAY_BEFORE_IT, DROP, HEADERS_THEN_DROP,
         ENHANCE_CALM, SILENCE
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Queue<Act> script = new ConcurrentLinkedQueue<>();
+    private final Queue<Action> script = new ConcurrentLinkedQueue<>();
     private final Channel channel;
-    /** When each stream's request was whole, in System.nanoTime(). */
+    /** The times at which each stream's request was complete, by System.nanoTime(). */
     final List<Long> arrivals = new CopyOnWriteArrayList<>();
 
-    RawServer(Act... acts) {
-        script.addAll(List.of(acts));
+    ScriptedHttp2Server(Action... actions) {
+        script.addAll(List.of(actions));
         channel = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel child) {
-                        child.pipeline().addLast(Http2FrameCodecBuilder.forServer().build(), new Streams());
+                        child.pipeline().addLast(Http2FrameCodecBuilder.forServer().build(), new StreamHandler());
                     }
                 }).bind(new InetSocketAddress("127.0.0.1", 0)).syncUninterruptibly().channel();
     }
@@ -66,32 +66,32 @@
         group.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.SECONDS);
     }
 
-    private final class Streams extends ChannelInboundHandlerAdapter {
+    private final class StreamHandler extends ChannelInboundHandlerAdapter {
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object frame) {
             try {
                 if (frame instanceof Http2DataFrame data && data.isEndStream()) {
-                    whole(context, data.stream());
+                    processRequest(context, data.stream());
                 } else if (frame instanceof Http2HeadersFrame headers && headers.isEndStream()) {
-                    whole(context, headers.stream());
+                    processRequest(context, headers.stream());
                 }
             } finally {
                 ReferenceCountUtil.release(frame);
             }
         }
 
-        private void whole(ChannelHandlerContext context, Http2FrameStream stream) {
+        private void processRequest(ChannelHandlerContext context, Http2FrameStream stream) {
             arrivals.add(System.nanoTime());
-            Act act = script.isEmpty() ? Act.ANSWER : script.poll();
-            switch (act) {
+            Action action = script.isEmpty() ? Action.ANSWER : script.poll();
+            switch (action) {
                 case ANSWER -> answer(context, stream);
                 case REFUSE_STREAM -> reset(context, stream, Http2Error.REFUSED_STREAM);
                 case RESET_CANCEL -> reset(context, stream, Http2Error.CANCEL);
                 case RESET_INTERNAL -> reset(context, stream, Http2Error.INTERNAL_ERROR);
                 case ENHANCE_CALM -> reset(context, stream, Http2Error.ENHANCE_YOUR_CALM);
                 case GO_AWAY_BEFORE_IT -> {
-                    // No stream was begun on: the codec's own frame type can't say so, its writer can.
+                    // Last stream id 0: no stream was processed. The codec's GOAWAY frame can't express it, its writer can.
                     Http2FrameCodec codec = context.pipeline().get(Http2FrameCodec.class);
                     ChannelHandlerContext below = context.pipeline().context(codec);
                     codec.encoder().frameWriter().writeGoAway(below, 0, Http2Error.NO_ERROR.code(),
--- a/grpc/src/test/java/pathlane/grpc/SharedColdTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SharedColdServerTest.java
@@ -31,44 +31,44 @@
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
 
-/** A daemon and a plug-in, each with its own front and its own traffic, send to the same stand-in processors. */
-class SharedColdTest {
+/** A daemon and a plug-in, each with its own front and traffic, send calls to the same stand-in servers. */
+class SharedColdServerTest {
 
-    private static final Duration HOLDS = Duration.ofSeconds(8);
+    private static final Duration CALL_DURATION = Duration.ofSeconds(8);
 
-    /** The daemon's calls, each answered once. */
-    private static final class Callers implements ClientPort {
-        final Map<String, Integer> finals = new HashMap<>();
-        long issued;
+    /** The daemon's client, which counts the final answers of each call. */
+    private static final class RecordingClient implements ClientPort {
+        final Map<String, Integer> finalAnswers = new HashMap<>();
+        long issuedCalls;
 
         @Override
         public void answer(String call, byte[] description) {
-            finals.merge(call, 1, Integer::sum);
+            finalAnswers.merge(call, 1, Integer::sum);
         }
 
         @Override
-        public void reject(String call, Duration comeBackAfter) {
-            finals.merge(call, 1, Integer::sum);
+        public void reject(String call, Duration retryAfter) {
+            finalAnswers.merge(call, 1, Integer::sum);
         }
 
         @Override
         public void fail(String call) {
-            finals.merge(call, 1, Integer::sum);
+            finalAnswers.merge(call, 1, Integer::sum);
         }
 
         @Override
-        public void release(String call, Outcome how) {}
+        public void release(String call, Outcome outcome) {}
     }
 
-    /** Both ends of a connection, in virtual time. */
-    private static final class Wire implements Connection {
+    /** One end of a connection in virtual time. */
+    private static final class VirtualConnection implements Connection {
         private final PluginHarness harness;
-        private Protocol own;
-        private Protocol other;
-        private Wire back;
+        private Protocol localProtocol;
+        private Protocol remoteProtocol;
+        private VirtualConnection reverse;
         private boolean closed;
 
-        Wire(PluginHarness harness) {
+        VirtualConnection(PluginHarness harness) {
             this.harness = harness;
         }
 
@@ -76,19 +76,19 @@
         public void write(byte[] bytes) {
             harness.time.after(Duration.ofMillis(1), () -> {
                 if (!closed) {
-                    other.received(ByteBuffer.wrap(bytes));
+                    remoteProtocol.received(ByteBuffer.wrap(bytes));
                 }
             });
         }
 
         @Override
-        public void close(CloseReason why) {
+        public void close(CloseReason reason) {
             harness.time.after(Duration.ZERO, () -> {
                 if (!closed) {
                     closed = true;
-                    back.closed = true;
-                    other.closed(CloseReason.CLOSED_BY_PEER);
-                    own.closed(why);
+                    reverse.closed = true;
+                    remoteProtocol.closed(CloseReason.CLOSED_BY_PEER);
+                    localProtocol.closed(reason);
                 }
             });
         }
@@ -99,115 +99,116 @@
         }
     }
 
-    private static String settings(boolean stated, int number) {
-        String two = PluginHarness.SETTINGS.replace("\"balancers\": 1", "\"balancers\": 2");
-        return stated ? two.replaceFirst("\\{", "{\"cold-share\": {\"set-ups-per-second\": 30, \"senders\": 2, "
-                + "\"number\": " + number + "}, ") : two;
+    private static String settings(boolean statesRate, int number) {
+        String twoSenders = PluginHarness.SETTINGS.replace("\"balancers\": 1", "\"balancers\": 2");
+        return statesRate ? twoSenders.replaceFirst("\\{", "{\"cold-share\": {\"set-ups-per-second\": 30, \"senders\": 2, "
+                + "\"number\": " + number + "}, ") : twoSenders;
     }
 
     /**
-     * Two warm servers, then a cold one in the place of one of them, while the load moves from the daemon to the
-     * plug-in and back: what each has learned of its own traffic is wrong each time.
+     * A cold server replaces one of two warm ones while load moves between the daemon and the plug-in, so that what each
+     * has learned from its own traffic is wrong after each move.
      */
     @ParameterizedTest
     @CsvSource({"true, 60, 60", "false, 60, 60", "true, 20, 120", "false, 20, 120", "true, 120, 20"})
-    void togetherTheyStayUnderWhatAColdProcessorTolerates(boolean stated, int daemonRate, int pluginRate) {
-        try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(settings(stated, 1)))) {
+    void daemonAndPluginStayWithinColdServerCapacity(boolean statesRate, int daemonRate, int pluginRate) {
+        try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(settings(statesRate, 1)))) {
             for (String name : List.of("a", "b")) {
                 harness.add(name, 60);
-                harness.lines.put(name, line(name, 0));
+                harness.endpoints.put(name, endpoint(name, 0));
             }
             harness.list("a", "b");
-            CallController daemon = daemon(harness, settings(stated, 0));
-            daemon.updateServers(true, List.of(harness.lines.get("a"), harness.lines.get("b")));
+            CallController daemon = daemon(harness, settings(statesRate, 0));
+            daemon.updateServers(true, List.of(harness.endpoints.get("a"), harness.endpoints.get("b")));
             ManagedChannel channel = harness.channel();
-            Callers callers = new Callers();
-            daemon.clientConnected(callers);
-            List<Response> response = new ArrayList<>();
-            play(harness, daemon, callers, channel, response, 6, pluginRate, daemonRate);
+            RecordingClient client = new RecordingClient();
+            daemon.clientConnected(client);
+            List<Response> responses = new ArrayList<>();
+            runTraffic(harness, daemon, client, channel, responses, 6, pluginRate, daemonRate);
             harness.processors.get("b").drain(Duration.ofSeconds(2));
             harness.add("c").startCold();
-            harness.lines.put("c", line("c", harness.time.nowMs()));
+            harness.endpoints.put("c", endpoint("c", harness.time.nowMs()));
             harness.list("a", "c");
-            daemon.updateServers(true, List.of(harness.lines.get("a"), harness.lines.get("c")));
-            play(harness, daemon, callers, channel, response, 14, daemonRate, pluginRate);
+            daemon.updateServers(true, List.of(harness.endpoints.get("a"), harness.endpoints.get("c")));
+            runTraffic(harness, daemon, client, channel, responses, 14, daemonRate, pluginRate);
             harness.time.pass(15_000);
 
             Processor cold = harness.processors.get("c");
-            assertTrue(!cold.fell() && cold.mostOfBudget() < 1, "used of the budget: " + cold.mostOfBudget());
-            assertTrue(cold.answers() > 50, "answered by the cold one: " + cold.answers());
-            assertTrue(response.stream().allMatch(one -> one.closes == 1));
-            assertTrue(callers.finals.values().stream().allMatch(count -> count == 1));
-            assertEquals(14 * daemonRate + 6 * pluginRate, callers.finals.size());
+            assertTrue(!cold.fell() && cold.mostOfBudget() < 1, "used share of the budget: " + cold.mostOfBudget());
+            assertTrue(cold.answers() > 50, "answered by the cold server: " + cold.answers());
+            assertTrue(responses.stream().allMatch(response -> response.closes == 1));
+            assertTrue(client.finalAnswers.values().stream().allMatch(count -> count == 1));
+            assertEquals(14 * daemonRate + 6 * pluginRate, client.finalAnswers.size());
             assertEquals(List.of(), harness.rules.broken());
         }
     }
 
     /**
-     * A plug-in and forty daemons, each with so little traffic that none can tell from its own what a cold server bears:
-     * only the turns that they take keep the sum down.
+     * A plug-in and forty daemons, each with too little traffic to learn the capacity of a cold server from it. Only by
+     * taking turns do they keep their total rate within that capacity.
      */
     @Test
-    void fortyDaemonsAndAPluginTakeTurnsAtAColdProcessor() {
+    void fortyDaemonsAndPluginTakeTurnsAtColdServer() {
         int daemons = 40;
         String shared = PluginHarness.SETTINGS.replace("\"balancers\": 1", "\"balancers\": " + (daemons + 1)).replaceFirst(
                 "\\{",
                 "{\"cold-share\": {\"set-ups-per-second\": 10, \"senders\": " + (daemons + 1) + ", \"number\": NUMBER}, ");
         try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(shared.replace("NUMBER", "40")))) {
             harness.add("a", 400);
-            harness.lines.put("a", line("a", 0));
+            harness.endpoints.put("a", endpoint("a", 0));
             harness.list("a");
             ManagedChannel channel = harness.channel();
             List<CallController> controllers = new ArrayList<>();
-            Callers callers = new Callers();
+            RecordingClient client = new RecordingClient();
             for (int i = 0; i < daemons; i++) {
                 CallController daemon = daemon(harness, shared.replace("NUMBER", Integer.toString(i)));
-                daemon.updateServers(true, List.of(harness.lines.get("a")));
-                daemon.clientConnected(callers);
+                daemon.updateServers(true, List.of(harness.endpoints.get("a")));
+                daemon.clientConnected(client);
                 controllers.add(daemon);
             }
-            List<Response> response = new ArrayList<>();
+            List<Response> responses = new ArrayList<>();
             for (int step = 0; step < 16 * 200; step++) {
                 if (step == 600) {
                     harness.add("c", 10).startCold();
-                    harness.lines.put("c", line("c", harness.time.nowMs()));
+                    harness.endpoints.put("c", endpoint("c", harness.time.nowMs()));
                     harness.list("a", "c");
-                    controllers.forEach(one -> one.updateServers(false, List.of(harness.lines.get("c"))));
+                    controllers.forEach(controller -> controller.updateServers(false, List.of(harness.endpoints.get("c"))));
                 }
-                String id = String.format("%016x", ++callers.issued);
+                String id = String.format("%016x", ++client.issuedCalls);
                 controllers.get(step % daemons).submit(new CallRequest(id, 0, "d" + id, Duration.ofMillis(3000),
-                        step >= 600 ? 2 : -1, new byte[] {1}), callers);
+                        step >= 600 ? 2 : -1, new byte[] {1}), client);
                 if (step % 40 == 0) {
-                    response.add(harness.check(channel, "p" + response.size()));
+                    responses.add(harness.check(channel, "p" + responses.size()));
                 }
                 harness.time.pass(5);
             }
             harness.time.pass(15_000);
             Processor cold = harness.processors.get("c");
-            assertTrue(!cold.fell() && cold.mostOfBudget() < 1, "used of the budget: " + cold.mostOfBudget());
-            assertTrue(cold.answers() > 20, "answered by the cold one: " + cold.answers());
-            assertTrue(callers.finals.values().stream().allMatch(count -> count == 1));
-            assertEquals(callers.issued, callers.finals.size());
+            assertTrue(!cold.fell() && cold.mostOfBudget() < 1, "used share of the budget: " + cold.mostOfBudget());
+            assertTrue(cold.answers() > 20, "answered by the cold server: " + cold.answers());
+            assertTrue(client.finalAnswers.values().stream().allMatch(count -> count == 1));
+            assertEquals(client.issuedCalls, client.finalAnswers.size());
         }
     }
 
-    private static void play(PluginHarness harness, CallController daemon, Callers callers, ManagedChannel channel,
-            List<Response> response, int seconds, int daemonRate, int pluginRate) {
+    private static void runTraffic(PluginHarness harness, CallController daemon, RecordingClient client,
+            ManagedChannel channel,
+            List<Response> responses, int seconds, int daemonRate, int pluginRate) {
         int steps = 1000 / 5;
         for (int step = 0; step < seconds * steps; step++) {
             int inSecond = step % steps;
             for (int i = inSecond * daemonRate / steps; i < (inSecond + 1) * daemonRate / steps; i++) {
-                String id = String.format("%016x", ++callers.issued);
-                daemon.submit(new CallRequest(id, 0, "d" + id, Duration.ofMillis(3000), -1, new byte[] {1}), callers);
+                String id = String.format("%016x", ++client.issuedCalls);
+                daemon.submit(new CallRequest(id, 0, "d" + id, Duration.ofMillis(3000), -1, new byte[] {1}), client);
             }
             for (int i = inSecond * pluginRate / steps; i < (inSecond + 1) * pluginRate / steps; i++) {
-                response.add(harness.check(channel, "p" + response.size()));
+                responses.add(harness.check(channel, "p" + responses.size()));
             }
             harness.time.pass(5);
         }
     }
 
-    private static ServerEndpoint line(String name, double startedMs) {
+    private static ServerEndpoint endpoint(String name, double startedMs) {
         return new ServerEndpoint(name.charAt(0), new InetSocketAddress("127.0.0.1", 5000 + name.charAt(0)),
                 ServerStatus.RUNNING,
                 name.charAt(0) - 'a', 1, java.time.Instant.ofEpochMilli((long) startedMs));
@@ -216,21 +217,21 @@
     private static CallController daemon(PluginHarness harness, String settings) {
         NodeConfig config = NodeConfig.parse("{\"name\": \"d\", \"listen\": \"127.0.0.1:0\", \"seed\": \"3\","
                 + "\"limits\": {\"sockets\": 1024}, \"settings\": " + settings + "}");
-        Connector dialer = (address, timeout, protocol) -> harness.time.after(Duration.ofMillis(1), () -> {
+        Connector connector = (address, timeout, protocol) -> harness.time.after(Duration.ofMillis(1), () -> {
             String name = String.valueOf((char) (address.getPort() - 5000));
             PlatformServer server =
-                    new PlatformServer(name, harness.processors.get(name), harness.time, HOLDS, harness.rules);
-            Wire up = new Wire(harness);
-            Wire down = new Wire(harness);
-            up.other = server;
-            up.own = protocol;
-            up.back = down;
-            down.other = protocol;
-            down.own = server;
-            down.back = up;
+                    new PlatformServer(name, harness.processors.get(name), harness.time, CALL_DURATION, harness.rules);
+            VirtualConnection up = new VirtualConnection(harness);
+            VirtualConnection down = new VirtualConnection(harness);
+            up.remoteProtocol = server;
+            up.localProtocol = protocol;
+            up.reverse = down;
+            down.remoteProtocol = protocol;
+            down.localProtocol = server;
+            down.reverse = up;
             server.opened(down);
             protocol.opened(up);
         });
-        return new PlatformFront(config, dialer, harness.time, () -> true, Optional::empty).controller();
+        return new PlatformFront(config, connector, harness.time, () -> true, Optional::empty).controller();
     }
 }
--- a/grpc/src/test/java/pathlane/grpc/SocketTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SocketTest.java
@@ -26,24 +26,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pathlane.core.Counters.Name;
-import pathlane.grpc.RawServer.Act;
+import pathlane.grpc.ScriptedHttp2Server.Action;
 import pathlane.standin.GrpcFront;
 import pathlane.standin.Processor;
 
-/** Over real sockets on loopback: every way in which HTTP/2 ends a stream, and a GOAWAY amid a burst. */
+/** Real sockets on loopback: the ways in which HTTP/2 ends a stream, and a GOAWAY during a burst. */
 class SocketTest {
 
     private static byte[] call(ManagedChannel channel, CallOptions options) {
         return ClientCalls.blockingUnaryCall(channel, GrpcFront.CHECK, options, "one".getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The stream ends in this way, the module tries again, and the second one is answered. */
+    /** The first stream ends in the given way, the controller makes one more attempt, and that one is answered. */
     @ParameterizedTest
     @CsvSource({"REFUSE_STREAM, ATTEMPTS_UNREACHABLE", "GO_AWAY_BEFORE_IT, ATTEMPTS_UNREACHABLE",
             "RESET_CANCEL, ATTEMPTS_RESET", "RESET_INTERNAL, ATTEMPTS_RESET", "DROP, ATTEMPTS_RESET",
             "HEADERS_THEN_DROP, ATTEMPTS_RESET", "ENHANCE_CALM, ATTEMPTS_IN_ERROR"})
-    void aStreamThatEndsSoIsCountedSoAndTriedAgainByTheModuleAlone(Act act, Name counted) {
-        try (RawServer server = new RawServer(act);
+    void endedStreamIsCountedAndRetriedByControllerOnly(Action act, Name counted) {
+        try (ScriptedHttp2Server server = new ScriptedHttp2Server(act);
                 Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
             ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget(server.target()).usePlaintext())
                     .build();
@@ -55,7 +55,7 @@
                 assertEquals(2, server.arrivals.size());
                 if (counted == Name.ATTEMPTS_RESET) {
                     long gap = (server.arrivals.get(1) - server.arrivals.get(0)) / 1_000_000;
-                    assertTrue(gap >= 200, "a second attempt " + gap + " ms after a lost one");
+                    assertTrue(gap >= 200, "second attempt " + gap + " ms after a lost one");
                 }
             } finally {
                 channel.shutdownNow();
@@ -64,8 +64,8 @@
     }
 
     @Test
-    void aCallThatNobodyAnswersHearsSoBeforeItsDeadline() {
-        try (RawServer server = new RawServer(Act.SILENCE, Act.SILENCE, Act.SILENCE);
+    void unansweredCallEndsByItsDeadline() {
+        try (ScriptedHttp2Server server = new ScriptedHttp2Server(Action.SILENCE, Action.SILENCE, Action.SILENCE);
                 Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
             ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget(server.target()).usePlaintext())
                     .build();
@@ -78,12 +78,12 @@
             } finally {
                 channel.shutdownNow();
             }
-            throw new AssertionError("it was answered");
+            throw new AssertionError("the call was answered");
         }
     }
 
     @Test
-    void nobodyListensAndCallsHearSoInTime() {
+    void callWithoutListeningServerIsUnavailable() {
         try (Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build()) {
             ManagedChannel channel = pathlane.attach(NettyChannelBuilder.forTarget("127.0.0.1:1").usePlaintext())
                     .build();
@@ -97,18 +97,18 @@
             } finally {
                 channel.shutdownNow();
             }
-            throw new AssertionError("it was answered");
+            throw new AssertionError("the call was answered");
         }
     }
 
-    /** One of two servers goes in an orderly way (two GOAWAYs) while callers come from four threads. */
+    /** One of two servers shuts down gracefully (two GOAWAYs) while four threads make calls. */
     @Test
-    void aGoAwayAmidABurstCostsNoCallItsAnswerAndMakesNoSecondAttempt() throws Exception {
-        ScheduledExecutorService turn = Executors.newSingleThreadScheduledExecutor();
-        ExecutorService callers = Executors.newFixedThreadPool(4);
+    void goAwayDuringBurstLosesNoAnswerAndBreaksNoRule() throws Exception {
+        ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
+        ExecutorService clients = Executors.newFixedThreadPool(4);
         Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build();
         pathlane.standin.RuleBook rules = new pathlane.standin.RuleBook(200);
-        LoopTime time = new LoopTime(turn, turn);
+        ExecutorScheduler time = new ExecutorScheduler(executor, executor);
         List<Server> servers = new ArrayList<>();
         ManagedChannel channel = null;
         try {
@@ -116,7 +116,7 @@
                 Processor processor = new Processor(Processor.Model.of(2000,
                         PluginConfig.read(PluginHarness.SETTINGS).settings().rules()), time);
                 servers.add(NettyServerBuilder.forAddress(new InetSocketAddress("127.0.0.1", 0))
-                        .addService(new GrpcFront(name, processor, time, turn, Duration.ofSeconds(1), rules).service())
+                        .addService(new GrpcFront(name, processor, time, executor, Duration.ofSeconds(1), rules).service())
                         .build().start());
             }
             List<io.grpc.EquivalentAddressGroup> groups = new ArrayList<>();
@@ -125,39 +125,39 @@
             FixedResolver resolver = new FixedResolver("fixed", groups);
             io.grpc.NameResolverRegistry.getDefaultRegistry().register(resolver);
             channel = pathlane.attach(NettyChannelBuilder.forTarget("fixed:///pool").usePlaintext()).build();
-            ManagedChannel used = channel;
-            CountDownLatch half = new CountDownLatch(200);
-            List<Future<Integer>> stood = new ArrayList<>();
-            for (int caller = 0; caller < 4; caller++) {
-                int own = caller;
-                stood.add(callers.submit(() -> {
+            ManagedChannel callChannel = channel;
+            CountDownLatch halfDone = new CountDownLatch(200);
+            List<Future<Integer>> answered = new ArrayList<>();
+            for (int client = 0; client < 4; client++) {
+                int clientIndex = client;
+                answered.add(clients.submit(() -> {
                     int count = 0;
                     for (int i = 0; i < 100; i++) {
                         io.grpc.Metadata headers = new io.grpc.Metadata();
-                        headers.put(GrpcFront.CALL, own + "-" + i);
-                        ClientCalls.blockingUnaryCall(io.grpc.ClientInterceptors.intercept(used,
+                        headers.put(GrpcFront.CALL, clientIndex + "-" + i);
+                        ClientCalls.blockingUnaryCall(io.grpc.ClientInterceptors.intercept(callChannel,
                                 io.grpc.stub.MetadataUtils.newAttachHeadersInterceptor(headers)), GrpcFront.CHECK,
-                                CallOptions.DEFAULT, (own + "-" + i).getBytes(StandardCharsets.UTF_8));
+                                CallOptions.DEFAULT, (clientIndex + "-" + i).getBytes(StandardCharsets.UTF_8));
                         count++;
-                        half.countDown();
+                        halfDone.countDown();
                     }
                     return count;
                 }));
             }
-            half.await();
+            halfDone.await();
             servers.get(0).shutdown();
-            for (Future<Integer> one : stood) {
-                assertEquals(100, one.get(60, TimeUnit.SECONDS));
+            for (Future<Integer> count : answered) {
+                assertEquals(100, count.get(60, TimeUnit.SECONDS));
             }
-            assertEquals(List.of(), turn.submit(rules::broken).get());
+            assertEquals(List.of(), executor.submit(rules::broken).get());
             io.grpc.NameResolverRegistry.getDefaultRegistry().deregister(resolver);
         } finally {
             if (channel != null) {
                 channel.shutdownNow();
             }
             servers.forEach(Server::shutdownNow);
-            callers.shutdownNow();
-            turn.shutdownNow();
+            clients.shutdownNow();
+            executor.shutdownNow();
             pathlane.close();
         }
     }
