--- a/grpc/src/main/java/pathlane/grpc/CallMark.java
+++ b/grpc/src/main/java/pathlane/grpc/CallMark.java
@@ -15,7 +15,7 @@
         this.key = key;
     }
 
-    /** Creates a mark with a random key of 64 bits. */
+    /** Creates a mark for a new call, with a random key of 64 bits. */
     public static CallMark create() {
         return new CallMark(ThreadLocalRandom.current().nextLong());
     }
--- a/grpc/src/main/java/pathlane/grpc/Engine.java
+++ b/grpc/src/main/java/pathlane/grpc/Engine.java
@@ -122,7 +122,7 @@
     }
 
     private void updateControllerServers() {
-        if (serverList.hasNamedServer()) {
+        if (serverList.hasListedServer()) {
             controller.updateServers(true, serverList.merge());
         }
     }
--- a/grpc/src/main/java/pathlane/grpc/MergedServerList.java
+++ b/grpc/src/main/java/pathlane/grpc/MergedServerList.java
@@ -24,14 +24,14 @@
     private final Map<Object, Map<Long, ServerEndpoint>> listsBySource = new HashMap<>();
     private final Map<Long, Integer> attemptCounts = new HashMap<>();
     private Map<Long, ServerEndpoint> lastMerged = new LinkedHashMap<>();
-    private boolean hasNamedServer;
+    private boolean hasListedServer;
 
     /** Replaces the list from one resolver; the source is the channel that it resolves for. */
     void setList(Object source, List<ServerEndpoint> endpoints) {
         Map<Long, ServerEndpoint> endpointsById = new LinkedHashMap<>();
         endpoints.forEach(endpoint -> endpointsById.put(endpoint.id(), endpoint));
         listsBySource.put(source, endpointsById);
-        hasNamedServer |= !endpoints.isEmpty();
+        hasListedServer |= !endpoints.isEmpty();
     }
 
     /** Removes a channel's list when its resolver has stopped. The only remaining list stays in force. */
@@ -42,8 +42,8 @@
     }
 
     /** Returns whether any list has ever contained a server. */
-    boolean hasNamedServer() {
-        return hasNamedServer;
+    boolean hasListedServer() {
+        return hasListedServer;
     }
 
     /** Records that an attempt for a server starts. */
--- a/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancer.java
+++ b/grpc/src/main/java/pathlane/grpc/PathlaneLoadBalancer.java
@@ -57,18 +57,18 @@
             handleNameResolutionError(noServers);
             return noServers;
         }
-        Map<List<SocketAddress>, ServerEndpoint> endpoints = new HashMap<>();
-        List<ServerEndpoint> inOrder = new ArrayList<>();
+        Map<List<SocketAddress>, ServerEndpoint> endpointsByAddress = new HashMap<>();
+        List<ServerEndpoint> orderedEndpoints = new ArrayList<>();
         for (EquivalentAddressGroup group : resolved.getAddresses()) {
-            ServerEndpoint endpoint = endpointOf(group, inOrder.size());
-            if (endpoints.putIfAbsent(group.getAddresses(), endpoint) == null) {
-                inOrder.add(endpoint);
+            ServerEndpoint endpoint = endpointOf(group, orderedEndpoints.size());
+            if (endpointsByAddress.putIfAbsent(group.getAddresses(), endpoint) == null) {
+                orderedEndpoints.add(endpoint);
                 connect(group, endpoint);
             }
         }
         List<Entry> removed = new ArrayList<>();
         servers.entrySet().removeIf(server -> {
-            boolean isGone = !endpoints.containsKey(server.getKey());
+            boolean isGone = !endpointsByAddress.containsKey(server.getKey());
             if (isGone) {
                 removed.add(server.getValue());
             }
@@ -88,7 +88,7 @@
                 scheduleFailure("this plug-in serves channels to " + expectedTarget + ": build another for "
                         + helper.getChannelTarget());
             } else {
-                applyServers(inOrder);
+                applyServers(orderedEndpoints);
             }
         });
         removed.forEach(this::close);
--- a/grpc/src/main/java/pathlane/grpc/PluginCall.java
+++ b/grpc/src/main/java/pathlane/grpc/PluginCall.java
@@ -303,13 +303,15 @@
         return shortest;
     }
 
-    /** Thread-safe: gRPC has requested a second stream in parallel to this one. The picker drops it. */
+    /** Thread-safe. Called when gRPC requests a second, hedged stream, which the picker then drops. */
     void recordHedging() {
         attachment.recordHedging();
     }
 
-    /** Registers the call with the retry tracker at the given time. The delay is computed from the same time, since a
-     * call without a delay must not wait for a timer. */
+    /**
+     * Registers the call with the retry tracker at the given time. The delay is computed from the same time, since a call
+     * without a delay must not wait for a timer.
+     */
     private void admitByRetryTracker(double now) {
         RetryTracker tracker = engine.retries();
         // Without recent failures the tracker is empty, and requests needn't be hashed for their keys.
@@ -512,7 +514,7 @@
         }
     }
 
-    /** Releases the call in the controller, which needs to answer it no more. */
+    /** Releases the call in the controller, whose answer is no longer needed. */
     private void releaseInController() {
         if (openInController) {
             openInController = false;
@@ -524,7 +526,7 @@
         finish(rejection.status(), rejection.trailers());
     }
 
-    /** Gives the call a final answer that doesn't come from a server. No other method does. */
+    /** Ends the call with a final answer that doesn't come from a server. All such answers go through this method. */
     private void finish(Status status, Metadata trailers) {
         if (finished) {
             return;
@@ -557,7 +559,7 @@
                 next.newCall(method, options.withOption(READINESS_PROBE, new ReadinessProbe()).withDeadline(null));
         carrier.start(new Listener<R>() {
             @Override
-            public void onClose(Status carried, Metadata none) {
+            public void onClose(Status carrierStatus, Metadata carrierTrailers) {
                 responseListener.onClose(status, trailers);
             }
         }, new Metadata());
