--- a/daemon/src/main/java/pathlane/Main.java
+++ b/daemon/src/main/java/pathlane/Main.java
@@ -13,35 +13,36 @@
 import java.util.logging.Logger;
 import pathlane.sim.Wire;
 
-/** Starts the program: {@code serve} is a real call controller on the platform,
- * {@code diameter} one for Diameter peers, {@code simhost} speaks the simulator's wire. */
+/** Entry point: {@code serve} runs a call controller on the platform, {@code diameter} one for Diameter peers, and
+ * {@code simhost} the routing policy behind the simulator's text protocol. */
 public final class Main {
 
     private Main() {}
 
     /**
-     * Runs one of the three.
+     * Runs one of the three modes.
      *
-     * @param args {@code serve}, {@code diameter} and a file, either with {@code --group} and a file behind, the first also
-     *             with {@code --discovery} and a file instead; or {@code simhost}
+     * @param args {@code serve}, {@code diameter FILE} or {@code simhost}; the first two take an optional trailing
+     *             {@code --group FILE}, and {@code serve} may take {@code --discovery FILE} instead
      */
     public static void main(String[] args) {
-        // An operator's file may follow: --group FILE, or --discovery FILE.
+        // The last two arguments may be --group FILE or --discovery FILE.
         String option = args.length >= 3 ? args[args.length - 2] : "";
         boolean isDiscovery = option.equals("--discovery");
-        int own = isDiscovery || option.equals("--group") ? args.length - 2 : args.length;
-        Optional<Path> operators = own < args.length ? Optional.of(Path.of(args[own + 1])) : Optional.empty();
-        String what = own == 2 ? args[0] + " FILE" : own == 1 ? args[0] : "";
+        int ownArguments = isDiscovery || option.equals("--group") ? args.length - 2 : args.length;
+        Optional<Path> operatorFile =
+                ownArguments < args.length ? Optional.of(Path.of(args[ownArguments + 1])) : Optional.empty();
+        String mode = ownArguments == 2 ? args[0] + " FILE" : ownArguments == 1 ? args[0] : "";
         try {
-            boolean hasNoSuchOption = operators.isPresent() && what.equals("simhost")
-                    || isDiscovery && !what.equals("serve");
-            switch (hasNoSuchOption ? "" : what) {
-                case "serve" -> serve(operators, isDiscovery, SighupHandler.install());
+            boolean hasInvalidOption = operatorFile.isPresent() && mode.equals("simhost")
+                    || isDiscovery && !mode.equals("serve");
+            switch (hasInvalidOption ? "" : mode) {
+                case "serve" -> serve(operatorFile, isDiscovery, SighupHandler.install());
                 case "diameter FILE" -> {
-                    logPlainly();
-                    Node.startDiameter(Path.of(args[1]), operators, SighupHandler.install());
+                    configureLogging();
+                    Node.startDiameter(Path.of(args[1]), operatorFile, SighupHandler.install());
                 }
-                case "simhost" -> simulate();
+                case "simhost" -> runSimulatorHost();
                 default -> {
                     System.err.println("usage: java -jar pathlane.jar serve [--group FILE | --discovery FILE]"
                             + " | diameter FILE [--group FILE] | simhost");
@@ -54,43 +55,43 @@
         }
     }
 
-    private static void logPlainly() {
-        // Before anything of the log is touched: it looks for its manager once, and SteadyLog is one itself.
+    private static void configureLogging() {
+        // Must precede the first use of the logging API, which reads this property only once.
         System.setProperty("java.util.logging.manager", SteadyLog.class.getName());
-        // Asked for on the command line, where calls are to be followed through their steps: -Dpathlane.log=FINE.
+        // -Dpathlane.log=FINE on the command line traces each step of a call.
         Level level = Level.parse(System.getProperty("pathlane.log", "INFO"));
-        Logger calls = Logger.getLogger("calls");
-        calls.setLevel(level);
+        Logger callLogger = Logger.getLogger("calls");
+        callLogger.setLevel(level);
         for (Handler handler : LogManager.getLogManager().getLogger("").getHandlers()) {
             handler.setLevel(level);
-            handler.setFormatter(new SteadyLog.Lines());
+            handler.setFormatter(new SteadyLog.LineFormatter());
         }
     }
 
-    private static void serve(Optional<Path> operators, boolean isDiscovery, SighupHandler sighup) {
-        logPlainly();
+    private static void serve(Optional<Path> operatorFile, boolean isDiscovery, SighupHandler sighup) {
+        configureLogging();
         String file = System.getenv("RELAY_CONFIG");
         if (file == null) {
             throw new IllegalArgumentException("RELAY_CONFIG does not name a configuration");
         }
         if (isDiscovery) {
-            Node.startWithDiscovery(Path.of(file), operators.orElseThrow(), sighup);
+            Node.startWithDiscovery(Path.of(file), operatorFile.orElseThrow(), sighup);
         } else {
-            Node.startPlatform(Path.of(file), operators, sighup);
+            Node.startPlatform(Path.of(file), operatorFile, sighup);
         }
     }
 
-    private static void simulate() throws IOException {
+    private static void runSimulatorHost() throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         OutputStream out = System.out;
         Wire wire = new Wire();
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            String reply = wire.line(line);
+            String reply = wire.readLine(line);
             if (reply != null) {
                 out.write(reply.getBytes(StandardCharsets.UTF_8));
                 out.flush();
             }
         }
-        wire.end();
+        wire.endOfInput();
     }
 }
--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -36,41 +36,42 @@
 import pathlane.takeover.GroupNode;
 import pathlane.transport.Protocol;
 
-/** One real call controller: puts the parts together and sees to an orderly end. */
+/** A running call controller process: wires its components together and shuts it down gracefully. */
 final class Node {
 
     private static final Logger LOG = System.getLogger("node");
-    /** After SIGTERM callers still come for 0.4 s, and what they ask on open connections for 0.2 s more. */
-    private static final Duration STILL_COMING = Duration.ofMillis(750);
-    /** A start waits so long for the event bus. */
-    private static final Duration MOST_WITHOUT_BUS = Duration.ofSeconds(3);
-    private static final Duration END_CHECK = Duration.ofMillis(20);
-    /** Callers that keep coming hold an end up for so long after {@link #STILL_COMING} at the most. */
-    private static final Duration COMING_MOST = Duration.ofSeconds(2);
-    /** What was written last, and then the callers' own closes, are each waited for so long at the most. */
-    private static final Duration LAST_WORDS = Duration.ofMillis(500);
-
-    /** A front: who decides its calls, what meets its callers, and how it parts from its peers at the end, and what it
-     * does when its configuration is to be read again. */
-    private record Front(CallController controller, Supplier<Protocol> callers, CallerLimits limits, Runnable part,
-            Runnable reload, Future<Void> current, Optional<GroupNode> group) {}
+    /** After SIGTERM, clients still connect for up to 0.4 s, and send requests on open connections for 0.2 s more. */
+    private static final Duration DRAIN_PERIOD = Duration.ofMillis(750);
+    /** How long a start waits for the event bus. */
+    private static final Duration MAX_BUS_WAIT = Duration.ofSeconds(3);
+    private static final Duration SHUTDOWN_POLL_INTERVAL = Duration.ofMillis(20);
+    /** How long new connections and requests can delay the shutdown beyond {@link #DRAIN_PERIOD}. */
+    private static final Duration MAX_EXTRA_DRAIN = Duration.ofSeconds(2);
+    /** Maximum wait for pending writes, and then again for clients to close their connections. */
+    private static final Duration FLUSH_TIMEOUT = Duration.ofMillis(500);
+
+    /** A protocol front: its call controller, the protocol for client connections and their limits, how it disconnects
+     * from its peers and reloads its configuration, and when its server list is current. */
+    private record Front(CallController controller, Supplier<Protocol> clientProtocol, CallerLimits clientLimits,
+            Runnable disconnectPeers,
+            Runnable reload, Future<Void> serverListCurrent, Optional<GroupNode> group) {}
 
     private final EventLoop loop = new EventLoop();
     private final Network network = new Network(loop);
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile Front front;
-    private volatile boolean ending;
-    /** Whether callers may have been taken: a program that is asked to end before that has nothing to see to. */
-    private volatile boolean listens;
+    private volatile boolean isShuttingDown;
+    /** Whether clients may have connected; a process that is stopped earlier has nothing to drain. */
+    private volatile boolean mayHaveClients;
 
-    /** Starts a call controller on the platform; it serves until the process is asked to end. */
+    /** Starts a call controller on the platform; it serves until the process is stopped. */
     static void startPlatform(Path file, Optional<Path> groupFile, SighupHandler sighup) {
         ConfigFile configFile = new ConfigFile(file);
         NodeConfig config = configFile.read();
         Node node = new Node();
         node.serve(config.name(), config.listen(), sighup, () -> {
-            Optional<GroupNode> group = node.group(groupFile, config.name(), config.settings());
-            PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.ending,
+            Optional<GroupNode> group = node.createGroup(groupFile, config.name(), config.settings());
+            PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.isShuttingDown,
                     configFile::readIfChanged, replication(group));
             return new Front(platform.controller(), platform::accept, config.callers(), () -> {},
                     () -> platform.reload(configFile.read()), platform.current(), group);
@@ -78,8 +79,8 @@
     }
 
     /**
-     * The same with the servers of its calls' services from discovery, in place of the event bus. A method of its own, so
-     * that without an operator's file none of discovery is loaded.
+     * Starts a call controller that gets the server lists of its services from discovery instead of the event bus. This is
+     * a separate method so that no discovery class is loaded unless a discovery file is given.
      */
     static void startWithDiscovery(Path file, Path discoveryFile, SighupHandler sighup) {
         NodeConfig config = new ConfigFile(file).read();
@@ -87,7 +88,7 @@
         Node node = new Node();
         node.serve(config.name(), config.listen(), sighup, () -> {
             DirectoryNode directory = new DirectoryNode(discovery, node.network, node.loop);
-            PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.ending,
+            PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.isShuttingDown,
                     Optional::empty, CallReplication.NONE, Optional.of(directory));
             directory.start(platform.controller());
             return new Front(platform.controller(), platform::accept, config.callers(), directory::stop,
@@ -95,13 +96,13 @@
         });
     }
 
-    /** Starts a call controller for Diameter peers; it serves until the process is asked to end. */
+    /** Starts a call controller for Diameter peers; it serves until the process is stopped. */
     static void startDiameter(Path file, Optional<Path> groupFile, SighupHandler sighup) {
         DiameterConfig config = DiameterConfig.read(file);
         Node node = new Node();
         SplittableRandom random = new SplittableRandom();
         node.serve(config.host(), config.listen(), sighup, () -> {
-            Optional<GroupNode> group = node.group(groupFile, config.host(), config.settings());
+            Optional<GroupNode> group = node.createGroup(groupFile, config.host(), config.settings());
             DiameterFront diameter = new DiameterFront(config, random.nextLong(), node.network, node.loop, random,
                     replication(group));
             if (config.graphite() != null) {
@@ -114,13 +115,13 @@
             }
             return new Front(diameter.controller(), diameter::accept, config.callers(),
                     diameter::disconnect, () -> {
-                        throw new IllegalArgumentException("the Diameter front reads its file at its start alone");
+                        throw new IllegalArgumentException("the Diameter front reads its configuration only at startup");
                     }, CompletableFuture.completedFuture(null), group);
         });
     }
 
-    /** The group's part, where an operator's file switches it on; else none of it is loaded. */
-    private Optional<GroupNode> group(Optional<Path> file, String name, Settings settings) {
+    /** Creates the group node if a group file is given; otherwise none of its classes is loaded. */
+    private Optional<GroupNode> createGroup(Optional<Path> file, String name, Settings settings) {
         return file.map(path -> new GroupNode(GroupFile.read(path), name, settings, network, loop));
     }
 
@@ -129,7 +130,7 @@
     }
 
     private void serve(String name, InetSocketAddress listen, SighupHandler sighup, Supplier<Front> build) {
-        Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
+        Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "end"));
         CompletableFuture<Front> built = new CompletableFuture<>();
         loop.execute(() -> {
             try {
@@ -141,41 +142,42 @@
         });
         InetSocketAddress bound;
         try {
-            await(built.get().current());
+            awaitServerList(built.get().serverListCurrent());
             if (front.group().isPresent()) {
                 front.group().get().listen();
                 loop.execute(() -> front.group().get().start(front.controller()));
             }
-            listens = true;
-            bound = network.listen(listen, front.callers(), front.limits().connections(), front.limits().unwritten());
+            mayHaveClients = true;
+            bound = network.listen(listen, front.clientProtocol(), front.clientLimits().connections(),
+                    front.clientLimits().unwritten());
         } catch (ExecutionException e) {
             loop.close();
             throw new IllegalArgumentException(e.getCause().getMessage(), e);
         } catch (InterruptedException | IllegalArgumentException e) {
-            listens = false;
+            mayHaveClients = false;
             loop.close();
             throw new IllegalArgumentException(e.getMessage(), e);
         }
         sighup.onSignal(() -> loop.execute(this::reload));
         LOG.log(Level.INFO, "call controller {0} serves on {1}", name, bound);
         if (sighup.isIgnored()) {
-            LOG.log(Level.WARNING, "SIGHUP was ignored when the program was started: it asks for no reload here");
+            LOG.log(Level.WARNING, "SIGHUP was ignored when the program was started: it does not trigger a reload");
         }
     }
 
     /**
-     * Guards rule three at a start: the configuration may hold an old list, and what the bus has told since counts as
-     * told. Nobody is served before it has been read, or before it is clear that it can't be had.
+     * Keeps a start from sending calls to servers that the event bus has already reported as draining or gone: the server
+     * list in the configuration may be outdated. No client is served until the bus has been read or has timed out.
      */
-    private void await(Future<Void> current) throws InterruptedException, ExecutionException {
+    private void awaitServerList(Future<Void> serverListCurrent) throws InterruptedException, ExecutionException {
         try {
-            current.get(MOST_WITHOUT_BUS.toMillis(), TimeUnit.MILLISECONDS);
+            serverListCurrent.get(MAX_BUS_WAIT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            LOG.log(Level.WARNING, "the event bus can't be reached; serving by the list in the configuration");
+            LOG.log(Level.WARNING, "the event bus can't be reached; using the server list in the configuration");
         }
     }
 
-    /** Reads the configuration again; one that can't be used changes nothing. */
+    /** Reloads the configuration; an invalid one changes nothing. */
     private void reload() {
         front.group().ifPresent(GroupNode::reload);
         try {
@@ -186,15 +188,15 @@
         }
     }
 
-    /** Goes on serving until nothing more comes and all that was taken is answered. */
-    private void end() {
-        if (!listens) {
-            return;   // the start had not finished: nobody was taken
+    /** Keeps serving until no more requests arrive and every accepted call has its final answer. */
+    private void shutDown() {
+        if (!mayHaveClients) {
+            return;   // startup had not finished: no client was accepted
         }
         loop.execute(() -> {
-            ending = true;
+            isShuttingDown = true;
             LOG.log(Level.INFO, "asked to end: {0} calls are open", front.controller().openCalls());
-            endWhenAnswered(loop.now().plus(STILL_COMING), Instant.MIN, -1);
+            shutDownWhenIdle(loop.now().plus(DRAIN_PERIOD), Instant.MIN, -1);
         });
         try {
             ended.await();
@@ -204,36 +206,37 @@
     }
 
     /**
-     * Guards callers whose set-up has come and has not been read, since the loop is behind: a wait that is over as the time
-     * is up has looked at no connection, one is accepted in one turn of the loop and read in the next. So nothing more comes
-     * only once a whole wait that began after the time was up has brought nothing.
+     * Shuts down once no call is open and no request has arrived. When the event loop is behind, a call request may have
+     * arrived but not been read: a connection is accepted in one iteration of the loop and read in the next. So traffic
+     * counts as ended only after a complete poll interval that began after the drain period brought nothing.
      */
-    private void endWhenAnswered(Instant until, Instant checkedBefore, long cameBefore) {
+    private void shutDownWhenIdle(Instant drainedAt, Instant previousCheck, long previouslyAccepted) {
         Instant now = loop.now();
         long accepted = network.accepted() + front.controller().counters().value(Counters.Name.CALL_REQUESTS);
-        boolean quiet = accepted == cameBefore && !checkedBefore.isBefore(until) || now.isAfter(until.plus(COMING_MOST));
-        if (front.controller().openCalls() > 0 || !quiet) {
-            loop.after(END_CHECK, () -> endWhenAnswered(until, now, accepted));
+        boolean isQuiet = accepted == previouslyAccepted && !previousCheck.isBefore(drainedAt)
+                || now.isAfter(drainedAt.plus(MAX_EXTRA_DRAIN));
+        if (front.controller().openCalls() > 0 || !isQuiet) {
+            loop.after(SHUTDOWN_POLL_INTERVAL, () -> shutDownWhenIdle(drainedAt, now, accepted));
         } else {
-            front.group().ifPresentOrElse(group -> group.leave(this::part), this::part);
+            front.group().ifPresentOrElse(group -> group.leave(this::disconnect), this::disconnect);
         }
     }
 
-    private void part() {
-        front.part().run();
+    private void disconnect() {
+        front.disconnectPeers().run();
         LOG.log(Level.INFO, "ended: {0}", front.controller().counters().summary());
-        when(network::hasWritten, loop.now().plus(LAST_WORDS), () -> {
+        runWhen(network::hasWritten, loop.now().plus(FLUSH_TIMEOUT), () -> {
             network.partFromCallers();
-            when(network::hasParted, loop.now().plus(LAST_WORDS), ended::countDown);
+            runWhen(network::hasParted, loop.now().plus(FLUSH_TIMEOUT), ended::countDown);
         });
     }
 
-    /** Goes on once something holds, or has not in time. */
-    private void when(BooleanSupplier holds, Instant until, Runnable next) {
-        if (holds.getAsBoolean() || !loop.now().isBefore(until)) {
+    /** Runs the next step once the condition holds or the deadline has passed. */
+    private void runWhen(BooleanSupplier condition, Instant deadline, Runnable next) {
+        if (condition.getAsBoolean() || !loop.now().isBefore(deadline)) {
             next.run();
         } else {
-            loop.after(END_CHECK, () -> when(holds, until, next));
+            loop.after(SHUTDOWN_POLL_INTERVAL, () -> runWhen(condition, deadline, next));
         }
     }
 }
--- a/daemon/src/main/java/pathlane/SighupHandler.java
+++ b/daemon/src/main/java/pathlane/SighupHandler.java
@@ -4,41 +4,41 @@
 import sun.misc.SignalHandler;
 
 /**
- * Handles SIGHUP from the first line of the program on. A JVM without a handler ends at that signal, and an operator's
- * reload may meet a process that has just been started and has nothing to reload yet. The signal arrives on a thread of the
- * JVM's own.
+ * Handles SIGHUP from the start of the process. A JVM without a handler terminates on that signal, and an operator may
+ * request a reload while the process is still starting and can't reload yet. The JVM delivers the signal on a thread of
+ * its own.
  */
 final class SighupHandler {
 
     private Runnable reload;
-    private boolean pending;
-    /** Whether the program was started with the signal ignored: a JVM leaves it so, and reports nothing. */
-    private boolean ignored;
+    private boolean isPending;
+    /** Whether the process was started with the signal ignored: the JVM then leaves it ignored without any error. */
+    private boolean isSignalIgnored;
 
-    /** Installs the handler; a signal that comes before {@link #onSignal} is kept until then. */
+    /** Installs the handler; a signal that arrives before {@link #onSignal} is kept until then. */
     static SighupHandler install() {
         SighupHandler sighup = new SighupHandler();
-        sighup.ignored = Signal.handle(new Signal("HUP"), signal -> sighup.signalled()) == SignalHandler.SIG_IGN;
+        sighup.isSignalIgnored = Signal.handle(new Signal("HUP"), signal -> sighup.signalled()) == SignalHandler.SIG_IGN;
         return sighup;
     }
 
-    /** Whether the signal never comes: the program was started with it ignored, as {@code nohup} does. */
+    /** Whether the signal is never delivered because the process was started with it ignored, as {@code nohup} does. */
     boolean isIgnored() {
-        return ignored;
+        return isSignalIgnored;
     }
 
     synchronized void signalled() {
         if (reload == null) {
-            pending = true;
+            isPending = true;
         } else {
             reload.run();
         }
     }
 
-    /** Sets what is done at each signal from now on, and does it at once if a signal has come already. */
+    /** Sets the action to run on each signal, and runs it immediately if a signal has already arrived. */
     synchronized void onSignal(Runnable action) {
         reload = action;
-        if (pending) {
+        if (isPending) {
             action.run();
         }
     }
--- a/daemon/src/main/java/pathlane/SteadyLog.java
+++ b/daemon/src/main/java/pathlane/SteadyLog.java
@@ -9,32 +9,33 @@
 import java.util.logging.LogRecord;
 
 /**
- * The language's own log, kept to the end: it would close its handlers as soon as the process is asked to end, and
- * what is said while the last calls are answered would be lost.
+ * A {@code java.util.logging} manager that keeps its handlers open until the process exits. The default one closes them
+ * as soon as shutdown begins, and log lines written while the last calls are answered would be lost.
  */
 public final class SteadyLog extends LogManager {
 
     @Override
     public void reset() {
-        // Handlers stay until the process has ended.
+        // Handlers stay open until the process has exited.
     }
 
     /**
-     * A line is {@code date time LEVEL part: text}. Written without the language's date formats: to load its locales
-     * takes a sixth of a start's work, and a node is missed until it has started.
+     * Formats a record as {@code date time LEVEL logger: text}. It avoids the JDK's date formats, because loading the
+     * locales takes a sixth of the work of a start, and the controller is unavailable until it has started.
      */
-    static final class Lines extends Formatter {
+    static final class LineFormatter extends Formatter {
 
-        private static final int MILLIS = 1_000_000;
+        private static final int NANOS_PER_MILLI = 1_000_000;
 
         @Override
         public String format(LogRecord record) {
             LocalDateTime time = LocalDateTime.ofInstant(record.getInstant(), ZoneId.systemDefault());
             StringBuilder line = new StringBuilder().append(time.toLocalDate()).append(' ');
-            padded(line, time.getHour(), 2).append(':');
-            padded(line, time.getMinute(), 2).append(':');
-            padded(line, time.getSecond(), 2).append('.');
-            padded(line, time.getNano() / MILLIS, 3).append(' ').append(record.getLevel().getName()).append(' ')
+            appendPadded(line, time.getHour(), 2).append(':');
+            appendPadded(line, time.getMinute(), 2).append(':');
+            appendPadded(line, time.getSecond(), 2).append('.');
+            appendPadded(line, time.getNano() / NANOS_PER_MILLI, 3).append(' ').append(record.getLevel().getName())
+                    .append(' ')
                     .append(record.getLoggerName()).append(": ").append(formatMessage(record)).append('\n');
             if (record.getThrown() != null) {
                 StringWriter trace = new StringWriter();
@@ -44,7 +45,7 @@
             return line.toString();
         }
 
-        private static StringBuilder padded(StringBuilder line, int number, int digits) {
+        private static StringBuilder appendPadded(StringBuilder line, int number, int digits) {
             String text = Integer.toString(number);
             return line.append("0".repeat(digits - text.length())).append(text);
         }
--- a/daemon/src/main/java/pathlane/config/file/CallerLimits.java
+++ b/daemon/src/main/java/pathlane/config/file/CallerLimits.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * What callers may take up: their connections together, and what one connection may do before it is closed. A caller
- * is owed a word or a close within 3 s, so each span is well inside that, but for {@code idle}.
+ * Limits for clients: the total number of their connections, and what one connection may do before it is closed. A client
+ * must get an answer or a close within 3 s, so each duration except {@code idle} is well below that.
  *
- * @param connections callers' connections at most; when there are no more, the one idle the longest gives way
+ * @param connections maximum number of client connections; beyond it, the connection idle the longest is closed
  * @param unfinished how long a message may take from its first byte to its last
- * @param unused how long a connection may stay silent on which no call ever stood, with no set-up open
- * @param idle how long one may stay silent on which calls stood, with none open or standing
- * @param messages messages that one connection may bring at once; more close it
- * @param messageEvery one more of these is allowed each time so long has passed
- * @param unwritten bytes that may wait for one connection's other side to read; more close it
- * @param faults set-ups that can't be used, on one connection; the next one closes it
- * @param unknownReleases releases of unknown calls from one connection that are passed on at once; more wait
- * @param unknownReleaseEvery one more of these is passed on each time so long has passed
+ * @param unused idle timeout of a connection on which no call was ever established and no call request is open
+ * @param idle idle timeout of a connection that had established calls and has no open or established call now
+ * @param messages burst size: messages that one connection may send at once; more close it
+ * @param messageEvery interval after which one more message is allowed
+ * @param unwritten maximum number of bytes buffered for a connection whose client does not read; more close it
+ * @param faults number of invalid call requests allowed on one connection; the next one closes it
+ * @param unknownReleases burst size: releases of unknown calls that one connection may have forwarded at once; more wait
+ * @param unknownReleaseEvery interval after which one more release of an unknown call is forwarded
  */
 public record CallerLimits(int connections, Duration unfinished, Duration unused, Duration idle, int messages,
         Duration messageEvery, int unwritten, int faults, int unknownReleases,
         Duration unknownReleaseEvery) {
 
-    /** The limits of callers that may hold so many connections. */
+    /** The default limits with this maximum number of connections. */
     static CallerLimits of(int connections) {
         return new CallerLimits(connections, Duration.ofMillis(1500), Duration.ofSeconds(2), Duration.ofSeconds(6), 5000,
                 Duration.ofNanos(200_000), 128 * 1024, 8, 100, Duration.ofMillis(20));
--- a/daemon/src/main/java/pathlane/config/file/CollectdConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/CollectdConfig.java
@@ -6,18 +6,18 @@
 import pathlane.config.SettingsReader;
 import pathlane.transport.Addresses;
 
-/** Where and how often counters are told to collectd. */
+/** Where and how often counters are reported to collectd. */
 public record CollectdConfig(InetSocketAddress address, Duration interval) {
 
-    private static final long INTERVAL_MS = 10_000;
+    private static final long DEFAULT_INTERVAL_MS = 10_000;
 
-    /** Reads the object {@code collectd} of a configuration, or gives null where there is none. */
+    /** Reads the object {@code collectd} of a configuration, or returns null if there is none. */
     static CollectdConfig read(JsonObject root) {
         if (!root.has("collectd")) {
             return null;
         }
         JsonObject collectd = SettingsReader.object(root, "collectd");
         return new CollectdConfig(Addresses.parse(NodeConfig.text(collectd, "address")),
-                NodeConfig.interval(collectd, "collectd", INTERVAL_MS));
+                NodeConfig.interval(collectd, "collectd", DEFAULT_INTERVAL_MS));
     }
 }
--- a/daemon/src/main/java/pathlane/config/file/ConfigFile.java
+++ b/daemon/src/main/java/pathlane/config/file/ConfigFile.java
@@ -5,12 +5,12 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** The file that RELAY_CONFIG names, and what it last said. On the loop's thread alone once the program serves. */
+/** The file that RELAY_CONFIG names and its last content. Confined to the event loop's thread once the program serves. */
 public final class ConfigFile {
 
     private final Path file;
-    /** The last text that was read, whether it could be used or not: nobody wants to hear of the same fault twice. */
-    private String last = "";
+    /** The last content read, valid or not, so that the same error is not reported twice. */
+    private String lastContent = "";
 
     public ConfigFile(Path file) {
         this.file = file;
@@ -19,32 +19,32 @@
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException with one plain sentence where it can't be used
+     * @throws IllegalArgumentException with a one-line message if it is invalid
      */
     public NodeConfig read() {
         try {
-            last = Files.readString(file);
+            lastContent = Files.readString(file);
         } catch (IOException e) {
             throw new IllegalArgumentException("the configuration " + file + " can't be read", e);
         }
         try {
-            NodeConfig config = NodeConfig.parse(last);
+            NodeConfig config = NodeConfig.parse(lastContent);
             config.descriptors().requireEnoughForProcess();
             return config;
         } catch (RuntimeException e) {
-            throw NodeConfig.unusable(file, e);
+            throw NodeConfig.invalidFile(file, e);
         }
     }
 
     /**
-     * What the file says, where it is not what it last said. A file that can't be read at all has said nothing new: it
-     * may be about to be replaced.
+     * Returns the configuration if the file's content has changed. A file that can't be read counts as unchanged: it may
+     * be about to be replaced.
      *
-     * @throws IllegalArgumentException with one plain sentence where it is new and can't be used
+     * @throws IllegalArgumentException with a one-line message if it has changed and is invalid
      */
     public Optional<NodeConfig> readIfChanged() {
         try {
-            if (Files.readString(file).equals(last)) {
+            if (Files.readString(file).equals(lastContent)) {
                 return Optional.empty();
             }
         } catch (IOException e) {
--- a/daemon/src/main/java/pathlane/config/file/Descriptors.java
+++ b/daemon/src/main/java/pathlane/config/file/Descriptors.java
@@ -1,55 +1,55 @@
 package pathlane.config.file;
 
 /**
- * How the descriptors that the program may hold are shared out. Callers and session servers each have a part of their
- * own, so that neither can starve the other; what is left is the program's: its files, its sockets that listen, the
- * event bus, and connections that are just closing.
+ * How the process's file descriptors are divided. Clients and session servers each have a share of their own, so that
+ * neither can starve the other; the rest is reserved for the process: its files, listening sockets, the event bus, and
+ * connections that are being closed.
  *
- * @param all how many the program may hold
- * @param callers connections of callers at most
- * @param servers connections to session servers at most, whatever their number: they are opened on demand
+ * @param limit maximum number of descriptors of the process
+ * @param callers maximum number of client connections
+ * @param servers maximum number of connections to session servers, however many there are: they are opened on demand
  */
-public record Descriptors(int all, int callers, int servers) {
+public record Descriptors(int limit, int callers, int servers) {
 
-    /** Where a configuration does not say how many descriptors the program may hold. */
-    private static final int USUAL = 1024;
-    /** A start on the platform holds some 13; the others are for connections that are closing or have just been accepted. */
-    private static final int OWN = 48;
-    /** Callers hold at most a third, by the platform's protocol. */
-    private static final int CALLERS_PART = 3;
-    /** Closed by callers and not yet here. */
+    /** The limit if the configuration sets none. */
+    private static final int DEFAULT_LIMIT = 1024;
+    /** A start on the platform uses about 13; the others are for connections being closed or just accepted. */
+    private static final int RESERVED = 48;
+    /** Clients hold at most a third, by the platform's protocol. */
+    private static final int CLIENT_DIVISOR = 3;
+    /** Connections that clients have closed and this process has not closed yet. */
     private static final int CLOSING = 16;
-    /** With fewer there is nothing to share out. */
-    private static final int LEAST = 12;
+    /** With fewer there is nothing to divide. */
+    private static final int MIN_LIMIT = 12;
     /**
-     * With fewer a process may run out: it holds 13 without any connection, and half of them are callers' and servers'.
-     * {@code DescriptorsTest} plays the program with just so many.
+     * With fewer the process may run out: it holds 13 without any connection, and half of all go to clients and servers.
+     * {@code DescriptorsTest} runs the program with exactly this many.
      */
-    private static final int LEAST_OF_PROCESS = 48;
+    private static final int MIN_PROCESS_LIMIT = 48;
 
-    static Descriptors within(int all) {
-        if (all < LEAST) {
-            throw new IllegalArgumentException("limits.sockets is too small to serve with: " + all + ", at least "
-                    + LEAST + " are needed");
+    static Descriptors forLimit(int limit) {
+        if (limit < MIN_LIMIT) {
+            throw new IllegalArgumentException("limits.sockets is too small to serve with: " + limit + ", at least "
+                    + MIN_LIMIT + " are needed");
         }
-        int left = all - Math.min(OWN, all / 2);
-        int callers = Math.min(all / CALLERS_PART + CLOSING, left / 2);
-        return new Descriptors(all, callers, left - callers);
+        int available = limit - Math.min(RESERVED, limit / 2);
+        int clients = Math.min(limit / CLIENT_DIVISOR + CLOSING, available / 2);
+        return new Descriptors(limit, clients, available - clients);
     }
 
     /**
-     * Refuses what a process can't serve with.
+     * Checks that there are enough to serve with.
      *
-     * @throws IllegalArgumentException with one plain sentence where there are too few
+     * @throws IllegalArgumentException with a one-line message if there are too few
      */
     void requireEnoughForProcess() {
-        if (all < LEAST_OF_PROCESS) {
-            throw new IllegalArgumentException("limits.sockets is too small to serve with: " + all + ", at least "
-                    + LEAST_OF_PROCESS + " are needed");
+        if (limit < MIN_PROCESS_LIMIT) {
+            throw new IllegalArgumentException("limits.sockets is too small to serve with: " + limit + ", at least "
+                    + MIN_PROCESS_LIMIT + " are needed");
         }
     }
 
-    static Descriptors usual() {
-        return within(USUAL);
+    static Descriptors forDefaultLimit() {
+        return forLimit(DEFAULT_LIMIT);
     }
 }
--- a/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
@@ -15,34 +15,34 @@
 import pathlane.transport.Addresses;
 
 /**
- * What the Diameter front is told: who it is, where it listens, its server peers and its classes.
+ * Configuration of the Diameter front: its identity, listen address, server peers and call classes.
  *
- * @param callers what clients may take up, from the descriptors in {@code limits}
- * @param graphite where counters are told, or null
- * @param collectd where counters are told too, or null
+ * @param callers limits for clients, derived from the descriptors in {@code limits}
+ * @param graphite where counters are reported to Graphite, or null
+ * @param collectd where counters are reported to collectd, or null
  */
-public record DiameterConfig(String host, String realm, InetSocketAddress listen, Duration watchdog,
+public record DiameterConfig(String host, String realm, InetSocketAddress listen, Duration watchdogInterval,
         List<Peer> peers, List<ServiceClass> classes, Settings settings,
         CallerLimits callers, GraphiteConfig graphite, CollectdConfig collectd) {
 
-    /** RFC 3539 allows no less. */
-    private static final Duration LEAST_WATCHDOG = Duration.ofSeconds(6);
+    /** The minimum that RFC 3539 allows. */
+    private static final Duration MIN_WATCHDOG_INTERVAL = Duration.ofSeconds(6);
 
-    /** A peer at which calls are set up; its place in the list is its cell. */
-    public record Peer(long id, String host, InetSocketAddress address, int cell) {}
+    /** A server peer; its index in the list is its pool. */
+    public record Peer(long id, String host, InetSocketAddress address, int pool) {}
 
     /**
-     * How requests of a class are known, and how long their senders wait.
+     * How requests of a call class are recognized, and how long their senders wait for an answer.
      *
-     * @param service the Service-Identifier, or -1 for requests that bear none or one that is not listed
-     * @param index the class's place in the settings
+     * @param service the Service-Identifier, or -1 for requests with none or with one that is not listed
+     * @param classIndex the class's index in the settings
      */
-    public record ServiceClass(int service, int index, Duration patience) {}
+    public record ServiceClass(int service, int classIndex, Duration timeout) {}
 
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException with one plain sentence where it can't be used
+     * @throws IllegalArgumentException with a one-line message if it is invalid
      */
     public static DiameterConfig read(Path file) {
         try {
@@ -50,7 +50,7 @@
         } catch (IOException e) {
             throw new IllegalArgumentException("the configuration " + file + " can't be read", e);
         } catch (RuntimeException e) {
-            throw NodeConfig.unusable(file, e);
+            throw NodeConfig.invalidFile(file, e);
         }
     }
 
@@ -67,22 +67,22 @@
         }
         List<ServiceClass> classes = new ArrayList<>();
         for (JsonElement element : SettingsReader.array(root, "classes")) {
-            JsonObject one = element.getAsJsonObject();
-            String name = NodeConfig.text(one, "name");
+            JsonObject serviceClass = element.getAsJsonObject();
+            String name = NodeConfig.text(serviceClass, "name");
             int index = settings.indexOfClass(name);
             if (index < 0) {
                 throw new IllegalArgumentException("class '" + name + "' is not in the settings");
             }
-            classes.add(new ServiceClass(one.has("service") ? one.get("service").getAsInt() : -1, index,
-                    Duration.ofMillis(one.get("patience-ms").getAsLong())));
+            classes.add(new ServiceClass(serviceClass.has("service") ? serviceClass.get("service").getAsInt() : -1, index,
+                    Duration.ofMillis(serviceClass.get("patience-ms").getAsLong())));
         }
-        Duration watchdog = Duration.ofMillis(root.has("watchdog-ms") ? root.get("watchdog-ms").getAsLong()
+        Duration watchdogInterval = Duration.ofMillis(root.has("watchdog-ms") ? root.get("watchdog-ms").getAsLong()
                 : 30_000);
-        if (watchdog.compareTo(LEAST_WATCHDOG) < 0) {
-            throw new IllegalArgumentException("watchdog-ms is under the 6000 that RFC 3539 asks for");
+        if (watchdogInterval.compareTo(MIN_WATCHDOG_INTERVAL) < 0) {
+            throw new IllegalArgumentException("watchdog-ms is below the minimum of 6000 that RFC 3539 requires");
         }
         DiameterConfig config = new DiameterConfig(NodeConfig.text(root, "host"), NodeConfig.text(root, "realm"),
-                Addresses.parse(NodeConfig.text(root, "listen")), watchdog, List.copyOf(peers),
+                Addresses.parse(NodeConfig.text(root, "listen")), watchdogInterval, List.copyOf(peers),
                 List.copyOf(classes), settings, CallerLimits.of(descriptors.callers()), GraphiteConfig.read(root),
                 CollectdConfig.read(root));
         config.classOf(-1);
@@ -91,17 +91,18 @@
 
     /** The class of requests with this Service-Identifier. */
     public ServiceClass classOf(int service) {
-        return classes.stream().filter(one -> one.service() == service).findFirst()
-                .or(() -> classes.stream().filter(one -> one.service() == -1).findFirst())
-                .orElseThrow(() -> new IllegalArgumentException("no class is for requests without a service"));
+        return classes.stream().filter(serviceClass -> serviceClass.service() == service).findFirst()
+                .or(() -> classes.stream().filter(serviceClass -> serviceClass.service() == -1).findFirst())
+                .orElseThrow(() -> new IllegalArgumentException(
+                        "no class without a service, for requests with none or an unlisted one"));
     }
 
     public Peer peer(long id) {
         return peers.stream().filter(peer -> peer.id() == id).findFirst().orElseThrow();
     }
 
-    /** The cell of the peer with this name, or -1. */
-    public int cellOf(String host) {
-        return peers.stream().filter(peer -> peer.host().equals(host)).mapToInt(Peer::cell).findFirst().orElse(-1);
+    /** The pool of the peer with this host name, or -1. */
+    public int poolOf(String host) {
+        return peers.stream().filter(peer -> peer.host().equals(host)).mapToInt(Peer::pool).findFirst().orElse(-1);
     }
 }
--- a/daemon/src/main/java/pathlane/config/file/ServerLimits.java
+++ b/daemon/src/main/java/pathlane/config/file/ServerLimits.java
@@ -3,25 +3,26 @@
 import java.time.Duration;
 
 /**
- * What is expected of connections to a session server.
+ * Limits and timeouts for connections to a session server.
  *
- * @param connections to one server at most
+ * @param connections maximum number to one server
  * @param unfinished how long a message may take from its first byte to its last
- * @param overtaken a set-up on whose connection nothing came since is lost once one that was sent so much later is
- *                  answered on another connection: servers take set-ups in turn
- * @param waitingReleases releases that wait for a connection to one server
- * @param waitingUnknown releases of calls that are not known, waiting for a connection to one server
- * @param silence a server tells its free lines all the time; after so long without a word, and two of its periods, a
- *                connection may be dead
- * @param lines how often servers tell their lines at the most. After one and a half of the period that is seen, a server
- *              that has not may have begun to drain. The bus may say so over a second later than it counts as told, and a
- *              second after that nothing new may go there
- * @param linesFirst the most that the first wait between two such times can say of their period, while it is the only one
- * @param linesVary what the lines' way may vary by. While the bus is not heard, a server that has not told its lines for a
- *                  period and this may drain: they may have been the last thing before its drain was told, which leaves
- *                  the second of the rule
- * @param unreached a server that could not be reached for so long has no calls any more: an end is owed within 8 s
- * @param firstLines how long a server's first lines on a new connection are waited for then
+ * @param overtaken a call request counts as lost if its connection has been silent since and a request sent this much
+ *                  later is answered on another connection: servers process requests in order
+ * @param waitingReleases maximum number of releases that wait for a connection to one server
+ * @param waitingUnknown maximum number of releases of unknown calls that wait for a connection to one server
+ * @param silence servers send capacity reports (free slots) continuously; after this long without any message, and two
+ *                report periods, a connection may be dead
+ * @param lines maximum period of capacity reports. A server without a report for one and a half of its observed period
+ *              may have begun to drain. The event bus may announce the drain over a second after it takes effect, and one
+ *              second after it takes effect no new request may be sent there
+ * @param linesFirst upper bound for the period estimate while only one interval between two reports has been observed
+ * @param linesVary allowed variation of a report's transit time. While the event bus is silent, a server without a report
+ *                  for a period plus this may be draining: its last report may have been sent just before the drain was
+ *                  announced, after which new requests are allowed for one more second
+ * @param unreached a server unreachable for this long is assumed to have lost its calls: their release must be reported
+ *                  to clients within 8 s
+ * @param firstLines how long to wait, in that case, for a server's first capacity report on a new connection
  */
 public record ServerLimits(int connections, Duration unfinished, Duration overtaken, int waitingReleases,
         int waitingUnknown, Duration silence, Duration lines, Duration linesFirst, Duration linesVary,
--- a/daemon/src/main/java/pathlane/diameter/Avp.java
+++ b/daemon/src/main/java/pathlane/diameter/Avp.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** One attribute-value pair (RFC 6733, section 4); the vendor is nought where there is none. */
+/** One attribute-value pair (RFC 6733, section 4); the vendor id is zero if there is none. */
 record Avp(int code, int flags, int vendor, byte[] data) {
 
     static final int HOST_IP_ADDRESS = 257;
@@ -30,11 +30,11 @@
 
     static final int MANDATORY = 0x40;
     private static final int VENDOR_SPECIFIC = 0x80;
-    private static final int RESERVED = 0x1f;
-    private static final int HEAD = 8;
-    private static final int PAD = 4;
-    private static final int BYTE = 8;
-    private static final int IP_V4 = 1;
+    private static final int RESERVED_FLAGS = 0x1f;
+    private static final int HEADER_BYTES = 8;
+    private static final int ALIGNMENT_BYTES = 4;
+    private static final int BITS_PER_BYTE = 8;
+    private static final int ADDRESS_FAMILY_IPV4 = 1;
 
     static Avp of(int code, String text) {
         return new Avp(code, MANDATORY, 0, text.getBytes(StandardCharsets.UTF_8));
@@ -50,31 +50,32 @@
 
     /** An Address of the IPv4 family. */
     static Avp address(int code, byte[] ip) {
-        return new Avp(code, MANDATORY, 0, ByteBuffer.allocate(2 + ip.length).putShort((short) IP_V4).put(ip)
+        return new Avp(code, MANDATORY, 0, ByteBuffer.allocate(2 + ip.length).putShort((short) ADDRESS_FAMILY_IPV4).put(ip)
                 .array());
     }
 
-    /** Reads one; its faults are told by result code, with what could be read of it. */
+    /** Reads one AVP; an error has a result code and the part of the AVP that could be read. */
     static Avp read(ByteBuffer from) {
-        if (from.remaining() < HEAD) {
+        if (from.remaining() < HEADER_BYTES) {
             byte[] rest = new byte[from.remaining()];
             from.get(rest);
-            throw new Fault(ResultCode.INVALID_AVP_LENGTH, new Avp(0, 0, 0, rest), "an AVP that is cut short");
+            throw new DiameterException(ResultCode.INVALID_AVP_LENGTH, new Avp(0, 0, 0, rest), "truncated AVP header");
         }
         int code = from.getInt();
         int flagsAndLength = from.getInt();
-        int flags = flagsAndLength >>> Integer.SIZE - BYTE;
+        int flags = flagsAndLength >>> Integer.SIZE - BITS_PER_BYTE;
         int length = flagsAndLength & 0xffffff;
-        int head = (flags & VENDOR_SPECIFIC) == 0 ? HEAD : HEAD + Integer.BYTES;
-        if (length < head || length - HEAD > from.remaining()) {
-            throw new Fault(ResultCode.INVALID_AVP_LENGTH, new Avp(code, flags & ~VENDOR_SPECIFIC, 0, new byte[0]),
+        int headerBytes = (flags & VENDOR_SPECIFIC) == 0 ? HEADER_BYTES : HEADER_BYTES + Integer.BYTES;
+        if (length < headerBytes || length - HEADER_BYTES > from.remaining()) {
+            throw new DiameterException(ResultCode.INVALID_AVP_LENGTH,
+                    new Avp(code, flags & ~VENDOR_SPECIFIC, 0, new byte[0]),
                     "AVP " + code + " of " + length + " bytes");
         }
-        int vendor = head == HEAD ? 0 : from.getInt();
-        byte[] data = new byte[length - head];
+        int vendor = headerBytes == HEADER_BYTES ? 0 : from.getInt();
+        byte[] data = new byte[length - headerBytes];
         from.get(data);
-        if ((flags & RESERVED) != 0) {
-            throw new Fault(ResultCode.INVALID_AVP_BITS, new Avp(code, flags & ~RESERVED, vendor, data),
+        if ((flags & RESERVED_FLAGS) != 0) {
+            throw new DiameterException(ResultCode.INVALID_AVP_BITS, new Avp(code, flags & ~RESERVED_FLAGS, vendor, data),
                     "AVP " + code + " with reserved bits");
         }
         from.position(from.position() + Math.min(padding(length), from.remaining()));
@@ -82,11 +83,11 @@
     }
 
     byte[] bytes() {
-        int head = vendor == 0 ? HEAD : HEAD + Integer.BYTES;
-        int length = head + data.length;
+        int headerBytes = vendor == 0 ? HEADER_BYTES : HEADER_BYTES + Integer.BYTES;
+        int length = headerBytes + data.length;
         ByteBuffer out = ByteBuffer.allocate(length + padding(length));
         int vendorFlag = vendor == 0 ? 0 : VENDOR_SPECIFIC;
-        out.putInt(code).putInt((flags & ~VENDOR_SPECIFIC | vendorFlag) << Integer.SIZE - BYTE | length);
+        out.putInt(code).putInt((flags & ~VENDOR_SPECIFIC | vendorFlag) << Integer.SIZE - BITS_PER_BYTE | length);
         if (vendor != 0) {
             out.putInt(vendor);
         }
@@ -94,17 +95,17 @@
     }
 
     private static int padding(int length) {
-        return (PAD - length % PAD) % PAD;
+        return (ALIGNMENT_BYTES - length % ALIGNMENT_BYTES) % ALIGNMENT_BYTES;
     }
 
     String text() {
         return new String(data, StandardCharsets.UTF_8);
     }
 
-    /** The value as a number of four bytes. */
+    /** The value as a 32-bit number. */
     int number() {
         if (data.length != Integer.BYTES) {
-            throw new Fault(ResultCode.INVALID_AVP_LENGTH, this, "AVP " + code + " is not a number of four bytes");
+            throw new DiameterException(ResultCode.INVALID_AVP_LENGTH, this, "AVP " + code + " is not a 32-bit number");
         }
         return ByteBuffer.wrap(data).getInt();
     }
--- a/daemon/src/main/java/pathlane/diameter/ClientPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ClientPeer.java
@@ -17,8 +17,8 @@
 import pathlane.decision.Outcome;
 
 /**
- * One connection from a Diameter client: an initial Credit-Control-Request is a set-up, its answer the one final
- * answer, a termination the release of a call that stands.
+ * One connection from a Diameter client: an initial Credit-Control-Request is a call request, its answer the call's only
+ * final answer, and a termination request the release of an established call.
  */
 final class ClientPeer implements ClientPort, PeerSession.Handler, Watchdog.Actions {
 
@@ -32,36 +32,36 @@
     private final Watchdog watchdog;
     private final Scheduler scheduler;
     private final RandomGenerator random;
-    private final Map<String, DiameterMessage> unanswered = new HashMap<>();
-    /** Updates without an answer, by their ids for the whole way. */
-    private final Map<Integer, DiameterMessage> updates = new HashMap<>();
-    private final Consumer<ClientPeer> gone;
+    private final Map<String, DiameterMessage> unansweredRequests = new HashMap<>();
+    /** Unanswered update requests by end-to-end id. */
+    private final Map<Integer, DiameterMessage> unansweredUpdates = new HashMap<>();
+    private final Consumer<ClientPeer> onClosed;
     private PeerSession session;
 
-    /** {@code gone} hears that the connection has ended. */
+    /** {@code gone} is called when the connection has closed. */
     ClientPeer(CallController controller, DiameterConfig config, LocalNode local, Scheduler scheduler,
-            RandomGenerator random, Consumer<ClientPeer> gone) {
-        this.gone = gone;
+            RandomGenerator random, Consumer<ClientPeer> onClosed) {
+        this.onClosed = onClosed;
         this.controller = controller;
         this.config = config;
         this.local = local;
         this.scheduler = scheduler;
         this.random = random;
-        this.watchdog = new Watchdog(config.watchdog(), scheduler, random, this);
+        this.watchdog = new Watchdog(config.watchdogInterval(), scheduler, random, this);
     }
 
     // ---- from the connection
 
     @Override
     public int accept(String host) {
-        // A node that this one dials would be met twice: that connection wins (RFC 6733, section 5.6.4).
+        // This node itself connects to server peers, and that connection wins over a second one (RFC 6733, section 5.6.4).
         return config.peers().stream().anyMatch(peer -> peer.host().equals(host)) ? ResultCode.ELECTION_LOST
                 : ResultCode.SUCCESS;
     }
 
     @Override
-    public void opened(PeerSession up) {
-        session = up;
+    public void opened(PeerSession openedSession) {
+        session = openedSession;
         watchdog.connectionUp();
         controller.clientConnected(this);
     }
@@ -69,7 +69,7 @@
     @Override
     public void request(PeerSession from, DiameterMessage request) {
         if (request.command() != DiameterMessage.CREDIT_CONTROL) {
-            throw new Fault(ResultCode.COMMAND_UNSUPPORTED, null, "command " + request.command());
+            throw new DiameterException(ResultCode.COMMAND_UNSUPPORTED, null, "command " + request.command());
         }
         for (int code : new int[] {Avp.SESSION_ID, Avp.ORIGIN_HOST, Avp.ORIGIN_REALM, Avp.DESTINATION_REALM,
                 Avp.AUTH_APPLICATION_ID, Avp.SERVICE_CONTEXT_ID, Avp.CC_REQUEST_NUMBER}) {
@@ -79,54 +79,55 @@
         String call = request.require(Avp.SESSION_ID).text();
         Avp type = request.require(Avp.CC_REQUEST_TYPE);
         switch (type.number()) {
-            case INITIAL -> setUp(call, request);
-            case UPDATE -> update(call, request);
+            case INITIAL -> submit(call, request);
+            case UPDATE -> forwardUpdate(call, request);
             case TERMINATION -> {
                 boolean known = controller.clientReleased(call, forwarded(request).bytes(), this);
                 from.send(answer(request, known ? ResultCode.SUCCESS : ResultCode.UNKNOWN_SESSION_ID,
                         Duration.ZERO));
             }
-            default -> throw new Fault(ResultCode.INVALID_AVP_VALUE, type, "request type " + type.number());
+            default -> throw new DiameterException(ResultCode.INVALID_AVP_VALUE, type, "request type " + type.number());
         }
     }
 
-    private void setUp(String call, DiameterMessage request) {
-        DiameterConfig.ServiceClass asked = serviceOf(request);
-        Avp wanted = request.find(Avp.DESTINATION_HOST);
-        CallRequest setUp = new CallRequest(call, asked.index(), number(call, request), asked.patience(),
-                config.cellOf(wanted == null ? "" : wanted.text()), forwarded(request).bytes());
-        DiameterMessage earlier = unanswered.put(call, request);
-        if (controller.submit(setUp, this)) {
+    private void submit(String call, DiameterMessage request) {
+        DiameterConfig.ServiceClass serviceClass = serviceOf(request);
+        Avp destinationHost = request.find(Avp.DESTINATION_HOST);
+        CallRequest callRequest =
+                new CallRequest(call, serviceClass.classIndex(), subscriberOf(call, request), serviceClass.timeout(),
+                        config.poolOf(destinationHost == null ? "" : destinationHost.text()), forwarded(request).bytes());
+        DiameterMessage earlier = unansweredRequests.put(call, request);
+        if (controller.submit(callRequest, this)) {
             return;
         }
         if (earlier != null) {
-            unanswered.put(call, earlier);
-        } else if (controller.resubmit(setUp, this)) {
-            return;   // sent once more after a failover: the answer comes here
+            unansweredRequests.put(call, earlier);
+        } else if (controller.resubmit(callRequest, this)) {
+            return;   // resent by the client after a failover: the answer goes to this connection
         } else {
-            unanswered.remove(call);
+            unansweredRequests.remove(call);
         }
-        // A session that is open or stands is not begun again, and its answer goes to nobody else.
+        // A session that is open or established is not started again, and no other connection gets its answer.
         session.send(answer(request, ResultCode.UNABLE_TO_COMPLY, Duration.ZERO));
     }
 
-    /** An update goes to the server at which the session stands, and its answer comes back; or the client hears why. */
-    private void update(String call, DiameterMessage request) {
+    /** Forwards an update to the server of the established session; an error answer tells the client if that fails. */
+    private void forwardUpdate(String call, DiameterMessage request) {
         if (!controller.isEstablished(call)) {
             session.send(answer(request, ResultCode.UNKNOWN_SESSION_ID, Duration.ZERO));
             return;
         }
         int id = request.endToEnd();
-        updates.put(id, request);
+        unansweredUpdates.put(id, request);
         if (controller.forwardToServer(call, forwarded(request).bytes())) {
-            scheduler.after(serviceOf(request).patience(), () -> undelivered(id, request));
+            scheduler.after(serviceOf(request).timeout(), () -> rejectUndelivered(id, request));
         } else {
-            undelivered(id, request);
+            rejectUndelivered(id, request);
         }
     }
 
-    private void undelivered(int id, DiameterMessage request) {
-        if (updates.remove(id, request) && session.isOpen()) {
+    private void rejectUndelivered(int id, DiameterMessage request) {
+        if (unansweredUpdates.remove(id, request) && session.isOpen()) {
             session.send(answer(request, ResultCode.UNABLE_TO_DELIVER, Duration.ZERO));
         }
     }
@@ -136,8 +137,8 @@
         return config.classOf(service == null ? -1 : service.number());
     }
 
-    /** The subscriber, or the call itself where none is named. */
-    private static String number(String call, DiameterMessage request) {
+    /** The subscriber's id, or the call's id if the request names no subscriber. */
+    private static String subscriberOf(String call, DiameterMessage request) {
         Avp subscription = request.find(Avp.SUBSCRIPTION_ID);
         if (subscription == null) {
             return call;
@@ -151,7 +152,7 @@
         return call;
     }
 
-    /** A request as it goes on: it says by whom it came here (RFC 6733, section 6.1.9). */
+    /** The request as it is forwarded, with a Route-Record of the peer that sent it (RFC 6733, section 6.1.9). */
     private DiameterMessage forwarded(DiameterMessage request) {
         List<Avp> avps = new ArrayList<>(request.avps());
         avps.add(Avp.of(Avp.ROUTE_RECORD, session.peer()));
@@ -160,7 +161,7 @@
 
     @Override
     public void answer(PeerSession from, DiameterMessage answer) {
-        // Nothing of the application is asked of clients but aborts, whose answers change nothing.
+        // The only application requests sent to clients are aborts, whose answers change nothing.
     }
 
     @Override
@@ -169,17 +170,17 @@
     }
 
     @Override
-    public void closed(PeerSession ended, CloseReason end) {
+    public void closed(PeerSession closedSession, CloseReason reason) {
         watchdog.stop();
-        gone.accept(this);
+        onClosed.accept(this);
         if (session != null) {
-            unanswered.clear();
-            updates.clear();
+            unansweredRequests.clear();
+            unansweredUpdates.clear();
             controller.clientDisconnected(this);
         }
     }
 
-    /** Parts from the client in order. */
+    /** Disconnects from the client gracefully. */
     void disconnect() {
         if (session != null) {
             session.disconnect();
@@ -189,42 +190,42 @@
     // ---- towards the client
 
     @Override
-    public void answer(String call, byte[] description) {
-        sendBack(unanswered.remove(call), DiameterMessage.read(ByteBuffer.wrap(description)));
+    public void answer(String call, byte[] content) {
+        sendBack(unansweredRequests.remove(call), DiameterMessage.read(ByteBuffer.wrap(content)));
     }
 
     @Override
     public void superseded(String call) {
-        unanswered.remove(call);
+        unansweredRequests.remove(call);
     }
 
     @Override
     public void forwardReply(String call, byte[] content) {
         DiameterMessage answer = DiameterMessage.read(ByteBuffer.wrap(content));
-        DiameterMessage request = updates.remove(answer.endToEnd());
+        DiameterMessage request = unansweredUpdates.remove(answer.endToEnd());
         if (request != null) {
             sendBack(request, answer);
         }
     }
 
-    /** A server's answer goes back unchanged but for the ids, which are those of the request. */
+    /** Returns a server's answer unchanged except for the ids, which are those of the client's request. */
     private void sendBack(DiameterMessage request, DiameterMessage answer) {
         session.send(new DiameterMessage(answer.flags(), answer.command(), answer.application(),
                 request.hopByHop(), request.endToEnd(), answer.avps()));
     }
 
     @Override
-    public void reject(String call, Duration comeBackAfter) {
-        session.send(answer(unanswered.remove(call), ResultCode.TOO_BUSY, comeBackAfter));
+    public void reject(String call, Duration retryDelay) {
+        session.send(answer(unansweredRequests.remove(call), ResultCode.TOO_BUSY, retryDelay));
     }
 
     @Override
     public void fail(String call) {
-        session.send(answer(unanswered.remove(call), ResultCode.UNABLE_TO_DELIVER, Duration.ZERO));
+        session.send(answer(unansweredRequests.remove(call), ResultCode.UNABLE_TO_DELIVER, Duration.ZERO));
     }
 
     @Override
-    public void release(String call, Outcome how) {
+    public void release(String call, Outcome outcome) {
         List<Avp> avps = List.of(Avp.of(Avp.SESSION_ID, call), Avp.of(Avp.ORIGIN_HOST, local.host()),
                 Avp.of(Avp.ORIGIN_REALM, local.realm()), Avp.of(Avp.DESTINATION_REALM, session.realm()),
                 Avp.of(Avp.DESTINATION_HOST, session.peer()),
@@ -242,19 +243,19 @@
 
     @Override
     public boolean isSameClient(ClientPort other) {
-        // Another client's connection is no way to this one.
+        // An answer must not go to a connection of another client.
         return other != null && other.clientKey().equals(session.peer());
     }
 
-    private DiameterMessage answer(DiameterMessage request, int result, Duration comeBackAfter) {
-        List<Avp> more = new ArrayList<>(List.of(
+    private DiameterMessage answer(DiameterMessage request, int result, Duration retryDelay) {
+        List<Avp> avps = new ArrayList<>(List.of(
                 Avp.of(Avp.AUTH_APPLICATION_ID, DiameterMessage.CREDIT_CONTROL_APPLICATION),
                 request.require(Avp.CC_REQUEST_TYPE), request.require(Avp.CC_REQUEST_NUMBER)));
-        if (comeBackAfter.compareTo(Duration.ZERO) > 0) {
-            // Validity-Time counts whole seconds; a refused request is not tried again before they are over.
-            more.add(Avp.of(Avp.VALIDITY_TIME, (int) comeBackAfter.plusMillis(999).toSeconds()));
+        if (retryDelay.compareTo(Duration.ZERO) > 0) {
+            // Validity-Time is in seconds, so round up: the client must not retry before the retry delay is over.
+            avps.add(Avp.of(Avp.VALIDITY_TIME, (int) retryDelay.plusMillis(999).toSeconds()));
         }
-        return request.answer(result, local, more);
+        return request.answer(result, local, avps);
     }
 
     // ---- from the watchdog
@@ -266,12 +267,12 @@
 
     @Override
     public void failOver() {
-        // Requests of a silent client are served on; its connection is closed if it stays silent.
+        // Requests of a suspect client are still served; its connection is closed if it stays silent.
     }
 
     @Override
     public void failBack() {
-        // Nothing was held back.
+        // failOver() holds nothing back.
     }
 
     @Override
@@ -281,6 +282,6 @@
 
     @Override
     public void attemptOpen() {
-        // Clients dial.
+        // Clients open the connections.
     }
 }
--- a/daemon/src/main/java/pathlane/diameter/DiameterFront.java
+++ b/daemon/src/main/java/pathlane/diameter/DiameterFront.java
@@ -16,7 +16,7 @@
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
 
-/** The Diameter front of a call controller: its clients, its server peers, and the list that these make up. */
+/** The Diameter front of a call controller: its clients, its server peers, and the server list made of these peers. */
 public final class DiameterFront {
 
     private final DiameterConfig config;
@@ -27,29 +27,29 @@
     private final Map<Long, ServerPeer> servers = new HashMap<>();
     private final List<ClientPeer> clients = new ArrayList<>();
 
-    /** In no group. */
-    public DiameterFront(DiameterConfig config, long seed, Connector dialer, Scheduler scheduler,
+    /** Creates a front without call replication. */
+    public DiameterFront(DiameterConfig config, long seed, Connector connector, Scheduler scheduler,
             RandomGenerator random) {
-        this(config, seed, dialer, scheduler, random, CallReplication.NONE);
+        this(config, seed, connector, scheduler, random, CallReplication.NONE);
     }
 
-    /** {@code replication} keeps records of calls elsewhere. */
-    public DiameterFront(DiameterConfig config, long seed, Connector dialer, Scheduler scheduler,
+    /** Creates a front whose calls are replicated by {@code replication}. */
+    public DiameterFront(DiameterConfig config, long seed, Connector connector, Scheduler scheduler,
             RandomGenerator random, CallReplication replication) {
         this.config = config;
         this.scheduler = scheduler;
         this.random = random;
         this.local = new LocalNode(config.host(), config.realm(), config.listen().getAddress().getAddress(),
                 config.callers(), new RateLimitedLog("diameter", scheduler));
-        // Guards the rule of one attempt: a request that is given up may still run, and stays out.
-        this.controller = new CallController(config.settings().withoutCancellation(), seed, scheduler, line -> {
-            DiameterConfig.Peer peer = config.peer(line.id());
-            ServerPeer port = new ServerPeer(peer, local, config.watchdog(), this::controller, dialer, scheduler,
-                    random, available -> list(peer, available));
-            servers.put(line.id(), port);
+        // Allows one attempt at a time: a request that timed out may still be running, so it stays outstanding.
+        this.controller = new CallController(config.settings().withoutCancellation(), seed, scheduler, endpoint -> {
+            DiameterConfig.Peer peer = config.peer(endpoint.id());
+            ServerPeer port = new ServerPeer(peer, local, config.watchdogInterval(), this::controller, connector, scheduler,
+                    random, available -> updateAvailability(peer, available));
+            servers.put(endpoint.id(), port);
             return port;
         }, replication);
-        controller.updateServers(true, config.peers().stream().map(peer -> line(peer, false)).toList());
+        controller.updateServers(true, config.peers().stream().map(peer -> endpoint(peer, false)).toList());
     }
 
     public CallController controller() {
@@ -63,20 +63,20 @@
         return new PeerSession(false, local, scheduler, random, client);
     }
 
-    /** Parts from all peers in order. */
+    /** Disconnects from all peers gracefully. */
     public void disconnect() {
         List.copyOf(clients).forEach(ClientPeer::disconnect);
         servers.values().forEach(ServerPeer::disconnect);
     }
 
-    /** A peer that takes nothing new is listed like one that drains: what is out there goes on. */
-    private void list(DiameterConfig.Peer peer, boolean available) {
-        controller.updateServers(false, List.of(line(peer, available)));
+    /** Lists an unavailable peer as draining: it gets no new request, and its outstanding requests continue. */
+    private void updateAvailability(DiameterConfig.Peer peer, boolean available) {
+        controller.updateServers(false, List.of(endpoint(peer, available)));
     }
 
-    private static ServerEndpoint line(DiameterConfig.Peer peer, boolean available) {
+    private static ServerEndpoint endpoint(DiameterConfig.Peer peer, boolean available) {
         return new ServerEndpoint(peer.id(), peer.address(), available ? ServerStatus.RUNNING : ServerStatus.DRAINING,
-                peer.cell(), 1,
+                peer.pool(), 1,
                 Instant.EPOCH);
     }
 }
--- a/daemon/src/main/java/pathlane/diameter/LocalNode.java
+++ b/daemon/src/main/java/pathlane/diameter/LocalNode.java
@@ -5,16 +5,16 @@
 import pathlane.transport.RateLimitedLog;
 
 /**
- * Who this node is to its peers, and what it allows them.
+ * This node's identity towards its peers, and the limits it sets them.
  *
- * @param log for what peers can bring about at will
+ * @param log rate-limited, for messages that peers can trigger at will
  */
 record LocalNode(String host, String realm, byte[] address, CallerLimits limits, RateLimitedLog log) {
 
     private static final String PRODUCT = "pathlane";
 
-    /** The AVPs by which it introduces itself in a capabilities exchange. */
-    List<Avp> introduction() {
+    /** The AVPs that describe this node in a capabilities exchange. */
+    List<Avp> capabilities() {
         return List.of(Avp.address(Avp.HOST_IP_ADDRESS, address), Avp.of(Avp.VENDOR_ID, 0),
                 new Avp(Avp.PRODUCT_NAME, 0, 0, PRODUCT.getBytes(java.nio.charset.StandardCharsets.UTF_8)),
                 Avp.of(Avp.AUTH_APPLICATION_ID, DiameterMessage.CREDIT_CONTROL_APPLICATION));
--- a/daemon/src/main/java/pathlane/diameter/PeerSession.java
+++ b/daemon/src/main/java/pathlane/diameter/PeerSession.java
@@ -18,68 +18,68 @@
 import pathlane.transport.RateLimiter;
 
 /**
- * One connection with a peer: capabilities exchange, the base protocol's own requests, and the ids that pair
- * answers with requests. What concerns calls goes to its {@link Handler}.
+ * One connection with a peer: capabilities exchange, requests of the base protocol, and the ids that match answers to
+ * requests. Messages that concern calls go to its {@link Handler}.
  */
 final class PeerSession implements Protocol {
 
-    /** What a connection brings to those above it. */
+    /** Receives the events of a connection. */
     interface Handler {
-        /** The capabilities are exchanged. Says why the peer is not wanted by a result code, or success. */
+        /** Decides during the capabilities exchange whether to accept the peer: returns success or an error result code. */
         int accept(String host);
 
         void opened(PeerSession session);
 
-        /** A request of the application, or an abort; its faults are answered. */
+        /** Handles an application request or an abort; a {@link DiameterException} that it throws is answered. */
         void request(PeerSession session, DiameterMessage request);
 
         /** An answer of the application. */
         void answer(PeerSession session, DiameterMessage answer);
 
-        /** A sign of life; {@code watchdog} where it is the answer to a watchdog. */
-        void messageReceived(boolean watchdog);
+        /** Any message arrived; {@code watchdog} if it is a watchdog answer. */
+        void messageReceived(boolean isWatchdogAnswer);
 
-        void closed(PeerSession session, CloseReason end);
+        void closed(PeerSession session, CloseReason reason);
     }
 
     enum State { CONNECTING, EXCHANGING, OPEN, CLOSING, CLOSED }
 
     private static final Logger LOG = System.getLogger("diameter");
     private static final Duration EXCHANGE_TIMEOUT = Duration.ofSeconds(5);
-    private static final String UNKNOWN = "?";
-    private static final int REBOOTING = 0;
+    private static final String UNKNOWN_PEER = "?";
+    private static final int DISCONNECT_CAUSE_REBOOTING = 0;
     private static final int END_TO_END_RANDOM_BITS = 20;
-    /** Requests of the base protocol, and answers of ours, belong to application nought. */
-    private static final int BASE = 0;
+    /** The application id of the base protocol. */
+    private static final int BASE_APPLICATION = 0;
 
-    private final boolean dialled;
+    private final boolean isInitiator;
     private final LocalNode local;
     private final Scheduler scheduler;
     private final RandomGenerator random;
     private final Handler handler;
-    private final DiameterFrames frames = new DiameterFrames();
-    private final FrameDeadline unfinished;
-    private final RateLimiter messages;
+    private final DiameterFrameDecoder frameDecoder = new DiameterFrameDecoder();
+    private final FrameDeadline frameDeadline;
+    private final RateLimiter messageLimiter;
     private Connection connection;
     private State state = State.CONNECTING;
-    private Scheduler.Timer exchange;
+    private Scheduler.Timer exchangeTimer;
     private final Instant createdAt;
     private int nextHopByHop;
-    private String peer = UNKNOWN;
+    private String peer = UNKNOWN_PEER;
     private String realm = "";
 
-    /** {@code dialled} where this node opened the connection and so asks first. */
-    PeerSession(boolean dialled, LocalNode local, Scheduler scheduler, RandomGenerator random, Handler handler) {
-        this.dialled = dialled;
+    /** {@code dialled} if this node opened the connection and therefore starts the capabilities exchange. */
+    PeerSession(boolean isInitiator, LocalNode local, Scheduler scheduler, RandomGenerator random, Handler handler) {
+        this.isInitiator = isInitiator;
         this.local = local;
         this.scheduler = scheduler;
         this.random = random;
         this.handler = handler;
         this.nextHopByHop = random.nextInt();
         CallerLimits limits = local.limits();
-        this.unfinished = new FrameDeadline(scheduler, limits.unfinished(),
+        this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(),
                 () -> connection.close(CloseReason.UNFINISHED));
-        this.messages = new RateLimiter(limits.messages(), limits.messageEvery(), scheduler);
+        this.messageLimiter = new RateLimiter(limits.messages(), limits.messageEvery(), scheduler);
         this.createdAt = scheduler.now();
     }
 
@@ -96,19 +96,19 @@
     }
 
     @Override
-    public void opened(Connection up) {
-        connection = up;
+    public void opened(Connection opened) {
+        connection = opened;
         state = State.EXCHANGING;
-        // Guards the descriptors against clients that connect and say nothing.
-        exchange = dialled
+        // Frees the descriptors of clients that connect and send nothing.
+        exchangeTimer = isInitiator
                 ? scheduler.after(EXCHANGE_TIMEOUT, () -> connection.close(CloseReason.CONNECT_TIMED_OUT))
                 : scheduler.after(local.limits().unused(), () -> connection.close(CloseReason.IDLE));
-        if (dialled) {
-            send(base(DiameterMessage.CAPABILITIES_EXCHANGE, local.introduction()));
+        if (isInitiator) {
+            send(baseRequest(DiameterMessage.CAPABILITIES_EXCHANGE, local.capabilities()));
         }
     }
 
-    /** A peer that has exchanged its capabilities keeps its connection: its watchdogs tell whether it is there. */
+    /** Never idle once capabilities are exchanged: from then on the watchdog detects whether the peer is alive. */
     @Override
     public Optional<Instant> idleSince() {
         return state == State.OPEN ? Optional.empty() : Optional.of(createdAt);
@@ -117,81 +117,81 @@
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            unfinished.bytesReceived(frames.feed(bytes, this::frame), frames.begun());
-        } catch (Fault e) {
-            // The stream can't be followed any further; a message that is whole is answered in frame().
+            frameDeadline.bytesReceived(frameDecoder.decode(bytes, this::handleFrame), frameDecoder.hasPartialMessage());
+        } catch (DiameterException e) {
+            // The stream can't be parsed any further. Errors within a complete message are answered in frame().
             local.log().warn("peer {0} closed for bad input: {1}", peer, e.getMessage());
             bytes.position(bytes.limit());
             connection.close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
-    private void frame(ByteBuffer frame) {
+    private void handleFrame(ByteBuffer frame) {
         if (state == State.CLOSED) {
             return;
         }
-        if (!dialled && !messages.tryAcquire()) {
-            // Guards the usual clients' time; a peer that this node dials sends what it is asked for.
-            throw new Fault(ResultCode.TOO_BUSY, null, "too many messages");
+        if (!isInitiator && !messageLimiter.tryAcquire()) {
+            // Keeps one client from taking the processing time of others; server peers send only what was requested.
+            throw new DiameterException(ResultCode.TOO_BUSY, null, "too many messages");
         }
-        DiameterMessage head = DiameterMessage.readHead(frame.duplicate());
-        DiameterMessage message = head;
+        DiameterMessage header = DiameterMessage.readHeader(frame.duplicate());
+        DiameterMessage message = header;
         try {
             message = DiameterMessage.read(frame);
             if (message.isRequest()) {
-                request(message);
+                handleRequest(message);
             } else {
-                answer(message);
+                handleAnswer(message);
             }
-        } catch (Fault e) {
+        } catch (DiameterException e) {
             local.log().warn("peer {0}: {1}", peer, e.getMessage());
-            if (!head.isRequest()) {
-                return;   // a bad answer is dropped: its request comes to its end by time-out
+            if (!header.isRequest()) {
+                return;   // an invalid answer is dropped, and its request times out
             }
-            List<Avp> failed = e.failed() == null ? List.of() : List.of(Avp.of(Avp.FAILED_AVP, e.failed()));
-            send(message.answer(e.resultCode(), local, failed));
+            List<Avp> failedAvps = e.failedAvp() == null ? List.of() : List.of(Avp.of(Avp.FAILED_AVP, e.failedAvp()));
+            send(message.answer(e.resultCode(), local, failedAvps));
             if (state == State.EXCHANGING) {
                 connection.close(CloseReason.PROTOCOL_ERROR);
             }
         }
     }
 
-    private void request(DiameterMessage request) {
-        boolean exchanges = request.command() == DiameterMessage.CAPABILITIES_EXCHANGE;
-        if (state == State.EXCHANGING && (dialled || !exchanges)) {
-            local.log().warn("peer {0} closed: command {1} before its capabilities", connection.remote(),
+    private void handleRequest(DiameterMessage request) {
+        boolean isCapabilitiesExchange = request.command() == DiameterMessage.CAPABILITIES_EXCHANGE;
+        if (state == State.EXCHANGING && (isInitiator || !isCapabilitiesExchange)) {
+            local.log().warn("peer {0} closed: command {1} before the capabilities exchange", connection.remote(),
                     request.command());
             connection.close(CloseReason.PROTOCOL_ERROR);
             return;
         }
         handler.messageReceived(false);
         switch (request.command()) {
-            case DiameterMessage.CAPABILITIES_EXCHANGE -> capabilitiesAsked(request);
+            case DiameterMessage.CAPABILITIES_EXCHANGE -> answerCapabilitiesExchange(request);
             case DiameterMessage.DEVICE_WATCHDOG -> send(request.answer(ResultCode.SUCCESS, local, List.of()));
             case DiameterMessage.DISCONNECT_PEER -> {
                 send(request.answer(ResultCode.SUCCESS, local, List.of()));
-                LOG.log(Level.INFO, "peer {0} asked to part", peer);
+                LOG.log(Level.INFO, "peer {0} requested to disconnect", peer);
                 state = State.CLOSING;
                 connection.close(CloseReason.DISCONNECTED);
             }
             case DiameterMessage.CREDIT_CONTROL, DiameterMessage.ABORT_SESSION -> {
                 if (request.application() != DiameterMessage.CREDIT_CONTROL_APPLICATION) {
-                    throw new Fault(ResultCode.APPLICATION_UNSUPPORTED, null,
+                    throw new DiameterException(ResultCode.APPLICATION_UNSUPPORTED, null,
                             "application " + request.application());
                 }
                 handler.request(this, request);
             }
-            default -> throw new Fault(ResultCode.COMMAND_UNSUPPORTED, null, "command " + request.command());
+            default -> throw new DiameterException(ResultCode.COMMAND_UNSUPPORTED, null, "command " + request.command());
         }
     }
 
-    private void capabilitiesAsked(DiameterMessage request) {
+    private void answerCapabilitiesExchange(DiameterMessage request) {
         String host = request.require(Avp.ORIGIN_HOST).text();
         realm = request.require(Avp.ORIGIN_REALM).text();
         int result = sharesApplication(request) ? handler.accept(host) : ResultCode.NO_COMMON_APPLICATION;
-        send(request.answer(result, local, local.introduction()));
+        send(request.answer(result, local, local.capabilities()));
         if (result != ResultCode.SUCCESS) {
-            local.log().warn("peer {0} turned away with result {1}", host, Integer.toString(result));
+            local.log().warn("peer {0} rejected with result {1}", host, Integer.toString(result));
             connection.close(CloseReason.PROTOCOL_ERROR);
         } else if (state == State.EXCHANGING) {
             open(host);
@@ -205,16 +205,16 @@
     }
 
     private void open(String host) {
-        exchange.cancel();
+        exchangeTimer.cancel();
         peer = host;
         state = State.OPEN;
         LOG.log(Level.INFO, "peer {0} at {1} is open", peer, connection.remote());
         handler.opened(this);
     }
 
-    private void answer(DiameterMessage answer) {
+    private void handleAnswer(DiameterMessage answer) {
         if (state == State.EXCHANGING) {
-            if (answer.command() != DiameterMessage.CAPABILITIES_EXCHANGE || !dialled) {
+            if (answer.command() != DiameterMessage.CAPABILITIES_EXCHANGE || !isInitiator) {
                 connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
@@ -225,7 +225,7 @@
                     && handler.accept(host) == ResultCode.SUCCESS) {
                 open(host);
             } else {
-                local.log().warn("peer {0} did not agree: result {1}", host, Integer.toString(result));
+                local.log().warn("capabilities exchange with peer {0} failed: result {1}", host, Integer.toString(result));
                 connection.close(CloseReason.PROTOCOL_ERROR);
             }
             return;
@@ -240,7 +240,7 @@
 
     // ---- towards the peer
 
-    /** Sends a request of the application over this hop; returns the id that its answer will bear. */
+    /** Sends an application request over this hop; returns its hop-by-hop id, which its answer will carry. */
     int sendRequest(DiameterMessage request, int flags, List<Avp> avps) {
         int hopByHop = nextHopByHop++;
         send(request.withHop(hopByHop, flags, avps));
@@ -252,49 +252,50 @@
     }
 
     void sendWatchdog() {
-        send(base(DiameterMessage.DEVICE_WATCHDOG, List.of()));
+        send(baseRequest(DiameterMessage.DEVICE_WATCHDOG, List.of()));
     }
 
-    /** Asks the peer to part in order; it closes once the peer agrees. */
+    /** Requests a graceful disconnect; the connection is closed when the peer answers. */
     void disconnect() {
         if (state == State.OPEN) {
             state = State.CLOSING;
-            send(base(DiameterMessage.DISCONNECT_PEER, List.of(Avp.of(Avp.DISCONNECT_CAUSE, REBOOTING))));
+            send(baseRequest(DiameterMessage.DISCONNECT_PEER,
+                    List.of(Avp.of(Avp.DISCONNECT_CAUSE, DISCONNECT_CAUSE_REBOOTING))));
         }
     }
 
-    void close(CloseReason why) {
+    void close(CloseReason reason) {
         if (connection != null) {
-            connection.close(why);
+            connection.close(reason);
         }
     }
 
-    /** A new id for the whole way: the low bits of the time above chance (RFC 6733, section 3). */
+    /** A new end-to-end id: low bits of the time in the high part, random bits in the low part (RFC 6733, section 3). */
     static int newEndToEnd(Scheduler scheduler, RandomGenerator random) {
         return (int) scheduler.now().getEpochSecond() << END_TO_END_RANDOM_BITS
                 | random.nextInt(1 << END_TO_END_RANDOM_BITS);
     }
 
-    private DiameterMessage base(int command, List<Avp> more) {
+    private DiameterMessage baseRequest(int command, List<Avp> additionalAvps) {
         List<Avp> avps = new ArrayList<>(List.of(Avp.of(Avp.ORIGIN_HOST, local.host()),
                 Avp.of(Avp.ORIGIN_REALM, local.realm())));
-        avps.addAll(more);
-        return new DiameterMessage(DiameterMessage.REQUEST, command, BASE, nextHopByHop++,
+        avps.addAll(additionalAvps);
+        return new DiameterMessage(DiameterMessage.REQUEST, command, BASE_APPLICATION, nextHopByHop++,
                 newEndToEnd(scheduler, random), avps);
     }
 
     @Override
-    public void closed(CloseReason end) {
+    public void closed(CloseReason reason) {
         state = State.CLOSED;
-        unfinished.stop();
-        if (exchange != null) {
-            exchange.cancel();
+        frameDeadline.stop();
+        if (exchangeTimer != null) {
+            exchangeTimer.cancel();
         }
-        if (!dialled && peer.equals(UNKNOWN)) {
-            local.log().warn("connection closed before its capabilities: {0}", end);
-        } else if (!dialled) {
-            LOG.log(Level.INFO, "peer {0} is closed: {1}", peer, end);
+        if (!isInitiator && peer.equals(UNKNOWN_PEER)) {
+            local.log().warn("connection closed before the capabilities exchange: {0}", reason);
+        } else if (!isInitiator) {
+            LOG.log(Level.INFO, "peer {0} is closed: {1}", peer, reason);
         }
-        handler.closed(this, end);
+        handler.closed(this, reason);
     }
 }
--- a/daemon/src/main/java/pathlane/diameter/ResultCode.java
+++ b/daemon/src/main/java/pathlane/diameter/ResultCode.java
@@ -2,7 +2,7 @@
 
 import pathlane.decision.Outcome;
 
-/** Result codes and the one table that maps them to the module's outcomes. */
+/** Diameter result codes and their mapping to the core's outcomes. */
 final class ResultCode {
 
     static final int SUCCESS = 2001;
@@ -22,18 +22,18 @@
     static final int INVALID_AVP_LENGTH = 5014;
     static final int INVALID_MESSAGE_LENGTH = 5015;
     private static final int LIMITED_SUCCESS = 2002;
-    private static final int CLASS = 1000;
-    private static final int PROTOCOL_ERRORS = 3;
+    private static final int CODES_PER_CLASS = 1000;
+    private static final int PROTOCOL_ERROR_CLASS = 3;
 
     private ResultCode() {}
 
-    /** Whether an answer with this code makes the call stand. */
-    static boolean stands(int code) {
+    /** Whether an answer with this code establishes the call. */
+    static boolean isSuccess(int code) {
         return code == SUCCESS || code == LIMITED_SUCCESS;
     }
 
-    /** What an answer without success means for its attempt. */
-    static Outcome ending(int code) {
+    /** The outcome of an attempt that was answered with this error code. */
+    static Outcome outcomeOf(int code) {
         return switch (code) {
             case TOO_BUSY -> Outcome.REJECTED;
             default -> Outcome.ERROR;
@@ -42,6 +42,6 @@
 
     /** Whether answers with this code carry the error bit (RFC 6733, section 7.1.3). */
     static boolean isProtocolError(int code) {
-        return code / CLASS == PROTOCOL_ERRORS;
+        return code / CODES_PER_CLASS == PROTOCOL_ERROR_CLASS;
     }
 }
--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -26,55 +26,56 @@
 import pathlane.transport.Connector;
 
 /**
- * A Diameter peer at which calls are set up: this node dials it and watches it.
+ * A Diameter server peer: this node connects to it and monitors it by watchdog.
  *
- * <p>A suspect peer takes nothing new, and nothing that is out is sent again: a request ends by its answer, its
- * time-out, or the end of its connection, which this node closes if the watchdog stays lost. Only then may the
- * call go elsewhere, so that a request and its resend are never both out.
+ * <p>A suspect peer gets no new request, and outstanding requests are not sent again: a request ends by its answer, its
+ * timeout, or the close of its connection, which this node closes if watchdogs stay unanswered. Only then may the call
+ * go to another server, so that a request and its resend are never outstanding together.
  */
 final class ServerPeer implements ServerPort, PeerSession.Handler, Watchdog.Actions {
 
     private static final Logger LOG = System.getLogger("diameter");
-    private static final Duration DIAL_TIMEOUT = Duration.ofSeconds(2);
-    /** A request that was given up may be answered for so long; then its session is ended unheard. */
-    private static final Duration LATE_MOST = Duration.ofSeconds(60);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    /** How long to wait for the late answer to a cancelled request before its session is terminated without one. */
+    private static final Duration MAX_LATE_ANSWER_WAIT = Duration.ofSeconds(60);
     private static final int TERMINATION = 3;
     private static final int ADMINISTRATIVE = 4;
-    /** What a request that ends a session has from the one that began it, beside its id. */
-    private static final int[] ENDING = {Avp.ORIGIN_HOST, Avp.ORIGIN_REALM, Avp.DESTINATION_REALM, Avp.SERVICE_CONTEXT_ID,
-            Avp.CC_REQUEST_NUMBER};
-    /** Ends of sessions that wait for a connection, at most. */
-    private static final int MOST_WAITING = 10_000;
+    /** AVPs that a termination request copies from the initial request, besides the session id. */
+    private static final int[] RELEASE_TOKEN_AVPS =
+            {Avp.ORIGIN_HOST, Avp.ORIGIN_REALM, Avp.DESTINATION_REALM, Avp.SERVICE_CONTEXT_ID,
+                    Avp.CC_REQUEST_NUMBER};
+    /** Maximum number of termination requests that wait for a connection. */
+    private static final int MAX_WAITING_TERMINATIONS = 10_000;
 
     private final DiameterConfig.Peer config;
     private final LocalNode local;
     private final Supplier<CallController> controller;
-    private final Connector dialer;
+    private final Connector connector;
     private final Scheduler scheduler;
     private final RandomGenerator random;
-    private final Consumer<Boolean> availability;
+    private final Consumer<Boolean> onAvailabilityChange;
     private final Watchdog watchdog;
-    /** Requests without an answer, by hop-by-hop id: the call that each is for. */
-    private final Map<Integer, String> out = new HashMap<>();
-    /** Set-ups sent and not ended, by call; and the requests of sessions that may be open here. */
-    private final Map<String, DiameterMessage> asked = new HashMap<>();
-    private final Map<String, DiameterMessage> waitingEnds = new LinkedHashMap<>();
-    /** Those of the requests without an answer that nobody waits for any more. */
-    private final Set<Integer> givenUp = new HashSet<>();
-    /** Updates passed on and not answered, by hop-by-hop id: the call that each is for. */
-    private final Map<Integer, String> passed = new HashMap<>();
+    /** Calls of unanswered initial requests by hop-by-hop id. */
+    private final Map<Integer, String> unansweredCalls = new HashMap<>();
+    /** Initial requests by call, of sessions that are being opened or may be open at this peer. */
+    private final Map<String, DiameterMessage> initialRequests = new HashMap<>();
+    private final Map<String, DiameterMessage> waitingTerminations = new LinkedHashMap<>();
+    /** Hop-by-hop ids of unanswered initial requests that were cancelled. */
+    private final Set<Integer> cancelledIds = new HashSet<>();
+    /** Calls of forwarded and unanswered update requests by hop-by-hop id. */
+    private final Map<Integer, String> unansweredUpdates = new HashMap<>();
     private PeerSession session;
 
-    ServerPeer(DiameterConfig.Peer config, LocalNode local, Duration interval, Supplier<CallController> controller,
-            Connector dialer, Scheduler scheduler, RandomGenerator random, Consumer<Boolean> availability) {
+    ServerPeer(DiameterConfig.Peer config, LocalNode local, Duration watchdogInterval, Supplier<CallController> controller,
+            Connector connector, Scheduler scheduler, RandomGenerator random, Consumer<Boolean> onAvailabilityChange) {
         this.config = config;
         this.local = local;
         this.controller = controller;
-        this.dialer = dialer;
+        this.connector = connector;
         this.scheduler = scheduler;
         this.random = random;
-        this.availability = availability;
-        this.watchdog = new Watchdog(interval, scheduler, random, this);
+        this.onAvailabilityChange = onAvailabilityChange;
+        this.watchdog = new Watchdog(watchdogInterval, scheduler, random, this);
         attemptOpen();
         watchdog.start();
     }
@@ -82,34 +83,34 @@
     // ---- from the core
 
     @Override
-    public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
-        String call = setUp.id();
+    public void sendRequest(CallRequest callRequest, Duration timeout, boolean mayHaveRun) {
+        String call = callRequest.id();
         if (session == null || !session.isOpen() || watchdog.state() != Watchdog.State.OKAY) {
             controller.get().serverReleased(config.id(), call, Outcome.UNREACHABLE, Duration.ZERO);
             return;
         }
-        DiameterMessage request = DiameterMessage.read(ByteBuffer.wrap(setUp.payload()));
+        DiameterMessage request = DiameterMessage.read(ByteBuffer.wrap(callRequest.payload()));
         int retransmitted = mayHaveRun ? DiameterMessage.RETRANSMITTED : 0;
-        asked.put(call, request);
-        out.put(sendOn(request, request.flags() | retransmitted), call);
+        initialRequests.put(call, request);
+        unansweredCalls.put(forwardRequest(request, request.flags() | retransmitted), call);
     }
 
     @Override
     public void cancel(String call) {
-        // Diameter has no way to take a request back: its late answer is known by its id, and a session that
-        // it opened is ended. Until then what was asked is kept.
-        out.forEach((id, one) -> {
-            if (one.equals(call) && givenUp.add(id)) {
-                scheduler.after(LATE_MOST, () -> forget(id, call));
+        // Diameter can't cancel a request: the late answer is recognized by its id, and a session that the request
+        // opened is terminated. The initial request is kept until then.
+        unansweredCalls.forEach((id, unansweredCall) -> {
+            if (unansweredCall.equals(call) && cancelledIds.add(id)) {
+                scheduler.after(MAX_LATE_ANSWER_WAIT, () -> expireLateAnswer(id, call));
             }
         });
     }
 
-    /** Guards against requests that are never answered: their sessions are ended unheard, or they would pile up. */
-    private void forget(int id, String call) {
-        if (givenUp.remove(id)) {
-            out.remove(id);
-            if (!controller.get().isEstablished(call) && !out.containsValue(call)) {
+    /** Terminates the session of a request that was never answered, so that such requests don't accumulate. */
+    private void expireLateAnswer(int id, String call) {
+        if (cancelledIds.remove(id)) {
+            unansweredCalls.remove(id);
+            if (!controller.get().isEstablished(call) && !unansweredCalls.containsValue(call)) {
                 release(call, Outcome.CANCELLED, new byte[0]);
             }
         }
@@ -119,79 +120,79 @@
     public boolean forward(String call, byte[] content) {
         boolean open = session != null && session.isOpen();
         if (open) {
-            int id = sendOn(DiameterMessage.read(ByteBuffer.wrap(content)));
-            passed.put(id, call);
-            scheduler.after(LATE_MOST, () -> passed.remove(id, call));   // guards against updates never answered
+            int id = forwardRequest(DiameterMessage.read(ByteBuffer.wrap(content)));
+            unansweredUpdates.put(id, call);
+            scheduler.after(MAX_LATE_ANSWER_WAIT, () -> unansweredUpdates.remove(id, call));   // some updates are never answered
         }
         return open;
     }
 
     @Override
-    public void release(String call, Outcome how, byte[] content) {
-        DiameterMessage begun = asked.remove(call);
-        DiameterMessage end = content.length > 0 ? DiameterMessage.read(ByteBuffer.wrap(content))
-                : begun == null ? null : termination(begun);
-        if (end == null) {
+    public void release(String call, Outcome outcome, byte[] content) {
+        DiameterMessage initialRequest = initialRequests.remove(call);
+        DiameterMessage termination = content.length > 0 ? DiameterMessage.read(ByteBuffer.wrap(content))
+                : initialRequest == null ? null : termination(initialRequest);
+        if (termination == null) {
             return;
         }
         if (session != null && session.isOpen()) {
-            sendOn(end);
-        } else if (waitingEnds.size() < MOST_WAITING) {
-            waitingEnds.put(call, end);
+            forwardRequest(termination);
+        } else if (waitingTerminations.size() < MAX_WAITING_TERMINATIONS) {
+            waitingTerminations.put(call, termination);
         }
     }
 
     @Override
     public Optional<byte[]> pendingRelease(String call) {
-        return Optional.ofNullable(waitingEnds.get(call)).map(ServerPeer::releaseToken);
+        return Optional.ofNullable(waitingTerminations.get(call)).map(ServerPeer::releaseToken);
     }
 
     @Override
-    public byte[] releaseToken(CallRequest setUp) {
-        return releaseToken(DiameterMessage.read(ByteBuffer.wrap(setUp.payload())));
+    public byte[] releaseToken(CallRequest callRequest) {
+        return releaseToken(DiameterMessage.read(ByteBuffer.wrap(callRequest.payload())));
     }
 
     private static byte[] releaseToken(DiameterMessage request) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int code : ENDING) {
+        for (int code : RELEASE_TOKEN_AVPS) {
             out.writeBytes(request.require(code).bytes());
         }
         return out.toByteArray();
     }
 
-    /** The request that began the session, as far as it is needed to end it, in the place of the one that another sent. */
+    /** Rebuilds as much of the initial request, sent by another controller, as is needed to terminate the session. */
     @Override
-    public void adopt(String call, byte[] ending) {
+    public void adopt(String call, byte[] releaseToken) {
         List<Avp> avps = new ArrayList<>(List.of(Avp.of(Avp.SESSION_ID, call),
                 Avp.of(Avp.AUTH_APPLICATION_ID, DiameterMessage.CREDIT_CONTROL_APPLICATION)));
-        for (ByteBuffer left = ByteBuffer.wrap(ending); left.hasRemaining();) {
-            avps.add(Avp.read(left));
+        for (ByteBuffer remaining = ByteBuffer.wrap(releaseToken); remaining.hasRemaining();) {
+            avps.add(Avp.read(remaining));
         }
-        asked.putIfAbsent(call, new DiameterMessage(DiameterMessage.REQUEST | DiameterMessage.PROXIABLE,
+        initialRequests.putIfAbsent(call, new DiameterMessage(DiameterMessage.REQUEST | DiameterMessage.PROXIABLE,
                 DiameterMessage.CREDIT_CONTROL, DiameterMessage.CREDIT_CONTROL_APPLICATION, 0, 0, avps));
     }
 
-    /** Sends what belongs to a session that this peer has; returns its hop-by-hop id. */
-    private int sendOn(DiameterMessage request) {
-        return sendOn(request, request.flags());
+    /** Sends a request of a session at this peer; returns its hop-by-hop id. */
+    private int forwardRequest(DiameterMessage request) {
+        return forwardRequest(request, request.flags());
     }
 
-    private int sendOn(DiameterMessage request, int flags) {
+    private int forwardRequest(DiameterMessage request, int flags) {
         List<Avp> avps = new ArrayList<>(request.avps());
         avps.removeIf(avp -> avp.code() == Avp.DESTINATION_HOST);
         avps.add(Avp.of(Avp.DESTINATION_HOST, config.host()));
         return session.sendRequest(request, flags, avps);
     }
 
-    /** The request that ends the session which this one began. */
-    private DiameterMessage termination(DiameterMessage begun) {
+    /** The termination request for the session that this initial request opened. */
+    private DiameterMessage termination(DiameterMessage initialRequest) {
         List<Avp> avps = new ArrayList<>();
         for (int code : new int[] {Avp.SESSION_ID, Avp.ORIGIN_HOST, Avp.ORIGIN_REALM, Avp.DESTINATION_REALM,
                 Avp.AUTH_APPLICATION_ID, Avp.SERVICE_CONTEXT_ID}) {
-            avps.add(begun.require(code));
+            avps.add(initialRequest.require(code));
         }
         avps.add(Avp.of(Avp.CC_REQUEST_TYPE, TERMINATION));
-        avps.add(Avp.of(Avp.CC_REQUEST_NUMBER, begun.require(Avp.CC_REQUEST_NUMBER).number() + 1));
+        avps.add(Avp.of(Avp.CC_REQUEST_NUMBER, initialRequest.require(Avp.CC_REQUEST_NUMBER).number() + 1));
         avps.add(Avp.of(Avp.TERMINATION_CAUSE, ADMINISTRATIVE));
         int endToEnd = PeerSession.newEndToEnd(scheduler, random);
         return new DiameterMessage(DiameterMessage.REQUEST | DiameterMessage.PROXIABLE,
@@ -200,7 +201,7 @@
 
     @Override
     public void drain() {
-        // What is out stays out; nothing waits here.
+        // Outstanding requests continue, and no request is queued here.
     }
 
     @Override
@@ -211,7 +212,7 @@
         }
     }
 
-    /** Parts from the peer in order. */
+    /** Disconnects from the peer gracefully. */
     void disconnect() {
         watchdog.stop();
         if (session != null) {
@@ -227,21 +228,21 @@
     }
 
     @Override
-    public void opened(PeerSession up) {
-        List<String> left = List.copyOf(waitingEnds.keySet());
-        waitingEnds.values().forEach(this::sendOn);
-        waitingEnds.clear();
-        left.forEach(call -> controller.get().releaseSent(call));
+    public void opened(PeerSession openedSession) {
+        List<String> waitingCalls = List.copyOf(waitingTerminations.keySet());
+        waitingTerminations.values().forEach(this::forwardRequest);
+        waitingTerminations.clear();
+        waitingCalls.forEach(call -> controller.get().releaseSent(call));
         watchdog.connectionUp();
     }
 
     @Override
     public void request(PeerSession from, DiameterMessage request) {
         if (request.command() != DiameterMessage.ABORT_SESSION) {
-            throw new Fault(ResultCode.COMMAND_UNSUPPORTED, null, "command " + request.command());
+            throw new DiameterException(ResultCode.COMMAND_UNSUPPORTED, null, "command " + request.command());
         }
         String call = request.require(Avp.SESSION_ID).text();
-        boolean known = asked.remove(call) != null;
+        boolean known = initialRequests.remove(call) != null;
         from.send(request.answer(known ? ResultCode.SUCCESS : ResultCode.UNKNOWN_SESSION_ID, local, List.of()));
         if (known) {
             controller.get().serverReleased(config.id(), call, Outcome.RESET, Duration.ZERO);
@@ -250,28 +251,28 @@
 
     @Override
     public void answer(PeerSession from, DiameterMessage answer) {
-        String call = out.remove(answer.hopByHop());
-        boolean late = givenUp.remove(answer.hopByHop());
+        String call = unansweredCalls.remove(answer.hopByHop());
+        boolean isCancelled = cancelledIds.remove(answer.hopByHop());
         if (call == null) {
-            String update = passed.remove(answer.hopByHop());
+            String update = unansweredUpdates.remove(answer.hopByHop());
             if (update != null) {
                 controller.get().forwardToClient(config.id(), update, answer.bytes());
             }
-            return;   // else the answer to the end of a session, or to nothing
+            return;   // otherwise the answer to a termination request or to an unknown one
         }
         int result = answer.find(Avp.RESULT_CODE) == null ? ResultCode.UNABLE_TO_COMPLY
                 : answer.find(Avp.RESULT_CODE).number();
-        if (ResultCode.stands(result)) {
+        if (ResultCode.isSuccess(result)) {
             controller.get().serverAnswered(config.id(), call, answer.bytes());
             return;
         }
-        if (late && out.containsValue(call)) {
-            return;   // guards a later attempt at the same peer: this one's end is not its end
+        if (isCancelled && unansweredCalls.containsValue(call)) {
+            return;   // a later attempt at the same peer is outstanding, and its result decides
         }
-        asked.remove(call);
-        Avp comeBack = answer.find(Avp.VALIDITY_TIME);
-        controller.get().serverReleased(config.id(), call, ResultCode.ending(result),
-                comeBack == null ? Duration.ZERO : Duration.ofSeconds(comeBack.number() & 0xffffffffL));
+        initialRequests.remove(call);
+        Avp validityTime = answer.find(Avp.VALIDITY_TIME);
+        controller.get().serverReleased(config.id(), call, ResultCode.outcomeOf(result),
+                validityTime == null ? Duration.ZERO : Duration.ofSeconds(validityTime.number() & 0xffffffffL));
     }
 
     @Override
@@ -280,25 +281,25 @@
     }
 
     @Override
-    public void closed(PeerSession ended, CloseReason end) {
-        if (session != ended) {
+    public void closed(PeerSession closedSession, CloseReason reason) {
+        if (session != closedSession) {
             return;
         }
         session = null;
-        LOG.log(Level.INFO, "peer {0} is DOWN: {1}", config.host(), end);
+        LOG.log(Level.INFO, "peer {0} is DOWN: {1}", config.host(), reason);
         watchdog.connectionDown();
-        List<String> broken = List.copyOf(out.values());
-        out.clear();
-        givenUp.clear();
-        passed.clear();   // their clients are told when their time is up
-        for (String call : broken) {
-            // The request may have run: the session that it may have opened is ended on the next connection,
-            // before anything new goes there.
-            DiameterMessage begun = asked.remove(call);
-            if (begun != null && waitingEnds.size() < MOST_WAITING) {
-                waitingEnds.put(call, termination(begun));
+        List<String> failedCalls = List.copyOf(unansweredCalls.values());
+        unansweredCalls.clear();
+        cancelledIds.clear();
+        unansweredUpdates.clear();   // their clients get an error when the update times out
+        for (String call : failedCalls) {
+            // The request may have been processed: a session that it may have opened is terminated on the next
+            // connection before any new request is sent there.
+            DiameterMessage initialRequest = initialRequests.remove(call);
+            if (initialRequest != null && waitingTerminations.size() < MAX_WAITING_TERMINATIONS) {
+                waitingTerminations.put(call, termination(initialRequest));
             }
-            controller.get().serverReleased(config.id(), call, end.outcome(), Duration.ZERO);
+            controller.get().serverReleased(config.id(), call, reason.outcome(), Duration.ZERO);
         }
     }
 
@@ -313,15 +314,16 @@
 
     @Override
     public void failOver() {
-        LOG.log(Level.WARNING, "peer {0} is {1}: nothing new goes there, {2} requests stay out", config.host(),
-                watchdog.state(), out.size());
-        availability.accept(false);
+        LOG.log(Level.WARNING, "peer {0} is {1}: no new requests are sent there, {2} requests stay outstanding",
+                config.host(),
+                watchdog.state(), unansweredCalls.size());
+        onAvailabilityChange.accept(false);
     }
 
     @Override
     public void failBack() {
         LOG.log(Level.INFO, "peer {0} is OKAY", config.host());
-        availability.accept(true);
+        onAvailabilityChange.accept(true);
     }
 
     @Override
@@ -335,7 +337,7 @@
     public void attemptOpen() {
         if (session == null) {
             session = new PeerSession(true, local, scheduler, random, this);
-            dialer.connect(config.address(), DIAL_TIMEOUT, session);
+            connector.connect(config.address(), CONNECT_TIMEOUT, session);
         }
     }
 }
--- a/daemon/src/main/java/pathlane/diameter/Watchdog.java
+++ b/daemon/src/main/java/pathlane/diameter/Watchdog.java
@@ -4,17 +4,17 @@
 import java.util.random.RandomGenerator;
 import pathlane.core.Scheduler;
 
-/** The watchdog of one peer, over all of its connections: the algorithm of RFC 3539, section 3.4.1. */
+/** The watchdog state machine of one peer across all of its connections (RFC 3539, section 3.4.1). */
 final class Watchdog {
 
-    /** What the algorithm asks for. */
+    /** The actions that the state machine triggers. */
     interface Actions {
         void sendWatchdog();
 
-        /** The peer is suspect: nothing new goes there, and what is out stays out. */
+        /** The peer is suspect: it gets no new requests, and its outstanding requests continue. */
         void failOver();
 
-        /** The peer is well again. */
+        /** The peer has recovered. */
         void failBack();
 
         void closeConnection();
@@ -24,16 +24,16 @@
 
     enum State { INITIAL, OKAY, SUSPECT, DOWN, REOPEN }
 
-    private static final Duration JITTER = Duration.ofSeconds(2);
-    private static final int ANSWERS_TO_TRUST = 3;
+    private static final Duration MAX_JITTER = Duration.ofSeconds(2);
+    private static final int ANSWERS_TO_RECOVER = 3;
 
     private final Duration interval;
     private final Scheduler scheduler;
     private final RandomGenerator random;
     private final Actions actions;
     private State state = State.INITIAL;
-    private boolean pending;
-    private int answers;
+    private boolean isAnswerPending;
+    private int answerCount;
     private Scheduler.Timer timer;
 
     Watchdog(Duration interval, Scheduler scheduler, RandomGenerator random, Actions actions) {
@@ -53,14 +53,14 @@
         }
     }
 
-    /** Tw, within two seconds either way so that peers don't beat in step. */
+    /** Sets the timer Tw with a jitter of two seconds either way, so that the watchdogs of peers don't synchronize. */
     private void setTimer() {
         stop();
-        long jitter = JITTER.toMillis();
-        timer = scheduler.after(interval.plusMillis(random.nextLong(-jitter, jitter + 1)), this::expired);
+        long jitter = MAX_JITTER.toMillis();
+        timer = scheduler.after(interval.plusMillis(random.nextLong(-jitter, jitter + 1)), this::timerExpired);
     }
 
-    /** The first attempt to connect has been made; later ones come from here. */
+    /** Starts the timer after the first connection attempt; later attempts are triggered by it. */
     void start() {
         setTimer();
     }
@@ -68,13 +68,13 @@
     void connectionUp() {
         if (state == State.INITIAL) {
             state = State.OKAY;
-            pending = false;
+            isAnswerPending = false;
             setTimer();
             actions.failBack();
         } else {
             state = State.REOPEN;
-            answers = 0;
-            pending = true;
+            answerCount = 0;
+            isAnswerPending = true;
             setTimer();
             actions.sendWatchdog();
         }
@@ -91,9 +91,9 @@
         }
     }
 
-    /** Anything came from the peer; {@code answer} where it is the answer to a watchdog. */
-    void received(boolean answer) {
-        pending &= !answer;
+    /** Any message arrived from the peer; {@code answer} if it is a watchdog answer. */
+    void received(boolean isWatchdogAnswer) {
+        isAnswerPending &= !isWatchdogAnswer;
         switch (state) {
             case OKAY -> setTimer();
             case SUSPECT -> {
@@ -102,7 +102,7 @@
                 actions.failBack();
             }
             case REOPEN -> {
-                if (answer && ++answers == ANSWERS_TO_TRUST) {
+                if (isWatchdogAnswer && ++answerCount == ANSWERS_TO_RECOVER) {
                     state = State.OKAY;
                     setTimer();
                     actions.failBack();
@@ -112,12 +112,12 @@
         }
     }
 
-    private void expired() {
+    private void timerExpired() {
         setTimer();
         switch (state) {
             case OKAY -> {
-                if (!pending) {
-                    pending = true;
+                if (!isAnswerPending) {
+                    isAnswerPending = true;
                     actions.sendWatchdog();
                 } else {
                     state = State.SUSPECT;
@@ -129,11 +129,11 @@
                 actions.closeConnection();
             }
             case REOPEN -> {
-                if (!pending) {
-                    pending = true;
+                if (!isAnswerPending) {
+                    isAnswerPending = true;
                     actions.sendWatchdog();
-                } else if (answers >= 0) {
-                    answers = -1;
+                } else if (answerCount >= 0) {
+                    answerCount = -1;
                 } else {
                     state = State.DOWN;
                     actions.closeConnection();
--- a/daemon/src/main/java/pathlane/directory/DirectoryNode.java
+++ b/daemon/src/main/java/pathlane/directory/DirectoryNode.java
@@ -18,14 +18,14 @@
 import pathlane.transport.Connector;
 import pathlane.transport.RateLimitedLog;
 
-/** This controller as a subscriber: its watch of the services that its calls need. On the loop's thread. */
+/** This controller as a discovery subscriber: watches the services that its calls need. Runs on the event loop's thread. */
 public final class DirectoryNode implements ServerDiscovery {
 
     private static final Logger LOG = System.getLogger("discovery");
     private static final int NONCE_BYTES = 16;
 
     private final DiscoveryFile file;
-    private final Connector dialer;
+    private final Connector connector;
     private final Scheduler scheduler;
     private final SecureRandom random = new SecureRandom();
     private final OnDemandWatches watches;
@@ -35,26 +35,26 @@
     private WatchClient client;
 
     /**
-     * Dials nothing yet.
+     * Reads the keys; opens no connection yet.
      *
-     * @throws IllegalArgumentException with a sentence where the keys can't be used
+     * @throws IllegalArgumentException with a one-line message if the keys are invalid
      */
-    public DirectoryNode(DiscoveryFile file, Connector dialer, Scheduler scheduler) {
+    public DirectoryNode(DiscoveryFile file, Connector connector, Scheduler scheduler) {
         this.file = file;
-        this.dialer = dialer;
+        this.connector = connector;
         this.scheduler = scheduler;
         this.keys = file.readKeys();
-        this.watches = new OnDemandWatches(scheduler, new Watches());
+        this.watches = new OnDemandWatches(scheduler, new WatchActions());
     }
 
-    /** Begins, for this controller; before its first call. */
-    public void start(CallController started) {
-        controller = started;
+    /** Starts the watch for this controller; must precede its first call. */
+    public void start(CallController callController) {
+        controller = callController;
         feed = new ServerListFeed(controller, watches);
-        AuthenticatedLink.Context common =
+        AuthenticatedLink.Context linkContext =
                 new AuthenticatedLink.Context(file.watch().name(), () -> keys, this::nonce, scheduler,
                         new RateLimitedLog("discovery", scheduler));
-        client = new WatchClient(file.watch(), dialer, common, scheduler, random, feed);
+        client = new WatchClient(file.watch(), connector, linkContext, scheduler, random, feed);
         client.start();
     }
 
@@ -64,18 +64,18 @@
         return nonce;
     }
 
-    /** Ends the watch; the servers that are known stay. */
+    /** Ends the watch; the known servers remain in use. */
     public void stop() {
         client.stop();
     }
 
-    /** Reads the keys again; those that can't be used change nothing. */
+    /** Reloads the keys; invalid ones change nothing. */
     public void reload() {
         try {
             keys = file.readKeys();
-            LOG.log(Level.INFO, "keys read again: {0}", Integer.toString(keys.keys().size()));
+            LOG.log(Level.INFO, "keys reloaded: {0}", Integer.toString(keys.keys().size()));
         } catch (IllegalArgumentException e) {
-            LOG.log(Level.WARNING, "keys not read again, the old ones stay: {0}", e.getMessage());
+            LOG.log(Level.WARNING, "keys not reloaded, keeping the old ones: {0}", e.getMessage());
         }
     }
 
@@ -85,8 +85,8 @@
     }
 
     @Override
-    public Optional<String> serviceOf(CallRequest setUp) {
-        return file.serviceOf(setUp.preferredPool());
+    public Optional<String> serviceOf(CallRequest request) {
+        return file.serviceOf(request.preferredPool());
     }
 
     @Override
@@ -95,11 +95,11 @@
     }
 
     @Override
-    public void awaitService(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
-        watches.await(service, atMost, known, unknown);
+    public void awaitService(String service, Duration maxWait, Runnable onKnown, Consumer<Duration> onUnknown) {
+        watches.await(service, maxWait, onKnown, onUnknown);
     }
 
-    private final class Watches implements OnDemandWatches.Actions {
+    private final class WatchActions implements OnDemandWatches.Actions {
 
         @Override
         public void watch(String service) {
@@ -109,11 +109,11 @@
         @Override
         public boolean unwatch(String service) {
             if (!controller.forgetService(service)) {
-                return false;   // calls of it are open or stand
+                return false;   // it has open or established calls
             }
             feed.forget(service);
             client.unwatch(service);
-            LOG.log(Level.INFO, "{0} is not in use, and not watched any more", service);
+            LOG.log(Level.INFO, "{0} is not in use and no longer watched", service);
             return true;
         }
     }
--- a/daemon/src/main/java/pathlane/directory/DiscoveryFile.java
+++ b/daemon/src/main/java/pathlane/directory/DiscoveryFile.java
@@ -12,14 +12,14 @@
 import pathlane.group.KeyRing;
 
 /**
- * The operator's file by which a controller hears of its calls' services from relays, in TOML.
+ * The operator's TOML file that makes a controller get the server lists of its services from relays.
  *
- * @param watch the controller's name, its place, and the publishers that it may use
- * @param keys the file of the keys that sign each frame
- * @param serviceByCell the service of each cell that set-ups name
- * @param defaultService the service of set-ups that name no cell; empty where they fail
+ * @param watch the controller's name and location, and the publishers that it may use
+ * @param keyFile the file with the keys that authenticate each frame
+ * @param serviceByPool the service of each pool that call requests name
+ * @param defaultService the service of call requests that name no pool; if empty, such requests fail
  */
-public record DiscoveryFile(WatchTerms watch, Path keys, Map<Integer, String> serviceByCell,
+public record DiscoveryFile(WatchTerms watch, Path keyFile, Map<Integer, String> serviceByPool,
         Optional<String> defaultService) {
 
     private static final String NAME = "name";
@@ -30,8 +30,8 @@
     /**
      * Reads the file.
      *
-     * @param ownName the controller's, where the file names none
-     * @throws IllegalArgumentException with one sentence that names file, line and key, and what would be right
+     * @param ownName the controller's name if the file has none
+     * @throws IllegalArgumentException with a one-line message that names file, line, key and the expected value
      */
     public static DiscoveryFile read(Path file, String ownName) {
         TomlFile toml = TomlFile.parse(file);
@@ -39,10 +39,10 @@
         known.addAll(WatchTables.WATCH_KEYS);
         toml.onlyKeys(known);
         Map<String, Set<Integer>> services = WatchTables.services(toml);
-        Map<Integer, String> byCell = new HashMap<>();
-        services.forEach((service, cells) -> cells.forEach(cell -> byCell.put(cell, service)));
+        Map<Integer, String> serviceByPool = new HashMap<>();
+        services.forEach((service, pools) -> pools.forEach(pool -> serviceByPool.put(pool, service)));
         String name = toml.has(NAME) ? WatchTables.name(toml, NAME) : ownName;
-        return new DiscoveryFile(WatchTables.watchTerms(toml, name), toml.beside(toml.text(KEYS)), Map.copyOf(byCell),
+        return new DiscoveryFile(WatchTables.watchTerms(toml, name), toml.beside(toml.text(KEYS)), Map.copyOf(serviceByPool),
                 defaultService(toml, services.keySet()));
     }
 
@@ -52,19 +52,19 @@
         }
         String service = toml.text(DEFAULT_SERVICE);
         if (!services.contains(service)) {
-            throw toml.error(DEFAULT_SERVICE, "'" + DEFAULT_SERVICE + "' is '" + service + "', which is no service of "
+            throw toml.error(DEFAULT_SERVICE, "'" + DEFAULT_SERVICE + "' is '" + service + "', which is not a service in "
                     + "the table 'services'");
         }
         return Optional.of(service);
     }
 
-    /** The service that set-ups of a first choice belong to; empty where there is none. */
-    public Optional<String> serviceOf(int firstChoice) {
-        return firstChoice < 0 ? defaultService : Optional.ofNullable(serviceByCell.get(firstChoice));
+    /** The service of call requests with this preferred pool, -1 for none; empty if there is no such service. */
+    public Optional<String> serviceOf(int preferredPool) {
+        return preferredPool < 0 ? defaultService : Optional.ofNullable(serviceByPool.get(preferredPool));
     }
 
     /** Reads the keys that the file names. */
     public KeyRing readKeys() {
-        return WatchTables.keys(keys);
+        return WatchTables.keys(keyFile);
     }
 }
--- a/daemon/src/main/java/pathlane/directory/ServerListFeed.java
+++ b/daemon/src/main/java/pathlane/directory/ServerListFeed.java
@@ -17,8 +17,8 @@
 import pathlane.discovery.WatchListener;
 
 /**
- * Hands a call controller each change of a watched service within the call that tells it: a server that was removed or
- * drains gets nothing from then on. On the loop's thread.
+ * Passes each change of a watched service to the call controller synchronously, so that a removed or draining server gets
+ * no request from then on. Runs on the event loop's thread.
  */
 final class ServerListFeed implements WatchListener {
 
@@ -26,8 +26,8 @@
 
     private final CallController controller;
     private final OnDemandWatches watches;
-    /** What the controller was told last of each service. */
-    private final Map<String, ServiceState> listed = new HashMap<>();
+    /** The last state of each service that the controller received. */
+    private final Map<String, ServiceState> lastStates = new HashMap<>();
 
     ServerListFeed(CallController controller, OnDemandWatches watches) {
         this.controller = controller;
@@ -37,33 +37,34 @@
     @Override
     public void changed(ServiceState state, ServiceChange change) {
         String service = state.service();
-        ServiceState before = listed.put(service, state);
+        ServiceState before = lastStates.put(service, state);
         if (before != null && change instanceof ServiceChange.Delta delta && delta.from().equals(before.revision())) {
-            controller.updateServers(service, false, changedLines(before, delta));
+            controller.updateServers(service, false, changedEndpoints(before, delta));
         } else {
             controller.updateServers(service, true, state.endpoints());
         }
         watches.known(service);
     }
 
-    private static List<ServerEndpoint> changedLines(ServiceState before, ServiceChange.Delta delta) {
-        List<ServerEndpoint> lines = new ArrayList<>();
+    private static List<ServerEndpoint> changedEndpoints(ServiceState before, ServiceChange.Delta delta) {
+        List<ServerEndpoint> endpoints = new ArrayList<>();
         for (long id : delta.removed()) {
-            int place = Collections.binarySearch(before.endpoints(),
+            int index = Collections.binarySearch(before.endpoints(),
                     new ServerEndpoint(id, null, ServerStatus.GONE, 0, 0, null), BY_ID);
-            if (place >= 0) {
-                ServerEndpoint line = before.endpoints().get(place);
-                lines.add(new ServerEndpoint(id, line.address(), ServerStatus.GONE, line.pool(), line.weight(),
-                        line.startedAt()));
+            if (index >= 0) {
+                ServerEndpoint endpoint = before.endpoints().get(index);
+                endpoints.add(
+                        new ServerEndpoint(id, endpoint.address(), ServerStatus.GONE, endpoint.pool(), endpoint.weight(),
+                                endpoint.startedAt()));
             }
         }
-        lines.addAll(delta.upserted());
-        return lines;
+        endpoints.addAll(delta.upserted());
+        return endpoints;
     }
 
     @Override
     public void absent(String service, Revision revision) {
-        listed.remove(service);
+        lastStates.remove(service);
         controller.updateServers(service, true, List.of());
         watches.known(service);
     }
@@ -71,8 +72,8 @@
     @Override
     public void status(PublisherStatus status) {}
 
-    /** A service is not watched any more. */
+    /** Drops the state of a service that is no longer watched. */
     void forget(String service) {
-        listed.remove(service);
+        lastStates.remove(service);
     }
 }
--- a/daemon/src/main/java/pathlane/directory/package-info.java
+++ b/daemon/src/main/java/pathlane/directory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The controller's part in discovery, where an operator's file switches it on: which service a call belongs to, the watch of
- * the services that are in use, and the lists that it hands the core. A driver; it decides nothing about calls.
+ * The controller's discovery subscriber, enabled by an operator's file: maps calls to services, watches the services in use
+ * and passes their server lists to the core. It makes no decisions about calls.
  */
 package pathlane.directory;
--- a/daemon/src/main/java/pathlane/metrics/GraphiteReporter.java
+++ b/daemon/src/main/java/pathlane/metrics/GraphiteReporter.java
@@ -14,39 +14,40 @@
 import pathlane.transport.Protocol;
 
 /**
- * Tells the counters to Graphite in its plaintext protocol: every interval a line {@code prefix.name value time}
- * for each, over one connection. While that is down nothing is kept: counters only grow, and the next says all.
+ * Reports the counters to Graphite in its plaintext protocol: every interval a line {@code prefix.name value time}
+ * for each, over one connection. Nothing is buffered while the connection is down: counters only grow, and the next
+ * report has their full values.
  */
 public final class GraphiteReporter {
 
     private static final Logger LOG = System.getLogger("graphite");
-    private static final Duration DIAL_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
     private final GraphiteConfig config;
     private final Counters counters;
-    private final Connector dialer;
+    private final Connector connector;
     private final Scheduler scheduler;
     private Session session;
 
-    public GraphiteReporter(GraphiteConfig config, Counters counters, Connector dialer, Scheduler scheduler) {
+    public GraphiteReporter(GraphiteConfig config, Counters counters, Connector connector, Scheduler scheduler) {
         this.config = config;
         this.counters = counters;
-        this.dialer = dialer;
+        this.connector = connector;
         this.scheduler = scheduler;
     }
 
-    /** Starts to tell, at once and then every interval. */
+    /** Reports immediately and then every interval. */
     public void start() {
         if (session == null) {
             session = new Session();
-            dialer.connect(config.address(), DIAL_TIMEOUT, session);
+            connector.connect(config.address(), CONNECT_TIMEOUT, session);
         } else if (session.connection != null) {
-            session.connection.write(lines().getBytes(StandardCharsets.UTF_8));
+            session.connection.write(formatCounters().getBytes(StandardCharsets.UTF_8));
         }
         scheduler.after(config.interval(), this::start);
     }
 
-    private String lines() {
+    private String formatCounters() {
         StringBuilder lines = new StringBuilder();
         for (Counters.Name name : Counters.Name.values()) {
             lines.append(config.prefix()).append('.').append(name.exportedName()).append(' ')
@@ -60,10 +61,10 @@
         private Connection connection;
 
         @Override
-        public void opened(Connection up) {
-            connection = up;
-            LOG.log(Level.INFO, "graphite at {0} is up", up.remote());
-            up.write(lines().getBytes(StandardCharsets.UTF_8));
+        public void opened(Connection opened) {
+            connection = opened;
+            LOG.log(Level.INFO, "graphite at {0} is connected", opened.remote());
+            opened.write(formatCounters().getBytes(StandardCharsets.UTF_8));
         }
 
         @Override
@@ -72,10 +73,10 @@
         }
 
         @Override
-        public void closed(CloseReason end) {
+        public void closed(CloseReason reason) {
             session = null;
             if (connection != null) {
-                LOG.log(Level.WARNING, "graphite is down: {0}; dialled again at the next interval", end);
+                LOG.log(Level.WARNING, "graphite connection lost: {0}; reconnecting at the next interval", reason);
             }
         }
     }
--- a/daemon/src/main/java/pathlane/sim/Wire.java
+++ b/daemon/src/main/java/pathlane/sim/Wire.java
@@ -13,15 +13,15 @@
 import pathlane.decision.ServerStatus;
 import pathlane.decision.policy.AdaptiveRoutingPolicy;
 
-/** Reads the wire line by line, hands events to the instance they name, and writes the replies. */
+/** Reads the simulator's protocol line by line, passes events to the policy instance they name, and writes the replies. */
 public final class Wire {
 
-    private static final int IN_TRANSIT = 8;
-    private static final int NOTE_BITS = 16;
-    private static final int NO_LINE = 1;
-    private static final int ENGAGED = 4;
+    private static final int OPTION_IN_TRANSIT = 8;
+    private static final int NOTE_CODES = 16;
+    private static final int NOTE_NO_FREE_SLOT = 1;
+    private static final int NOTE_DESTINATION_BUSY = 4;
 
-    /** A line that can't be read; its message names the line and the field. */
+    /** An invalid line; the exception's message names the line and the field. */
     public static final class Malformed extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -31,26 +31,26 @@
     }
 
     private final Map<Integer, RoutingPolicy> instances = new HashMap<>();
-    private final Map<Integer, List<RoutingPolicy.ListedServer>> sheets = new HashMap<>();
+    private final Map<Integer, List<RoutingPolicy.ListedServer>> serverLists = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
-    private String[] part;
-    private boolean inBatch;
+    private String[] fields;
+    private boolean isInBatch;
     private double now;
-    private int who = -1;
-    private int writer = -1;
-    private List<RoutingPolicy.ListedServer> openSheet;
-    private int rowsDue;
+    private int currentInstance = -1;
+    private int lastWriter = -1;
+    private List<RoutingPolicy.ListedServer> openServerList;
+    private int missingRows;
 
-    /** Takes one line; returns the reply when it closes a batch, else null. */
-    public String line(String text) {
+    /** Processes one line; returns the reply if the line ends a batch, else null. */
+    public String readLine(String text) {
         lineNumber++;
-        part = text.split("\t", -1);
-        String message = part[0];
-        if (rowsDue > 0 && !message.equals("row")) {
-            throw malformed("message", rowsDue + " more row lines expected");
+        fields = text.split("\t", -1);
+        String message = fields[0];
+        if (missingRows > 0 && !message.equals("row")) {
+            throw malformed("message", missingRows + " more row lines expected");
         }
-        if (!inBatch) {
+        if (!isInBatch) {
             if (text.isEmpty()) {
                 return null;
             }
@@ -58,111 +58,113 @@
                 throw malformed("message", "expected tick, got '" + message + "'");
             }
             now = number(1, "clock");
-            inBatch = true;
-            who = -1;
-            writer = -1;
+            isInBatch = true;
+            currentInstance = -1;
+            lastWriter = -1;
             reply.setLength(0);
             return null;
         }
         if (message.equals("go")) {
-            inBatch = false;
+            isInBatch = false;
             return reply.append("end\n").toString();
         }
-        event(message, text);
+        handle(message, text);
         return null;
     }
 
-    /** The input has ended: that is an error within a batch only. */
-    public void end() {
-        if (inBatch) {
-            part = new String[0];
+    /** Handles the end of the input, which is an error only within a batch. */
+    public void endOfInput() {
+        if (isInBatch) {
+            fields = new String[0];
             throw malformed("message", "input ended within a batch");
         }
     }
 
-    private void event(String message, String text) {
+    private void handle(String message, String text) {
         switch (message) {
-            case "at" -> who = (int) integer(1, "who");
-            case "hello" -> hello(text);
-            case "killed" -> instances.remove(who);
+            case "at" -> currentInstance = (int) integer(1, "who");
+            case "hello" -> startInstance(text);
+            case "killed" -> instances.remove(currentInstance);
             case "roster" -> {
-                openSheet = new ArrayList<>();
-                sheets.put((int) integer(1, "sheet"), openSheet);
-                rowsDue = (int) integer(2, "elements");
+                openServerList = new ArrayList<>();
+                serverLists.put((int) integer(1, "sheet"), openServerList);
+                missingRows = (int) integer(2, "elements");
             }
-            case "row" -> row();
-            case "members" -> members();
-            case "incoming" -> incoming();
-            case "accepted" -> logic().callEstablished(now, text(1, "handle"), (int) integer(4, "try"),
+            case "row" -> addServer();
+            case "members" -> handleServerList();
+            case "incoming" -> handleRequest();
+            case "accepted" -> currentPolicy().callEstablished(now, text(1, "handle"), (int) integer(4, "try"),
                     integer(2, "switch"), number(3, "wait-time-ms"));
-            case "returned" -> returned();
-            case "abandoned" -> logic().clientLeft(now, text(1, "handle"));
+            case "returned" -> handleAttemptEnd();
+            case "abandoned" -> currentPolicy().clientLeft(now, text(1, "handle"));
             case "bell" -> {
                 integer(1, "nonce");
-                logic().timerFired(now);
+                currentPolicy().timerFired(now);
             }
-            case "sampled" -> logic().loadReported(now, integer(1, "switch"), report(4));
-            case "memo" -> logic();
+            case "sampled" -> currentPolicy().loadReported(now, integer(1, "switch"), loadReport(4));
+            case "memo" -> currentPolicy();
             default -> throw malformed("message", "unknown message '" + message + "'");
         }
     }
 
-    private void hello(String text) {
-        if (who < 0) {
+    private void startInstance(String text) {
+        if (currentInstance < 0) {
             throw malformed("who", "no 'at' line before it");
         }
         long seed = integer(1, "nonce64");
         text(2, "env");
         try {
-            String json = text.substring(part[0].length() + part[1].length() + 2);
-            JsonObject env = JsonParser.parseString(json).getAsJsonObject();
-            instances.put(who, new AdaptiveRoutingPolicy(SettingsReader.read(env), seed, new Writer(who)));
+            String json = text.substring(fields[0].length() + fields[1].length() + 2);
+            JsonObject environment = JsonParser.parseString(json).getAsJsonObject();
+            instances.put(currentInstance,
+                    new AdaptiveRoutingPolicy(SettingsReader.read(environment), seed, new Writer(currentInstance)));
         } catch (JsonParseException | IllegalStateException | UnsupportedOperationException
                 | IllegalArgumentException e) {
             throw malformed("env", e.getMessage());
         }
     }
 
-    private void row() {
-        if (rowsDue <= 0) {
+    private void addServer() {
+        if (missingRows <= 0) {
             throw malformed("message", "row outside a roster");
         }
-        rowsDue--;
-        ServerStatus mode = switch (text(3, "mode")) {
+        missingRows--;
+        ServerStatus status = switch (text(3, "mode")) {
             case "active" -> ServerStatus.RUNNING;
             case "leaving" -> ServerStatus.DRAINING;
             case "left" -> ServerStatus.GONE;
-            default -> throw malformed("mode", "unknown mode '" + part[3] + "'");
+            default -> throw malformed("mode", "unknown mode '" + fields[3] + "'");
         };
-        openSheet.add(new RoutingPolicy.ListedServer(integer(6, "switch"), (int) integer(1, "cell"), mode,
+        openServerList.add(new RoutingPolicy.ListedServer(integer(6, "switch"), (int) integer(1, "cell"), status,
                 number(4, "boot-time-ms", 0), number(2, "heft", 1)));
     }
 
-    private void members() {
+    private void handleServerList() {
         String kind = text(2, "kind");
         if (kind.equals("X")) {
-            logic().serverListFailed(now);
+            currentPolicy().serverListFailed(now);
             return;
         }
         if (!kind.equals("D") && !kind.equals("F") && !kind.equals("C")) {
             throw malformed("kind", "unknown kind '" + kind + "'");
         }
-        List<RoutingPolicy.ListedServer> sheet = sheets.get((int) integer(1, "sheet"));
-        if (sheet == null) {
+        List<RoutingPolicy.ListedServer> servers = serverLists.get((int) integer(1, "sheet"));
+        if (servers == null) {
             throw malformed("sheet", "no such roster");
         }
-        logic().serversListed(now, !kind.equals("D"), sheet);
+        currentPolicy().serversListed(now, !kind.equals("D"), servers);
     }
 
-    private void incoming() {
-        int flags = (int) number(10, "opts", 0);
-        logic().requestArrived(now, new RoutingPolicy.Request(text(1, "handle"), (int) integer(2, "kind"), text(4, "key"),
-                number(5, "grace-ms"), (int) number(7, "dest", -1), (flags & IN_TRANSIT) != 0));
+    private void handleRequest() {
+        int options = (int) number(10, "opts", 0);
+        currentPolicy().requestArrived(now,
+                new RoutingPolicy.Request(text(1, "handle"), (int) integer(2, "kind"), text(4, "key"),
+                        number(5, "grace-ms"), (int) number(7, "dest", -1), (options & OPTION_IN_TRANSIT) != 0));
     }
 
-    private void returned() {
+    private void handleAttemptEnd() {
         int code = (int) integer(5, "code");
-        Outcome how = switch (code) {
+        Outcome outcome = switch (code) {
             case 200 -> Outcome.COMPLETED;
             case 500 -> Outcome.ERROR;
             case 503 -> Outcome.REJECTED;
@@ -174,32 +176,32 @@
             default -> throw malformed("code", "unknown outcome " + code);
         };
         int note = (int) Math.max(0, number(7, "note", 0));
-        double statedWait = note / NOTE_BITS;
-        if (how == Outcome.REJECTED && note % NOTE_BITS == NO_LINE) {
-            how = Outcome.NO_CAPACITY;
-        } else if (how == Outcome.ERROR && note % NOTE_BITS == ENGAGED) {
-            how = Outcome.BUSY;
+        double retryAfterMs = note / NOTE_CODES;
+        if (outcome == Outcome.REJECTED && note % NOTE_CODES == NOTE_NO_FREE_SLOT) {
+            outcome = Outcome.NO_CAPACITY;
+        } else if (outcome == Outcome.ERROR && note % NOTE_CODES == NOTE_DESTINATION_BUSY) {
+            outcome = Outcome.BUSY;
         }
-        if (how != Outcome.REJECTED) {
-            statedWait = 0;
+        if (outcome != Outcome.REJECTED) {
+            retryAfterMs = 0;
         }
-        logic().attemptEnded(now, new RoutingPolicy.AttemptResult(text(1, "handle"), (int) integer(4, "try"),
-                integer(6, "switch"), how,
-                integer(3, "closed") != 0, number(2, "wait-time-ms"), statedWait, report(8)));
+        currentPolicy().attemptEnded(now, new RoutingPolicy.AttemptResult(text(1, "handle"), (int) integer(4, "try"),
+                integer(6, "switch"), outcome,
+                integer(3, "closed") != 0, number(2, "wait-time-ms"), retryAfterMs, loadReport(8)));
     }
 
-    /** The load report in this part of the line, or null where there is none. */
-    private RoutingPolicy.LoadReport report(int index) {
-        if (index >= part.length || part[index].isEmpty() || part[index].equals("-")) {
+    /** The load report in this field of the line, or null if there is none. */
+    private RoutingPolicy.LoadReport loadReport(int index) {
+        if (index >= fields.length || fields[index].isEmpty() || fields[index].equals("-")) {
             return null;
         }
         double free = Double.NaN;
-        double lines = Double.NaN;
-        double waiting = Double.NaN;
-        double perSecond = Double.NaN;
-        double wait = Double.NaN;
+        double slots = Double.NaN;
+        double queued = Double.NaN;
+        double requestsPerSecond = Double.NaN;
+        double queueMs = Double.NaN;
         double busy = Double.NaN;
-        for (String pair : part[index].split(",")) {
+        for (String pair : fields[index].split(",")) {
             int colon = pair.indexOf(':');
             if (colon < 0) {
                 throw malformed("metrics", "'" + pair + "' is not name:value");
@@ -207,30 +209,30 @@
             double value = parse(pair.substring(colon + 1), "metrics");
             switch (value < 0 ? "" : pair.substring(0, colon)) {
                 case "free" -> free = value;
-                case "size" -> lines = value;
-                case "waiting" -> waiting = value;
-                case "can_take" -> perSecond = value;
-                case "avg_ms" -> wait = value;
+                case "size" -> slots = value;
+                case "waiting" -> queued = value;
+                case "can_take" -> requestsPerSecond = value;
+                case "avg_ms" -> queueMs = value;
                 case "cpu" -> busy = value;
                 default -> {}
             }
         }
-        return new RoutingPolicy.LoadReport(free, lines, waiting, perSecond, wait, busy);
+        return new RoutingPolicy.LoadReport(free, slots, queued, requestsPerSecond, queueMs, busy);
     }
 
-    private RoutingPolicy logic() {
-        RoutingPolicy instance = instances.get(who);
+    private RoutingPolicy currentPolicy() {
+        RoutingPolicy instance = instances.get(currentInstance);
         if (instance == null) {
-            throw malformed("who", "instance " + who + " has not started");
+            throw malformed("who", "instance " + currentInstance + " has not started");
         }
         return instance;
     }
 
     private String text(int index, String field) {
-        if (index >= part.length || part[index].isEmpty()) {
+        if (index >= fields.length || fields[index].isEmpty()) {
             throw malformed(field, "missing");
         }
-        return part[index];
+        return fields[index];
     }
 
     private long integer(int index, String field) {
@@ -238,9 +240,9 @@
             return Long.parseUnsignedLong(text(index, field));
         } catch (NumberFormatException e) {
             try {
-                return Long.parseLong(part[index]);
+                return Long.parseLong(fields[index]);
             } catch (NumberFormatException again) {
-                throw malformed(field, "'" + part[index] + "' is not a whole number");
+                throw malformed(field, "'" + fields[index] + "' is not an integer");
             }
         }
     }
@@ -249,9 +251,9 @@
         return parse(text(index, field), field);
     }
 
-    private double number(int index, String field, double absent) {
-        boolean none = index >= part.length || part[index].isEmpty() || part[index].equals("-");
-        return none ? absent : number(index, field);
+    private double number(int index, String field, double defaultValue) {
+        boolean isAbsent = index >= fields.length || fields[index].isEmpty() || fields[index].equals("-");
+        return isAbsent ? defaultValue : number(index, field);
     }
 
     private double parse(String text, String field) {
@@ -266,12 +268,12 @@
         }
     }
 
-    private Malformed malformed(String field, String what) {
-        String message = part.length == 0 ? "" : " (" + part[0] + ")";
-        return new Malformed("line " + lineNumber + message + ", field " + field + ": " + what);
+    private Malformed malformed(String field, String problem) {
+        String message = fields.length == 0 ? "" : " (" + fields[0] + ")";
+        return new Malformed("line " + lineNumber + message + ", field " + field + ": " + problem);
     }
 
-    /** Writes one instance's actions into the reply. */
+    /** Appends the actions of one policy instance to the reply. */
     private final class Writer implements RoutingPolicy.Actions {
         private final int instance;
 
@@ -279,9 +281,9 @@
             this.instance = instance;
         }
 
-        private StringBuilder begin(String action) {
-            if (writer != instance) {
-                writer = instance;
+        private StringBuilder beginAction(String action) {
+            if (lastWriter != instance) {
+                lastWriter = instance;
                 reply.append("from\t").append(instance).append('\n');
             }
             return reply.append(action).append('\t');
@@ -289,33 +291,33 @@
 
         @Override
         public void send(String call, long server, double giveUpAfterMs) {
-            begin("send").append(call).append('\t').append(server).append('\t').append(giveUpAfterMs)
+            beginAction("send").append(call).append('\t').append(server).append('\t').append(giveUpAfterMs)
                     .append('\n');
         }
 
         @Override
-        public void reject(String call, double adviseMs) {
-            begin("overload_reply").append(call).append('\t').append(adviseMs).append('\n');
+        public void reject(String call, double retryAfterMs) {
+            beginAction("overload_reply").append(call).append('\t').append(retryAfterMs).append('\n');
         }
 
         @Override
         public void fail(String call) {
-            begin("drop_request").append(call).append('\n');
+            beginAction("drop_request").append(call).append('\n');
         }
 
         @Override
         public void cancel(String call, int attempt) {
-            begin("drop_attempt").append(call).append('\t').append(attempt).append('\n');
+            beginAction("drop_attempt").append(call).append('\t').append(attempt).append('\n');
         }
 
         @Override
         public void scheduleTimer(double delayMs) {
-            begin("after").append(delayMs).append("\t0\n");
+            beginAction("after").append(delayMs).append("\t0\n");
         }
 
         @Override
         public void requestServerList() {
-            begin("listen").append("1\n");
+            beginAction("listen").append("1\n");
         }
     }
 }
--- a/daemon/src/rehearsal/Rehearsal.java
+++ b/daemon/src/rehearsal/Rehearsal.java
@@ -19,32 +19,32 @@
 import java.util.regex.Pattern;
 
 /**
- * Starts the program that was just built once, leads it through the usual course of calls over the loopback, and has
- * its JVM leave an archive of the classes that it loaded: a later start then takes under half the work, and the first
- * calls meet no class that has yet to be read and verified. Without the archive the program runs all the same, so a
- * build where this does not succeed says so and goes on.
+ * Training run for class data sharing: starts the program just built, runs typical calls over the loopback, and has its
+ * JVM write an archive of the classes that it loaded. With the archive a start takes less than half the work, and the
+ * first calls don't have to load and verify classes. The program also runs without it, so if this fails, the build prints
+ * a message and continues.
  *
  * <p>Arguments: the java command, the program's jar, the archive to write.
  */
 public final class Rehearsal {
 
-    private static final int SECONDS = 20;
-    private static final int SET_UP = 1;
+    private static final int EXIT_TIMEOUT_SECONDS = 20;
+    private static final int REQUEST = 1;
     private static final int ANSWER = 9;
     private static final int RELEASE = 12;
-    private static final byte[] REFUSED_FULL = {(byte) 171, 0, 1, 34, (byte) 150, 0, 10, 'q', 'u', 'e', 'u', 'e', '_',
+    private static final byte[] REJECTED_QUEUE_FULL = {(byte) 171, 0, 1, 34, (byte) 150, 0, 10, 'q', 'u', 'e', 'u', 'e', '_',
             'l', 'o', 'n', 'g'};
     private static final byte[] ERROR = {(byte) 171, 0, 1, 47};
-    private static final byte[] OVER = {(byte) 171, 0, 1, 16};
-    private static final byte[] DESCRIPTION = {(byte) 174, 0, 2, 'o', 'k'};
-    private static final byte[] LINES = parameter(156, "free:100;size:100");
-    private static final int GROUP_STATE = 43;
+    private static final byte[] COMPLETED = {(byte) 171, 0, 1, 16};
+    private static final byte[] PAYLOAD = {(byte) 174, 0, 2, 'o', 'k'};
+    private static final byte[] CAPACITY_REPORT = parameter(156, "free:100;size:100");
+    private static final int CAPACITY = 43;
     private static final int CALLS = 40;
     private static final int SERVERS = 3;
-    private static final Pattern SERVES = Pattern.compile("serves on .*:(\\d+)$");
+    private static final Pattern SERVING_LINE = Pattern.compile("serves on .*:(\\d+)$");
 
     private final List<ServerSocket> servers = new ArrayList<>();
-    private final BlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Integer> receivedTypes = new LinkedBlockingQueue<>();
     private volatile int busPort;
 
     private Rehearsal() {}
@@ -53,24 +53,24 @@
         Path archive = Path.of(args[2]);
         try {
             Files.deleteIfExists(archive);
-            new Rehearsal().play(args[0], args[1], archive);
+            new Rehearsal().run(args[0], args[1], archive);
             if (!Files.exists(archive)) {
-                System.err.println("rehearsal: the JVM left no archive; the program starts without one");
+                System.err.println("rehearsal: the JVM wrote no archive; the program starts without one");
             }
         } catch (IOException e) {
             System.err.println("rehearsal: " + e.getMessage() + "; the program starts without an archive");
         }
-        System.exit(0);   // threads that wait for connections end with it
+        System.exit(0);   // also ends the threads that wait for connections
     }
 
-    private void play(String java, String jar, Path archive) throws IOException, InterruptedException {
+    private void run(String java, String jar, Path archive) throws IOException, InterruptedException {
         for (int i = 0; i < SERVERS; i++) {
             servers.add(new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1")));
-            start(servers.get(i), this::serve);
+            start(servers.get(i), this::serveCalls);
         }
         ServerSocket bus = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         busPort = bus.getLocalPort();
-        start(bus, this::tell);
+        start(bus, this::serveBus);
         Path config = Files.createTempFile("rehearsal", ".json");
         Files.writeString(config, config());
         ProcessBuilder builder = new ProcessBuilder(java, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
@@ -80,9 +80,9 @@
         builder.environment().remove("JAVA_TOOL_OPTIONS");
         Process program = builder.start();
         try {
-            call(port(program));
+            makeCalls(awaitPort(program));
             program.destroy();
-            if (!program.waitFor(SECONDS, TimeUnit.SECONDS)) {
+            if (!program.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new IOException("the program did not end");
             }
         } finally {
@@ -91,99 +91,99 @@
         }
     }
 
-    private static int port(Process program) throws IOException {
+    private static int awaitPort(Process program) throws IOException {
         BufferedReader log = new BufferedReader(new InputStreamReader(program.getInputStream(), StandardCharsets.UTF_8));
-        StringBuilder said = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            said.append(line).append(' ');
-            Matcher serves = SERVES.matcher(line);
+            output.append(line).append(' ');
+            Matcher serves = SERVING_LINE.matcher(line);
             if (serves.find()) {
-                daemon(() -> {
+                startDaemon(() -> {
                     while (log.readLine() != null) {
-                        // The program must not wait for somebody to read what it says.
+                        // Drains the log so that the program never blocks on a full pipe.
                     }
                 });
                 return Integer.parseInt(serves.group(1));
             }
         }
-        throw new IOException("the program ended before it served: " + said);
+        throw new IOException("the program ended before it served: " + output);
     }
 
-    /** Calls one after the other, of both classes; some are given up, some are released here, some by the server. */
-    private void call(int port) throws IOException, InterruptedException {
+    /** Makes calls of both classes one after the other; some are cancelled, some released by the client, some by the server. */
+    private void makeCalls(int port) throws IOException, InterruptedException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setTcpNoDelay(true);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            daemon(() -> read(socket));
+            startDaemon(() -> readAnswers(socket));
             send(out, 52, 0, new byte[] {(byte) 171, 0, 1, 0});
             for (int i = 1; i <= CALLS; i++) {
-                send(out, SET_UP, i, together(parameter(129, i % 4 == 0 ? "deadline-sign" : "status-check"),
+                send(out, REQUEST, i, concatenate(parameter(129, i % 4 == 0 ? "deadline-sign" : "status-check"),
                         parameter(132, "2000"), parameter(141, "555-" + i % 7),
-                        parameter(144, "dest:" + i % SERVERS + ";width:1;via:-1"), DESCRIPTION));
+                        parameter(144, "dest:" + i % SERVERS + ";width:1;via:-1"), PAYLOAD));
                 if (i % 8 == 0) {
-                    send(out, RELEASE, i, OVER);
+                    send(out, RELEASE, i, COMPLETED);
                 } else {
-                    heard.poll(100, TimeUnit.MILLISECONDS);
+                    receivedTypes.poll(100, TimeUnit.MILLISECONDS);
                 }
             }
-            send(out, SET_UP, CALLS + 1, parameter(129, "no such class"));
-            send(out, RELEASE, CALLS + 2, OVER);
-            heard.poll(1, TimeUnit.SECONDS);
+            send(out, REQUEST, CALLS + 1, parameter(129, "no such class"));
+            send(out, RELEASE, CALLS + 2, COMPLETED);
+            receivedTypes.poll(1, TimeUnit.SECONDS);
         }
     }
 
-    private void read(Socket socket) throws IOException {
+    private void readAnswers(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
-            heard.add((int) message(in).get(0));
+            receivedTypes.add((int) message(in).get(0));
         }
     }
 
-    /** A session server: most calls stand and are over 30 ms later; some are turned away, end in an error, or break. */
-    private void serve(Socket socket) throws IOException {
+    /** A session server: most calls are established, some of them released at once; others are rejected, fail, or break. */
+    private void serveCalls(Socket socket) throws IOException {
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-        send(out, GROUP_STATE, 0, LINES);
+        send(out, CAPACITY, 0, CAPACITY_REPORT);
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
             ByteBuffer message = message(in);
             long call = message.getLong(1);
-            if (message.get(0) == SET_UP) {
+            if (message.get(0) == REQUEST) {
                 if (call % 16 == 5) {
-                    send(out, RELEASE, call, REFUSED_FULL);
+                    send(out, RELEASE, call, REJECTED_QUEUE_FULL);
                 } else if (call % 16 == 9) {
                     send(out, RELEASE, call, ERROR);
                 } else if (call == 30) {
                     socket.setSoLinger(true, 0);
                     socket.close();
                 } else if (call % 8 != 0) {
-                    send(out, ANSWER, call, DESCRIPTION);
-                    send(out, GROUP_STATE, 0, LINES);
+                    send(out, ANSWER, call, PAYLOAD);
+                    send(out, CAPACITY, 0, CAPACITY_REPORT);
                     if (call % 3 == 0) {
-                        send(out, RELEASE, call, OVER);
+                        send(out, RELEASE, call, COMPLETED);
                     }
                 }
             }
         }
     }
 
-    /** The event bus: the first server drains and goes, and a new one comes at the address of the second. */
-    private void tell(Socket socket) throws IOException {
+    /** The event bus: the first server drains and is removed, and a new one appears at the address of the second. */
+    private void serveBus(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-        long last = in.readLong();
-        for (int state = 1; last == 1 && state <= 2; state++) {
+        long offset = in.readLong();
+        for (int state = 1; offset == 1 && state <= 2; state++) {
             out.writeInt(9 + 27 * 2);
-            out.writeLong(last + state);
+            out.writeLong(offset + state);
             out.writeByte(2);
             record(out, 1, servers.get(0).getLocalPort(), state);
             record(out, 9, servers.get(1).getLocalPort(), 0);
             out.flush();
         }
         out.writeInt(9);
-        out.writeLong(last + 2);
+        out.writeLong(offset + 2);
         out.writeByte(0);
         out.flush();
-        in.read();   // until the program has ended
+        in.read();   // blocks until the program has ended
     }
 
     private static void record(DataOutputStream out, int id, int port, int state) throws IOException {
@@ -215,31 +215,31 @@
                 + "\"fall-ms\":1500},\"specifics\":{\"clear-wait-ms\":200,\"t1-ms\":500}}}";
     }
 
-    private interface Talk {
-        void with(Socket socket) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws IOException;
     }
 
-    private interface Work {
-        void go() throws IOException;
+    private interface IoTask {
+        void run() throws IOException;
     }
 
-    private static void start(ServerSocket listener, Talk talk) {
-        daemon(() -> {
+    private static void start(ServerSocket listener, ConnectionHandler handler) {
+        startDaemon(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                daemon(() -> talk.with(socket));
+                startDaemon(() -> handler.handle(socket));
             }
         });
     }
 
-    /** Works until a connection ends under it. */
-    private static void daemon(Work work) {
+    /** Runs the work on a daemon thread until its connection closes. */
+    private static void startDaemon(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.go();
+                task.run();
             } catch (IOException e) {
-                // The end of the connection.
+                // The connection has closed.
             }
         });
         thread.setDaemon(true);
@@ -266,7 +266,7 @@
         return ByteBuffer.allocate(3 + value.length).put((byte) code).putShort((short) value.length).put(value).array();
     }
 
-    private static byte[] together(byte[]... parts) {
+    private static byte[] concatenate(byte[]... parts) {
         int length = 0;
         for (byte[] part : parts) {
             length += part.length;
--- a/daemon/src/test/java/pathlane/LogPatternsTest.java
+++ b/daemon/src/test/java/pathlane/LogPatternsTest.java
@@ -14,44 +14,45 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards what log lines say: in a pattern with places for values an apostrophe is written twice, or the values after it
- * are never written; in a line without places it is written once, or it comes out twice.
+ * Checks the apostrophes in log messages: a message with placeholders is a MessageFormat pattern, in which a single
+ * apostrophe suppresses the placeholders after it, so it must be doubled; a message without placeholders is logged as it
+ * is, so a doubled apostrophe would be printed twice.
  */
 class LogPatternsTest {
 
     private static final Path ROOT = Path.of("..");
-    private static final Pattern CALL = Pattern.compile(
+    private static final Pattern LOG_CALL = Pattern.compile(
             "\\b(?:log\\(Level\\.\\w+,|warn\\(|trace\\([^,\"]*,)\\s*((?:\"(?:[^\"\\\\]|\\\\.)*\"[\\s+]*)+)");
-    private static final Pattern PLACE = Pattern.compile("\\{\\d");
+    private static final Pattern PLACEHOLDER = Pattern.compile("\\{\\d");
 
     @Test
-    void everyPatternWritesItsValues() throws IOException {
+    void apostrophesAreDoubledOnlyInPatterns() throws IOException {
         List<String> wrong = new ArrayList<>();
-        int seen = 0;
+        int count = 0;
         for (Path source : sources()) {
-            Matcher call = CALL.matcher(Files.readString(source));
+            Matcher call = LOG_CALL.matcher(Files.readString(source));
             while (call.find()) {
-                seen++;
-                if (isWrong(call.group(1))) {
+                count++;
+                if (hasWrongApostrophe(call.group(1))) {
                     wrong.add(ROOT.relativize(source) + ": " + call.group(1).strip());
                 }
             }
         }
         assertEquals(List.of(), wrong);
-        assertTrue(seen > 30, seen + " log lines were found");
+        assertTrue(count > 30, count + " log lines were found");
     }
 
     @Test
-    void whatIsWrongIsFound() {
-        assertTrue(isWrong("\"a set-up that can't be used: {1}\""));
-        assertTrue(isWrong("\"the bus can''t be reached\""));
-        assertTrue(!isWrong("\"a set-up that can''t be used: {1}\""));
-        assertTrue(!isWrong("\"the bus can't be reached\""));
+    void wrongApostrophesAreDetected() {
+        assertTrue(hasWrongApostrophe("\"a request that can't be used: {1}\""));
+        assertTrue(hasWrongApostrophe("\"the bus can''t be reached\""));
+        assertTrue(!hasWrongApostrophe("\"a request that can''t be used: {1}\""));
+        assertTrue(!hasWrongApostrophe("\"the bus can't be reached\""));
     }
 
-    private static boolean isWrong(String pattern) {
-        String text = pattern.replace("''", "\u0000");
-        return PLACE.matcher(text).find() ? text.contains("'") : text.contains("\u0000");
+    private static boolean hasWrongApostrophe(String pattern) {
+        String withoutDoubled = pattern.replace("''", "\u0000");
+        return PLACEHOLDER.matcher(withoutDoubled).find() ? withoutDoubled.contains("'") : withoutDoubled.contains("\u0000");
     }
 
     private static List<Path> sources() throws IOException {
--- a/daemon/src/test/java/pathlane/SighupHandlerTest.java
+++ b/daemon/src/test/java/pathlane/SighupHandlerTest.java
@@ -6,23 +6,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A reload that is asked for while the program starts is done once it can be. */
+/** A reload requested during startup runs as soon as the reload action is set. */
 class SighupHandlerTest {
 
     @Test
-    void aSignalBeforeAnybodyCanReloadIsKept() {
-        List<String> done = new ArrayList<>();
+    void signalDuringStartupIsKept() {
+        List<String> reloads = new ArrayList<>();
         SighupHandler sighup = new SighupHandler();
         sighup.signalled();
         sighup.signalled();
-        sighup.onSignal(() -> done.add("reload"));
-        assertEquals(List.of("reload"), done);
+        sighup.onSignal(() -> reloads.add("reload"));
+        assertEquals(List.of("reload"), reloads);
         sighup.signalled();
-        assertEquals(List.of("reload", "reload"), done);
+        assertEquals(List.of("reload", "reload"), reloads);
     }
 
     @Test
-    void nothingIsReloadedUnasked() {
+    void noReloadWithoutSignal() {
         SighupHandler sighup = new SighupHandler();
         sighup.onSignal(() -> {
             throw new AssertionError("reloaded unasked");
--- a/daemon/src/test/java/pathlane/SteadyLogTest.java
+++ b/daemon/src/test/java/pathlane/SteadyLogTest.java
@@ -9,7 +9,7 @@
 import java.util.logging.LogRecord;
 import org.junit.jupiter.api.Test;
 
-/** The form of log lines, which the on-call page and whoever reads logs by program rely on. */
+/** The format of log lines, on which the on-call page and log parsers rely. */
 class SteadyLogTest {
 
     private static LogRecord record(String text, Object... values) {
@@ -21,16 +21,16 @@
     }
 
     @Test
-    void aLine() {
+    void formatsOneLine() {
         assertEquals("2026-01-02 03:04:05.067 WARNING callers: caller 7 closed: IDLE\n",
-                new SteadyLog.Lines().format(record("caller {0} closed: {1}", "7", "IDLE")));
+                new SteadyLog.LineFormatter().format(record("caller {0} closed: {1}", "7", "IDLE")));
     }
 
     @Test
-    void aTraceFollowsItsLine() {
+    void stackTraceFollowsTheLine() {
         LogRecord record = record("fault");
         record.setThrown(new IllegalStateException("why"));
-        String text = new SteadyLog.Lines().format(record);
+        String text = new SteadyLog.LineFormatter().format(record);
         assertTrue(text.startsWith("2026-01-02 03:04:05.067 WARNING callers: fault\njava.lang.IllegalStateException: why"));
     }
 }
--- a/daemon/src/test/java/pathlane/directory/DiscoveryFileTest.java
+++ b/daemon/src/test/java/pathlane/directory/DiscoveryFileTest.java
@@ -19,7 +19,7 @@
     Path folder;
 
     @Test
-    void theFileThatIsDeliveredNamesTheServiceOfEachCell() {
+    void exampleFileMapsPoolsToServices() {
         DiscoveryFile file = DiscoveryFile.read(EXAMPLE, "n1");
         assertEquals("n1", file.watch().name());
         assertEquals(Optional.of("accounts"), file.serviceOf(1));
@@ -29,17 +29,17 @@
     }
 
     @Test
-    void whatCanNotBeUsedIsOneSentenceThatNamesTheLine() throws IOException {
-        says("keys = ", "keys_ = ", "line 7: 'keys_' is no key here");
-        says("billing = [2]", "billing = [1]", "cell 1 is in 'accounts' and in 'billing'");
-        says("[services]", "[[publishers]]\nname = \"relay-1\"\naddress = \"127.0.0.1:1\"\n[services]",
+    void errorNamesTheInvalidLine() throws IOException {
+        assertError("keys = ", "keys_ = ", "line 7: 'keys_' is no key here");
+        assertError("billing = [2]", "billing = [1]", "cell 1 is in 'accounts' and in 'billing'");
+        assertError("[services]", "[[publishers]]\nname = \"relay-1\"\naddress = \"127.0.0.1:1\"\n[services]",
                 "two publishers have one name");
-        says("keys = ", "default-service = \"mail\"\nkeys = ", "line 7: 'default-service' is 'mail'");
+        assertError("keys = ", "default-service = \"mail\"\nkeys = ", "line 7: 'default-service' is 'mail'");
     }
 
-    private void says(String from, String to, String words) throws IOException {
-        Path file = Files.writeString(folder.resolve("d.toml"), Files.readString(EXAMPLE).replace(from, to));
-        String said = assertThrows(IllegalArgumentException.class, () -> DiscoveryFile.read(file, "n1")).getMessage();
-        assertTrue(said.contains(words), said);
+    private void assertError(String original, String replacement, String expected) throws IOException {
+        Path file = Files.writeString(folder.resolve("d.toml"), Files.readString(EXAMPLE).replace(original, replacement));
+        String message = assertThrows(IllegalArgumentException.class, () -> DiscoveryFile.read(file, "n1")).getMessage();
+        assertTrue(message.contains(expected), message);
     }
 }
--- a/daemon/src/test/java/pathlane/directory/ServicesTest.java
+++ b/daemon/src/test/java/pathlane/directory/ServicesTest.java
@@ -29,27 +29,27 @@
 import pathlane.discovery.ServiceState;
 import pathlane.standin.VirtualTime;
 
-/** Calls of two services, billing by cell 0 and mail by cell 1, at one controller that hears of servers on demand. */
+/** Calls of two services, billing in pool 0 and mail in pool 1, at a controller that watches services on demand. */
 class ServicesTest {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(9);
-    private static final Duration SHORT = Duration.ofMillis(50);
+    private static final Duration TIMEOUT = Duration.ofSeconds(9);
+    private static final Duration STEP = Duration.ofMillis(50);
     private static final Settings SETTINGS = new Settings(List.of(new Settings.CallClass("plain", Duration.ofMillis(1500),
-            PATIENCE, 1, 0, 1, true, List.of())), new Settings.Rules(0.28, Duration.ofSeconds(13), 3,
+            TIMEOUT, 1, 0, 1, true, List.of())), new Settings.Rules(0.28, Duration.ofSeconds(13), 3,
                     Duration.ofMillis(1500), Duration.ofMillis(200)),
             1, 6, Duration.ofMillis(5), Duration.ZERO, true, false, -1,
             Duration.ofMillis(500), Duration.ofMinutes(10), Duration.ZERO, Optional.empty());
 
     private final VirtualTime time = new VirtualTime();
     private final List<String> log = new ArrayList<>();
-    private final OnDemandWatches watches = new OnDemandWatches(time, new Watches());
+    private final OnDemandWatches watches = new OnDemandWatches(time, new WatchActions());
     private final CallController controller = new CallController(SETTINGS, 7, time, Port::new, CallReplication.NONE,
             new Directory());
     private final ServerListFeed feed = new ServerListFeed(controller, watches);
-    private final ClientPort caller = new Caller();
+    private final ClientPort client = new Client();
     private int revisions;
 
-    private final class Watches implements OnDemandWatches.Actions {
+    private final class WatchActions implements OnDemandWatches.Actions {
         @Override
         public void watch(String service) {
             log.add("watch " + service);
@@ -65,9 +65,9 @@
 
     private final class Directory implements ServiceDirectory {
         @Override
-        public Optional<String> serviceOf(CallRequest setUp) {
-            return setUp.preferredPool() > 1 ? Optional.empty()
-                    : Optional.of(setUp.preferredPool() == 0 ? "billing" : "mail");
+        public Optional<String> serviceOf(CallRequest request) {
+            return request.preferredPool() > 1 ? Optional.empty()
+                    : Optional.of(request.preferredPool() == 0 ? "billing" : "mail");
         }
 
         @Override
@@ -76,29 +76,29 @@
         }
 
         @Override
-        public void awaitService(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
-            watches.await(service, atMost, known, unknown);
+        public void awaitService(String service, Duration maxWait, Runnable onKnown, Consumer<Duration> onUnknown) {
+            watches.await(service, maxWait, onKnown, onUnknown);
         }
     }
 
     private final class Port implements ServerPort {
         private final long id;
 
-        Port(ServerEndpoint line) {
-            id = line.id();
+        Port(ServerEndpoint endpoint) {
+            id = endpoint.id();
         }
 
         @Override
-        public void sendRequest(CallRequest setUp, Duration patience, boolean mayHaveRun) {
-            log.add(setUp.id() + " at " + id);
-            time.after(Duration.ofMillis(1), () -> controller.serverAnswered(id, setUp.id(), new byte[0]));
+        public void sendRequest(CallRequest request, Duration timeout, boolean mayHaveRun) {
+            log.add(request.id() + " at " + id);
+            time.after(Duration.ofMillis(1), () -> controller.serverAnswered(id, request.id(), new byte[0]));
         }
 
         @Override
         public void cancel(String call) {}
 
         @Override
-        public void release(String call, Outcome how, byte[] content) {}
+        public void release(String call, Outcome outcome, byte[] content) {}
 
         @Override
         public void drain() {}
@@ -109,15 +109,15 @@
         }
     }
 
-    private final class Caller implements ClientPort {
+    private final class Client implements ClientPort {
         @Override
-        public void answer(String call, byte[] description) {
+        public void answer(String call, byte[] content) {
             log.add(call + " stands");
         }
 
         @Override
-        public void reject(String call, Duration comeBackAfter) {
-            log.add(call + " refused " + comeBackAfter.toMillis());
+        public void reject(String call, Duration retryDelay) {
+            log.add(call + " refused " + retryDelay.toMillis());
         }
 
         @Override
@@ -126,123 +126,123 @@
         }
 
         @Override
-        public void release(String call, Outcome how) {
+        public void release(String call, Outcome outcome) {
             log.add(call + " over");
         }
     }
 
     @BeforeEach
-    void aCallerIsConnected() {
-        controller.clientConnected(caller);
+    void connectClient() {
+        controller.clientConnected(client);
     }
 
-    private void call(String id, int cell, Duration patience) {
-        controller.submit(new CallRequest(id, 0, "n" + id, patience, cell, new byte[0]), caller);
-        time.pass(SHORT);
+    private void call(String id, int pool, Duration timeout) {
+        controller.submit(new CallRequest(id, 0, "n" + id, timeout, pool, new byte[0]), client);
+        time.pass(STEP);
     }
 
     private ServiceState state(String service, long... servers) {
-        List<ServerEndpoint> lines = new ArrayList<>();
+        List<ServerEndpoint> endpoints = new ArrayList<>();
         for (long id : servers) {
-            lines.add(new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", (int) id), ServerStatus.RUNNING, 0, 1,
+            endpoints.add(new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", (int) id), ServerStatus.RUNNING, 0, 1,
                     Instant.EPOCH));
         }
-        return new ServiceState(service, new Revision(1, ++revisions), 0, lines, "");
+        return new ServiceState(service, new Revision(1, ++revisions), 0, endpoints, "");
     }
 
-    private void listed(String service, long... servers) {
+    private void listServers(String service, long... servers) {
         ServiceState state = state(service, servers);
         feed.changed(state, new ServiceChange.Snapshot(state));
     }
 
-    private long count(String line) {
-        return log.stream().filter(line::equals).count();
+    private long count(String entry) {
+        return log.stream().filter(entry::equals).count();
     }
 
     @Test
-    void aCallOfAServiceThatIsNotWatchedYetWaitsForItsServers() {
-        call("a", 0, PATIENCE);
+    void callOfUnwatchedServiceWaitsForItsServers() {
+        call("a", 0, TIMEOUT);
         assertEquals(List.of("watch billing"), log);
-        listed("billing", 1);
-        time.pass(SHORT);
-        call("b", 0, PATIENCE);
+        listServers("billing", 1);
+        time.pass(STEP);
+        call("b", 0, TIMEOUT);
         assertEquals(List.of("watch billing", "a at 1", "a stands", "b at 1", "b stands"), log);
     }
 
     @Test
-    void theWaitIsBoundedByItsOwnLimitAndByTheDeadline() {
+    void waitIsBoundedByItsOwnLimitAndByTheDeadline() {
         call("short", 0, Duration.ofMillis(300));
-        call("long", 0, PATIENCE);
+        call("long", 0, TIMEOUT);
         time.pass(Duration.ofMillis(200));
         assertEquals(List.of("watch billing", "short refused 1000"), log);
         time.pass(OnDemandWatches.MOST_WAIT);
         assertEquals("long refused 1000", log.get(2));
-        listed("billing", 1);
-        time.pass(SHORT);
+        listServers("billing", 1);
+        time.pass(STEP);
         assertEquals(3, log.size());
         assertEquals(0, controller.openCalls());
     }
 
     @Test
-    void aCallGoesToNoServerOfAnotherService() {
-        call("a", 0, PATIENCE);
-        call("b", 1, PATIENCE);
-        listed("billing", 1);
-        time.pass(SHORT);
-        listed("mail", 2, 1);   // 1 is billing's
+    void callIsNotSentToServerOfAnotherService() {
+        call("a", 0, TIMEOUT);
+        call("b", 1, TIMEOUT);
+        listServers("billing", 1);
+        time.pass(STEP);
+        listServers("mail", 2, 1);   // server 1 belongs to billing
         for (int i = 0; i < 20; i++) {
-            call("m" + i, 1, PATIENCE);
+            call("m" + i, 1, TIMEOUT);
         }
         assertTrue(log.contains("a at 1"));
         assertTrue(log.contains("b at 2"));
         assertEquals(21, log.stream().filter(line -> line.endsWith(" at 2")).count());
         feed.absent("mail", new Revision(1, ++revisions));
-        time.pass(SHORT);
+        time.pass(STEP);
         assertEquals(21, log.stream().filter(line -> line.endsWith(" over")).count());
         assertEquals(0, count("a over"));
         assertEquals(0, controller.counters().value(Counters.Name.BLOCKED_BY_GUARD));
     }
 
     @Test
-    void aServerThatIsRemovedOrDrainsGetsNothingFromThatMomentOn() {
-        call("a", 0, PATIENCE);
+    void removedOrDrainingServerGetsNoFurtherCalls() {
+        call("a", 0, TIMEOUT);
         ServiceState before = state("billing", 1, 2, 3);
         feed.changed(before, new ServiceChange.Snapshot(before));
-        ServerEndpoint drains = before.endpoints().get(1);
+        ServerEndpoint draining = before.endpoints().get(1);
         ServiceState after = state("billing", 3);
         feed.changed(after, new ServiceChange.Delta("billing", before.revision(), after.revision(), 0,
-                List.of(new ServerEndpoint(2, drains.address(), ServerStatus.DRAINING, 0, 1, Instant.EPOCH)), List.of(1L),
+                List.of(new ServerEndpoint(2, draining.address(), ServerStatus.DRAINING, 0, 1, Instant.EPOCH)), List.of(1L),
                 Optional.empty()));
         assertTrue(log.contains("closed 1"));
-        int told = log.size();
+        int firstNew = log.size();
         for (int i = 0; i < 20; i++) {
-            call("b" + i, 0, PATIENCE);
+            call("b" + i, 0, TIMEOUT);
         }
-        List<String> since = log.subList(told, log.size());
+        List<String> since = log.subList(firstNew, log.size());
         assertEquals(20, since.stream().filter(line -> line.endsWith(" at 3")).count());
     }
 
     @Test
-    void aCellOfNoServiceFailsAtOnce() {
-        call("a", 7, PATIENCE);
+    void callInPoolWithoutServiceFailsImmediately() {
+        call("a", 7, TIMEOUT);
         assertEquals(List.of("a failed"), log);
     }
 
     @Test
-    void aServiceIsUnwatchedOnceItIsUnusedButNotWhileCallsStand() {
-        call("a", 0, PATIENCE);
-        listed("billing", 1);
+    void unusedServiceIsUnwatchedUnlessItHasEstablishedCalls() {
+        call("a", 0, TIMEOUT);
+        listServers("billing", 1);
         time.pass(OnDemandWatches.UNUSED_AFTER.plusMinutes(2));
         assertTrue(count("keep billing") > 0);
         assertEquals(0, count("closed 1"));
-        controller.clientReleased("a", new byte[0], caller);
+        controller.clientReleased("a", new byte[0], client);
         time.pass(Duration.ofMinutes(2));
         assertEquals(1, count("unwatch billing"));
         assertEquals(1, count("closed 1"));
-        call("b", 0, PATIENCE);
+        call("b", 0, TIMEOUT);
         assertEquals(2, count("watch billing"));
-        listed("billing", 1);
-        time.pass(SHORT);
+        listServers("billing", 1);
+        time.pass(STEP);
         assertEquals(1, count("b stands"));
     }
 }
--- a/daemon/src/test/java/pathlane/sim/WireTest.java
+++ b/daemon/src/test/java/pathlane/sim/WireTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The adapter: what it reads, what it writes, and what it says of lines that it can't read. */
+/** The simulator's protocol adapter: input, replies, and errors for invalid lines. */
 class WireTest {
 
     private static final String ENV = "{\"balancers\":1,\"unheard-of\":{\"a\":[1]},\"tick-ms\":5,"
@@ -21,31 +21,31 @@
     private String feed(String... lines) {
         String reply = null;
         for (String line : lines) {
-            reply = wire.line(line.replace(' ', '\t'));
+            reply = wire.readLine(line.replace(' ', '\t'));
         }
         return reply;
     }
 
-    private void start() {
-        wire.line("tick\t0");
-        wire.line("at\t3");
-        wire.line("hello\t18446744073709551615\t" + ENV);
+    private void startInstance() {
+        wire.readLine("tick\t0");
+        wire.readLine("at\t3");
+        wire.readLine("hello\t18446744073709551615\t" + ENV);
         feed("roster 0 1", "row 0 1 active - 0 4000000000 0", "at 3", "members 0 C 41", "go");
     }
 
-    private void malformed(String field, String... lines) {
-        String said = assertThrows(Wire.Malformed.class, () -> feed(lines)).getMessage();
-        assertTrue(said.contains("field " + field) && said.startsWith("line "), said);
+    private void assertMalformed(String field, String... lines) {
+        String message = assertThrows(Wire.Malformed.class, () -> feed(lines)).getMessage();
+        assertTrue(message.contains("field " + field) && message.startsWith("line "), message);
     }
 
     @Test
-    void anEmptyBatchIsAnsweredByAnEnd() {
+    void emptyBatchGetsAnEmptyReply() {
         assertEquals("end\n", feed("tick 1.5", "go"));
     }
 
     @Test
-    void aCallIsSentAndItsAnswerTaken() {
-        start();
+    void callIsSentAndAnswered() {
+        startInstance();
         String reply = feed("tick 10", "at 3", "incoming e12b454a5d3a91c4 0 0 line-x 3000 - 0 1 -1 0 9 9", "go");
         assertTrue(reply.startsWith("from\t3\nsend\te12b454a5d3a91c4\t4000000000\t"), reply);
         assertEquals("end\n", feed("tick 50", "at 3", "accepted e12b454a5d3a91c4 4000000000 40 0", "go"));
@@ -55,46 +55,46 @@
 
     @Test
     void absentValuesAreAllowed() {
-        start();
+        startInstance();
         assertTrue(feed("tick 10", "at 3", "incoming e12b454a5d3a91c4 0 - k 3000", "go").contains("send"));
         assertEquals("end\n", feed("tick 20", "at 3", "returned e12b454a5d3a91c4 5 1 0 200 4000000000", "go"));
     }
 
     @Test
-    void aLineThatCantBeReadNamesItsField() {
-        malformed("message", "nonsense");
-        start();
-        malformed("message", "tick 1", "nonsense 1");
-        malformed("who", "at 9", "bell 1");
-        malformed("grace-ms", "at 3", "incoming e12b454a5d3a91c4 0 0 k soon");
-        malformed("code", "returned e12b454a5d3a91c4 5 1 0 999 4000000000");
-        malformed("handle", "abandoned");
-        malformed("sheet", "members 5 F 1");
-        malformed("metrics", "sampled 4000000000 200 0 free3");
-        malformed("message", "roster 1 2", "go");
+    void errorNamesTheInvalidField() {
+        assertMalformed("message", "nonsense");
+        startInstance();
+        assertMalformed("message", "tick 1", "nonsense 1");
+        assertMalformed("who", "at 9", "bell 1");
+        assertMalformed("grace-ms", "at 3", "incoming e12b454a5d3a91c4 0 0 k soon");
+        assertMalformed("code", "returned e12b454a5d3a91c4 5 1 0 999 4000000000");
+        assertMalformed("handle", "abandoned");
+        assertMalformed("sheet", "members 5 F 1");
+        assertMalformed("metrics", "sampled 4000000000 200 0 free3");
+        assertMalformed("message", "roster 1 2", "go");
     }
 
     @Test
-    void settingsThatCantBeUsedAreNamed() {
+    void errorNamesTheInvalidSetting() {
         feed("tick 0", "at 0");
-        String said = assertThrows(Wire.Malformed.class,
-                () -> wire.line("hello\t1\t" + ENV.replace("\"aim-ms\":1000", "\"aim-ms\":0"))).getMessage();
-        assertTrue(said.contains("aim"), said);
-        assertThrows(Wire.Malformed.class, () -> wire.line("hello\t1\t{"));
-        assertThrows(Wire.Malformed.class, () -> wire.line("hello\t1\t[]"));
+        String message = assertThrows(Wire.Malformed.class,
+                () -> wire.readLine("hello\t1\t" + ENV.replace("\"aim-ms\":1000", "\"aim-ms\":0"))).getMessage();
+        assertTrue(message.contains("aim"), message);
+        assertThrows(Wire.Malformed.class, () -> wire.readLine("hello\t1\t{"));
+        assertThrows(Wire.Malformed.class, () -> wire.readLine("hello\t1\t[]"));
     }
 
     @Test
-    void theInputMayEndBetweenBatchesOnly() {
-        wire.end();
-        assertNull(wire.line("tick\t1"));
-        assertThrows(Wire.Malformed.class, wire::end);
+    void inputMayEndOnlyBetweenBatches() {
+        wire.endOfInput();
+        assertNull(wire.readLine("tick\t1"));
+        assertThrows(Wire.Malformed.class, wire::endOfInput);
     }
 
     @Test
-    void oneInstanceAtATimeAndAStoppedOneIsForgotten() {
-        start();
+    void killedInstanceIsRemoved() {
+        startInstance();
         feed("tick 10", "at 3", "killed", "go");
-        malformed("who", "tick 11", "at 3", "bell 0");
+        assertMalformed("who", "tick 11", "at 3", "bell 0");
     }
 }
