--- a/daemon/src/main/java/pathlane/config/file/Descriptors.java
+++ b/daemon/src/main/java/pathlane/config/file/Descriptors.java
@@ -6,10 +6,10 @@
  * connections that are being closed.
  *
  * @param limit maximum number of descriptors of the process
- * @param callers maximum number of client connections
+ * @param clients maximum number of client connections
  * @param servers maximum number of connections to session servers, however many there are: they are opened on demand
  */
-public record Descriptors(int limit, int callers, int servers) {
+public record Descriptors(int limit, int clients, int servers) {
 
     /** The limit if the configuration sets none. */
     private static final int DEFAULT_LIMIT = 1024;
--- a/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
@@ -83,7 +83,7 @@
         }
         DiameterConfig config = new DiameterConfig(NodeConfig.text(root, "host"), NodeConfig.text(root, "realm"),
                 Addresses.parse(NodeConfig.text(root, "listen")), watchdogInterval, List.copyOf(peers),
-                List.copyOf(classes), settings, CallerLimits.of(descriptors.callers()), GraphiteConfig.read(root),
+                List.copyOf(classes), settings, CallerLimits.of(descriptors.clients()), GraphiteConfig.read(root),
                 CollectdConfig.read(root));
         config.classOf(-1);
         return config;
--- a/daemon/src/main/java/pathlane/config/file/NodeConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/NodeConfig.java
@@ -39,7 +39,7 @@
         return new NodeConfig(text(root, "name"), Addresses.parse(text(root, "listen")),
                 Long.parseUnsignedLong(text(root, "seed"), HEX_RADIX),
                 root.has("bus") ? Addresses.parse(text(root, "bus")) : null, descriptors,
-                CallerLimits.of(descriptors.callers()),
+                CallerLimits.of(descriptors.clients()),
                 known.has("offset") ? known.get("offset").getAsLong() : 0, SettingsReader.array(known, "batch"),
                 SettingsReader.read(SettingsReader.object(root, "settings")));
     }
--- a/daemon/src/main/java/pathlane/diameter/ClientPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ClientPeer.java
@@ -38,7 +38,7 @@
     private final Consumer<ClientPeer> onClosed;
     private PeerSession session;
 
-    /** {@code gone} is called when the connection has closed. */
+    /** {@code onClosed} is called when the connection has closed. */
     ClientPeer(CallController controller, DiameterConfig config, LocalNode local, Scheduler scheduler,
             RandomGenerator random, Consumer<ClientPeer> onClosed) {
         this.onClosed = onClosed;
@@ -82,8 +82,8 @@
             case INITIAL -> submit(call, request);
             case UPDATE -> forwardUpdate(call, request);
             case TERMINATION -> {
-                boolean known = controller.clientReleased(call, forwarded(request).bytes(), this);
-                from.send(answer(request, known ? ResultCode.SUCCESS : ResultCode.UNKNOWN_SESSION_ID,
+                boolean isKnown = controller.clientReleased(call, forwarded(request).bytes(), this);
+                from.send(answer(request, isKnown ? ResultCode.SUCCESS : ResultCode.UNKNOWN_SESSION_ID,
                         Duration.ZERO));
             }
             default -> throw new DiameterException(ResultCode.INVALID_AVP_VALUE, type, "request type " + type.number());
--- a/daemon/src/main/java/pathlane/diameter/DiameterFront.java
+++ b/daemon/src/main/java/pathlane/diameter/DiameterFront.java
@@ -44,10 +44,11 @@
         // Allows one attempt at a time: a request that timed out may still be running, so it stays outstanding.
         this.controller = new CallController(config.settings().withoutCancellation(), seed, scheduler, endpoint -> {
             DiameterConfig.Peer peer = config.peer(endpoint.id());
-            ServerPeer port = new ServerPeer(peer, local, config.watchdogInterval(), this::controller, connector, scheduler,
-                    random, available -> updateAvailability(peer, available));
-            servers.put(endpoint.id(), port);
-            return port;
+            ServerPeer serverPeer =
+                    new ServerPeer(peer, local, config.watchdogInterval(), this::controller, connector, scheduler,
+                            random, isAvailable -> updateAvailability(peer, isAvailable));
+            servers.put(endpoint.id(), serverPeer);
+            return serverPeer;
         }, replication);
         controller.updateServers(true, config.peers().stream().map(peer -> endpoint(peer, false)).toList());
     }
@@ -70,12 +71,12 @@
     }
 
     /** Lists an unavailable peer as draining: it gets no new request, and its outstanding requests continue. */
-    private void updateAvailability(DiameterConfig.Peer peer, boolean available) {
-        controller.updateServers(false, List.of(endpoint(peer, available)));
+    private void updateAvailability(DiameterConfig.Peer peer, boolean isAvailable) {
+        controller.updateServers(false, List.of(endpoint(peer, isAvailable)));
     }
 
-    private static ServerEndpoint endpoint(DiameterConfig.Peer peer, boolean available) {
-        return new ServerEndpoint(peer.id(), peer.address(), available ? ServerStatus.RUNNING : ServerStatus.DRAINING,
+    private static ServerEndpoint endpoint(DiameterConfig.Peer peer, boolean isAvailable) {
+        return new ServerEndpoint(peer.id(), peer.address(), isAvailable ? ServerStatus.RUNNING : ServerStatus.DRAINING,
                 peer.pool(), 1,
                 Instant.EPOCH);
     }
--- a/daemon/src/main/java/pathlane/diameter/PeerSession.java
+++ b/daemon/src/main/java/pathlane/diameter/PeerSession.java
@@ -36,7 +36,7 @@
         /** An answer of the application. */
         void answer(PeerSession session, DiameterMessage answer);
 
-        /** Any message arrived; {@code watchdog} if it is a watchdog answer. */
+        /** Any message arrived; {@code isWatchdogAnswer} if it is a watchdog answer. */
         void messageReceived(boolean isWatchdogAnswer);
 
         void closed(PeerSession session, CloseReason reason);
@@ -68,7 +68,7 @@
     private String peer = UNKNOWN_PEER;
     private String realm = "";
 
-    /** {@code dialled} if this node opened the connection and therefore starts the capabilities exchange. */
+    /** {@code isInitiator} if this node opened the connection and therefore starts the capabilities exchange. */
     PeerSession(boolean isInitiator, LocalNode local, Scheduler scheduler, RandomGenerator random, Handler handler) {
         this.isInitiator = isInitiator;
         this.local = local;
--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -242,9 +242,9 @@
             throw new DiameterException(ResultCode.COMMAND_UNSUPPORTED, null, "command " + request.command());
         }
         String call = request.require(Avp.SESSION_ID).text();
-        boolean known = initialRequests.remove(call) != null;
-        from.send(request.answer(known ? ResultCode.SUCCESS : ResultCode.UNKNOWN_SESSION_ID, local, List.of()));
-        if (known) {
+        boolean isKnown = initialRequests.remove(call) != null;
+        from.send(request.answer(isKnown ? ResultCode.SUCCESS : ResultCode.UNKNOWN_SESSION_ID, local, List.of()));
+        if (isKnown) {
             controller.get().serverReleased(config.id(), call, Outcome.RESET, Duration.ZERO);
         }
     }
@@ -254,9 +254,9 @@
         String call = unansweredCalls.remove(answer.hopByHop());
         boolean isCancelled = cancelledIds.remove(answer.hopByHop());
         if (call == null) {
-            String update = unansweredUpdates.remove(answer.hopByHop());
-            if (update != null) {
-                controller.get().forwardToClient(config.id(), update, answer.bytes());
+            String updatedCall = unansweredUpdates.remove(answer.hopByHop());
+            if (updatedCall != null) {
+                controller.get().forwardToClient(config.id(), updatedCall, answer.bytes());
             }
             return;   // otherwise the answer to a termination request or to an unknown one
         }
--- a/daemon/src/main/java/pathlane/diameter/Watchdog.java
+++ b/daemon/src/main/java/pathlane/diameter/Watchdog.java
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Any message arrived from the peer; {@code answer} if it is a watchdog answer. */
+    /** Any message arrived from the peer; {@code isWatchdogAnswer} if it is a watchdog answer. */
     void received(boolean isWatchdogAnswer) {
         isAnswerPending &= !isWatchdogAnswer;
         switch (state) {
--- a/daemon/src/main/java/pathlane/directory/ServerListFeed.java
+++ b/daemon/src/main/java/pathlane/directory/ServerListFeed.java
@@ -37,22 +37,22 @@
     @Override
     public void changed(ServiceState state, ServiceChange change) {
         String service = state.service();
-        ServiceState before = lastStates.put(service, state);
-        if (before != null && change instanceof ServiceChange.Delta delta && delta.from().equals(before.revision())) {
-            controller.updateServers(service, false, changedEndpoints(before, delta));
+        ServiceState previous = lastStates.put(service, state);
+        if (previous != null && change instanceof ServiceChange.Delta delta && delta.from().equals(previous.revision())) {
+            controller.updateServers(service, false, changedEndpoints(previous, delta));
         } else {
             controller.updateServers(service, true, state.endpoints());
         }
         watches.known(service);
     }
 
-    private static List<ServerEndpoint> changedEndpoints(ServiceState before, ServiceChange.Delta delta) {
+    private static List<ServerEndpoint> changedEndpoints(ServiceState previous, ServiceChange.Delta delta) {
         List<ServerEndpoint> endpoints = new ArrayList<>();
         for (long id : delta.removed()) {
-            int index = Collections.binarySearch(before.endpoints(),
+            int index = Collections.binarySearch(previous.endpoints(),
                     new ServerEndpoint(id, null, ServerStatus.GONE, 0, 0, null), BY_ID);
             if (index >= 0) {
-                ServerEndpoint endpoint = before.endpoints().get(index);
+                ServerEndpoint endpoint = previous.endpoints().get(index);
                 endpoints.add(
                         new ServerEndpoint(id, endpoint.address(), ServerStatus.GONE, endpoint.pool(), endpoint.weight(),
                                 endpoint.startedAt()));
