--- a/daemon/src/main/java/pathlane/diameter/DiameterFrameDecoder.java
+++ b/daemon/src/main/java/pathlane/diameter/DiameterFrameDecoder.java
@@ -20,7 +20,7 @@
         return size > 0;
     }
 
-    /** Passes on each complete message and returns their number. After an invalid length the stream can't be parsed further. */
+    /** Passes on each complete message and returns their number; an invalid length makes the rest unreadable. */
     int decode(ByteBuffer bytes, Consumer<ByteBuffer> messages) {
         int completed = 0;
         while (bytes.hasRemaining()) {
--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -122,7 +122,7 @@
         if (open) {
             int id = forwardRequest(DiameterMessage.read(ByteBuffer.wrap(content)));
             unansweredUpdates.put(id, call);
-            scheduler.after(MAX_LATE_ANSWER_WAIT, () -> unansweredUpdates.remove(id, call));   // some updates are never answered
+            scheduler.after(MAX_LATE_ANSWER_WAIT, () -> unansweredUpdates.remove(id, call));   // in case of no answer
         }
         return open;
     }
--- a/daemon/src/rehearsal/Rehearsal.java
+++ b/daemon/src/rehearsal/Rehearsal.java
@@ -109,7 +109,7 @@
         throw new IOException("the program ended before it served: " + output);
     }
 
-    /** Makes calls of both classes one after the other; some are cancelled, some released by the client, some by the server. */
+    /** Makes calls of both classes in turn; some are cancelled, some released by the client, some by the server. */
     private void makeCalls(int port) throws IOException, InterruptedException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setTcpNoDelay(true);
