--- a/discovery/src/main/java/pathlane/discovery/Catalogue.java
+++ b/discovery/src/main/java/pathlane/discovery/Catalogue.java
@@ -18,14 +18,14 @@
 public final class Catalogue {
 
     /** Services that have gone whose revision of removal is kept; older ones are absent at the catalogue's revision. */
-    private static final int MOST_REMOVED = 8_192;
+    private static final int MAX_REMOVED_SERVICES = 8_192;
 
     private final Map<String, CatalogueEntry> entries = new LinkedHashMap<>();
     private final Map<String, Revision> removed = new LinkedHashMap<>();
     private final ChangeHistory history;
     private final List<CatalogueListener> listeners = new ArrayList<>();
     private Revision revision = Revision.NONE;
-    private boolean complete;
+    private boolean isComplete;
 
     /** {@code historyChanges} bounds the changes and changed endpoints that are kept for deltas. */
     public Catalogue(int historyChanges) {
@@ -76,14 +76,14 @@
             return entry.revision();
         }
         revision = revision.next();
-        record(entry, difference, revision);
+        recordChange(entry, difference, revision);
         advanced();
         return revision;
     }
 
     /** Makes this a service's whole content; the difference is worked out. Otherwise as {@link #update}. */
     public Revision replace(String service, List<ServerEndpoint> endpoints, String configuration) {
-        return update(service, endpoints, missing(service, endpoints), Optional.of(configuration));
+        return update(service, endpoints, missingIds(service, endpoints), Optional.of(configuration));
     }
 
     /** Removes a service. Returns the revision of its removal, or the catalogue's where there is none of this name. */
@@ -92,7 +92,7 @@
             return revision;
         }
         revision = revision.next();
-        takeOut(service, revision);
+        removeEntry(service, revision);
         advanced();
         return revision;
     }
@@ -114,15 +114,15 @@
         if (change instanceof ServiceChange.Delta delta && delta.from().equals(entry.revision())) {
             difference = entry.change(delta.upserted(), delta.removed(), state.configuration());
         } else {
-            difference = entry.change(state.endpoints(), missing(service, state.endpoints()), state.configuration());
+            difference = entry.change(state.endpoints(), missingIds(service, state.endpoints()), state.configuration());
         }
-        record(entry, difference, state.revision());
+        recordChange(entry, difference, state.revision());
     }
 
     /** The upstream has no such service at this revision. */
     public void applyAbsent(String service, Revision at) {
         if (at.isAfter(lastRevision(service))) {
-            takeOut(service, at);
+            removeEntry(service, at);
         }
     }
 
@@ -138,14 +138,14 @@
 
     /** The whole catalogue is held from now on: what it lacks does not exist. */
     public void complete() {
-        if (!complete) {
-            complete = true;
+        if (!isComplete) {
+            isComplete = true;
             listeners.forEach(CatalogueListener::completed);
         }
     }
 
     public boolean isComplete() {
-        return complete;
+        return isComplete;
     }
 
     /** Everything up to this revision is held; single services may be further. */
@@ -180,22 +180,22 @@
 
     /** Everything that has changed in a service since it was at a revision; empty where that is too long ago. */
     Optional<ServiceChange.Delta> deltaSince(CatalogueEntry entry, Revision from) {
-        return history.since(entry.service(), from).map(touched -> delta(entry, from, touched));
+        return history.since(entry.service(), from).map(changedParts -> delta(entry, from, changedParts));
     }
 
-    private static ServiceChange.Delta delta(CatalogueEntry entry, Revision from, ChangeHistory.Touched touched) {
+    private static ServiceChange.Delta delta(CatalogueEntry entry, Revision from, ChangeHistory.ChangedParts changedParts) {
         List<ServerEndpoint> upserted = new ArrayList<>();
-        List<Long> gone = new ArrayList<>();
-        for (long id : touched.endpoints()) {
+        List<Long> removedIds = new ArrayList<>();
+        for (long id : changedParts.endpoints()) {
             ServerEndpoint endpoint = entry.endpoint(id);
             if (endpoint == null) {
-                gone.add(id);
+                removedIds.add(id);
             } else {
                 upserted.add(endpoint);
             }
         }
-        Optional<String> configuration = touched.configuration() ? Optional.of(entry.configuration()) : Optional.empty();
-        return new ServiceChange.Delta(entry.service(), from, entry.revision(), entry.digest(), upserted, gone,
+        Optional<String> configuration = changedParts.configuration() ? Optional.of(entry.configuration()) : Optional.empty();
+        return new ServiceChange.Delta(entry.service(), from, entry.revision(), entry.digest(), upserted, removedIds,
                 configuration);
     }
 
@@ -205,7 +205,7 @@
     }
 
     /** The ids that a service has and a new list of its endpoints has not. */
-    private List<Long> missing(String service, Collection<ServerEndpoint> endpoints) {
+    private List<Long> missingIds(String service, Collection<ServerEndpoint> endpoints) {
         CatalogueEntry entry = entries.get(service);
         if (entry == null) {
             return List.of();
@@ -222,21 +222,21 @@
         return entry != null ? entry.revision() : removed.getOrDefault(service, Revision.NONE);
     }
 
-    private void record(CatalogueEntry entry, CatalogueEntry.Difference difference, Revision at) {
+    private void recordChange(CatalogueEntry entry, CatalogueEntry.Difference difference, Revision at) {
         if (!entry.held().isNothing()) {
             history.add(entry.service(), new ChangeHistory.Step(entry.revision(), difference.endpoints(),
                     difference.configuration()));
         }
         entry.setRevision(at);
-        listeners.forEach(listener -> listener.changed(entry.service(), at, difference.takesAway()));
+        listeners.forEach(listener -> listener.changed(entry.service(), at, difference.removesOrDrains()));
     }
 
-    private void takeOut(String service, Revision at) {
+    private void removeEntry(String service, Revision at) {
         if (entries.remove(service) != null) {
             history.forget(service);
         }
         removed.put(service, at);
-        if (removed.size() > MOST_REMOVED) {
+        if (removed.size() > MAX_REMOVED_SERVICES) {
             removed.remove(removed.keySet().iterator().next());
         }
         listeners.forEach(listener -> listener.changed(service, at, true));
--- a/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
@@ -15,9 +15,9 @@
     /**
      * What a difference touched.
      *
-     * @param takesAway whether an endpoint is gone, or has begun to drain
+     * @param removesOrDrains whether an endpoint is gone, or has begun to drain
      */
-    record Difference(Set<Long> endpoints, boolean configuration, boolean takesAway) {
+    record Difference(Set<Long> endpoints, boolean configuration, boolean removesOrDrains) {
         boolean isEmpty() {
             return endpoints.isEmpty() && !configuration;
         }
@@ -27,7 +27,7 @@
     private final Map<Long, ServerEndpoint> endpoints = new TreeMap<>();
     private String configuration = "";
     private long digest = ServiceDigest.of(List.of(), "");
-    private Held held = Held.NOTHING;
+    private HeldVersion held = HeldVersion.NOTHING;
     /** Made when it is asked for, and kept until the next change. */
     private ServiceState state;
 
@@ -44,7 +44,7 @@
     }
 
     /** What a subscriber holds that has been sent the whole of this; one object for all of them. */
-    Held held() {
+    HeldVersion held() {
         return held;
     }
 
@@ -80,23 +80,23 @@
     /** Puts a change in; an endpoint that is upserted as gone counts as removed. */
     Difference change(List<ServerEndpoint> upserted, List<Long> removed, String newConfiguration) {
         Set<Long> touched = new HashSet<>();
-        boolean takesAway = false;
+        boolean removesOrDrains = false;
         for (ServerEndpoint endpoint : upserted) {
             if (endpoint.status() == ServerStatus.GONE) {
-                takesAway |= remove(endpoint.id(), touched);
+                removesOrDrains |= remove(endpoint.id(), touched);
             } else {
-                takesAway |= upsert(endpoint, touched);
+                removesOrDrains |= upsert(endpoint, touched);
             }
         }
         for (long id : removed) {
-            takesAway |= remove(id, touched);
+            removesOrDrains |= remove(id, touched);
         }
         boolean configured = !newConfiguration.equals(configuration);
         if (configured) {
             digest = ServiceDigest.withConfiguration(digest, configuration, newConfiguration);
             configuration = newConfiguration;
         }
-        return new Difference(touched, configured, takesAway);
+        return new Difference(touched, configured, removesOrDrains);
     }
 
     /** Whether the endpoint begins to drain with this. */
@@ -125,7 +125,7 @@
 
     /** The content is that of this revision now. */
     void setRevision(Revision revision) {
-        held = new Held(revision, digest);
+        held = new HeldVersion(revision, digest);
         state = null;
     }
 
--- a/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
@@ -31,16 +31,16 @@
     }
 
     private static void check(ServerEndpoint endpoint) {
-        require(isWeight(endpoint.weight()), "a weight of " + endpoint.weight());
+        require(isValidWeight(endpoint.weight()), "a weight of " + endpoint.weight());
     }
 
-    static boolean isWeight(double weight) {
+    static boolean isValidWeight(double weight) {
         return Double.isFinite(weight) && weight >= 0;
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean isValid, String message) {
+        if (!isValid) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/ChangeHistory.java
+++ b/discovery/src/main/java/pathlane/discovery/ChangeHistory.java
@@ -30,9 +30,9 @@
     }
 
     /** Which parts of a service differ between an earlier revision and the newest one. */
-    record Touched(Set<Long> endpoints, boolean configuration) {}
+    record ChangedParts(Set<Long> endpoints, boolean configuration) {}
 
-    private final int most;
+    private final int maxWeight;
     /** Of each service the steps that are kept, oldest first; each one begins where the one before it ends. */
     private final Map<String, Deque<Step>> steps = new HashMap<>();
     /** The service of each step that is kept, oldest first. */
@@ -40,8 +40,8 @@
     private int weight;
 
     /** {@code most} bounds the number of changes and changed endpoints together. */
-    ChangeHistory(int most) {
-        this.most = most;
+    ChangeHistory(int maxWeight) {
+        this.maxWeight = maxWeight;
     }
 
     /** A service changed; the step must begin at the revision at which the service's last one ended. */
@@ -49,7 +49,7 @@
         steps.computeIfAbsent(service, key -> new ArrayDeque<>()).add(step);
         order.add(service);
         weight += step.weight();
-        while (weight > most) {
+        while (weight > maxWeight) {
             dropOldest();
         }
     }
@@ -74,7 +74,7 @@
     }
 
     /** What has changed in a service since a revision that it had; empty where the history does not reach back so far. */
-    Optional<Touched> since(String service, Revision from) {
+    Optional<ChangedParts> since(String service, Revision from) {
         Deque<Step> kept = steps.get(service);
         if (kept == null) {
             return Optional.empty();
@@ -87,7 +87,7 @@
             endpoints.addAll(step.endpoints());
             configuration |= step.configuration();
             if (step.from().equals(from)) {
-                return Optional.of(new Touched(endpoints, configuration));
+                return Optional.of(new ChangedParts(endpoints, configuration));
             }
         }
         return Optional.empty();
--- a/discovery/src/main/java/pathlane/discovery/Held.java
+++ b/discovery/src/main/java/pathlane/discovery/HeldVersion.java
@@ -5,10 +5,10 @@
  *
  * @param digest the content's digest; of no meaning at {@link Revision#NONE}
  */
-record Held(Revision revision, long digest) {
+record HeldVersion(Revision revision, long digest) {
 
     /** Nothing was ever received. */
-    static final Held NOTHING = new Held(Revision.NONE, 0);
+    static final HeldVersion NOTHING = new HeldVersion(Revision.NONE, 0);
 
     boolean isNothing() {
         return revision.equals(Revision.NONE);
--- a/discovery/src/main/java/pathlane/discovery/InForceTracker.java
+++ b/discovery/src/main/java/pathlane/discovery/InForceTracker.java
@@ -15,9 +15,9 @@
 public final class InForceTracker {
 
     /** Revisions that wait for the last controller; the oldest are given up beyond that. */
-    private static final int MOST_WAITING = 16_384;
+    private static final int MAX_WAITING = 16_384;
     /** The latest times that percentiles are taken of. */
-    private static final int MOST_TIMES = 16_384;
+    private static final int MAX_TIMES = 16_384;
 
     /** A revision that every controller has in force, and how long after its commit the last one had. */
     public record InForce(Revision revision, Duration after) {}
@@ -31,7 +31,7 @@
     /** A revision was committed; each must come after the one before. */
     public void note(Revision revision, Instant committed) {
         waiting.add(new Committed(revision, committed));
-        if (waiting.size() > MOST_WAITING) {
+        if (waiting.size() > MAX_WAITING) {
             waiting.remove();
             givenUp++;
         }
@@ -51,15 +51,15 @@
         while (!waiting.isEmpty() && !waiting.peek().revision().isAfter(everywhere)) {
             Committed committed = waiting.remove();
             InForce inForce = new InForce(committed.revision(), Duration.between(committed.at(), now));
-            keep(inForce.after());
+            addTime(inForce.after());
             reached.add(inForce);
         }
         return reached;
     }
 
-    private void keep(Duration time) {
+    private void addTime(Duration time) {
         times.add(time);
-        if (times.size() > MOST_TIMES) {
+        if (times.size() > MAX_TIMES) {
             times.remove();
         }
     }
--- a/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
+++ b/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
@@ -21,7 +21,7 @@
     public static final Duration COME_BACK_AFTER = Duration.ofSeconds(1);
     /** A service without calls is watched for so long: longer than the pauses of a service that is in use. */
     public static final Duration UNUSED_AFTER = Duration.ofMinutes(5);
-    private static final Duration CHECK_EVERY = Duration.ofMinutes(1);
+    private static final Duration CHECK_INTERVAL = Duration.ofMinutes(1);
 
     /** What follows from the decisions. */
     public interface Actions {
@@ -62,7 +62,7 @@
             watch = new Watch();
             watches.put(service, watch);
             actions.watch(service);
-            check();
+            scheduleCheck();
         }
         watch.lastUsed = scheduler.now();
         return watch.isKnown;
@@ -71,13 +71,13 @@
     /**
      * Has a call wait for the first state of a service that is in use.
      *
-     * @param atMost what the call's deadline leaves
+     * @param maxWait what the call's deadline leaves
      * @param known run once the state is known
      * @param unknown told when to come back, where the state is not known in time
      */
-    public void await(String service, Duration atMost, Runnable known, Consumer<Duration> unknown) {
+    public void await(String service, Duration maxWait, Runnable known, Consumer<Duration> unknown) {
         Watch watch = watches.get(service);
-        Duration wait = atMost.compareTo(MOST_WAIT) < 0 ? atMost : MOST_WAIT;
+        Duration wait = maxWait.compareTo(MOST_WAIT) < 0 ? maxWait : MOST_WAIT;
         if (wait.isNegative() || wait.isZero()) {
             unknown.accept(COME_BACK_AFTER);
             return;
@@ -108,19 +108,19 @@
         return watches.size();
     }
 
-    private void check() {
+    private void scheduleCheck() {
         if (!isChecking) {
             isChecking = true;
-            scheduler.after(CHECK_EVERY, this::endUnused);
+            scheduler.after(CHECK_INTERVAL, this::endUnused);
         }
     }
 
     private void endUnused() {
-        Instant before = scheduler.now().minus(UNUSED_AFTER);
-        watches.entrySet().removeIf(one -> !one.getValue().lastUsed.isAfter(before) && actions.unwatch(one.getKey()));
+        Instant unusedBefore = scheduler.now().minus(UNUSED_AFTER);
+        watches.entrySet().removeIf(one -> !one.getValue().lastUsed.isAfter(unusedBefore) && actions.unwatch(one.getKey()));
         isChecking = false;
         if (!watches.isEmpty()) {
-            check();
+            scheduleCheck();
         }
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/ProgressTable.java
+++ b/discovery/src/main/java/pathlane/discovery/ProgressTable.java
@@ -11,8 +11,8 @@
 /** How far the controllers below one publisher are: those connected to it, and those that its relays report. */
 final class ProgressTable {
 
-    private static final Comparator<ProgressReport.Slow> SLOWEST_FIRST =
-            Comparator.comparing(ProgressReport.Slow::inForce).thenComparing(ProgressReport.Slow::name);
+    private static final Comparator<ProgressReport.SlowController> SLOWEST_FIRST =
+            Comparator.comparing(ProgressReport.SlowController::inForce).thenComparing(ProgressReport.SlowController::name);
 
     /** By subscriber: itself as a report of one controller, or a relay's report. */
     private final Map<SubscriberSession, ProgressReport> reports = new LinkedHashMap<>();
@@ -24,7 +24,7 @@
      * A watch is accepted. A former connection of the same subscriber, whose end has not been seen yet, counts no more:
      * nobody is counted twice.
      */
-    void begin(SubscriberSession subscriber, String name) {
+    void register(SubscriberSession subscriber, String name) {
         SubscriberSession former = latest.put(name, subscriber);
         if (former != null) {
             reports.remove(former);
@@ -34,7 +34,7 @@
     /** A subscriber that is a controller has everything up to this revision in force. */
     void putController(SubscriberSession subscriber, String name, Revision inForce) {
         put(subscriber, name, new ProgressReport(List.of(new ProgressReport.Level(inForce, 1)),
-                List.of(new ProgressReport.Slow(name, inForce))));
+                List.of(new ProgressReport.SlowController(name, inForce))));
     }
 
     /** A subscriber that is a relay reports the controllers below it. */
@@ -57,7 +57,7 @@
     /** All of them together; who has the newest revision in force is not slow. */
     ProgressReport report(Revision newest) {
         TreeMap<Revision, Long> levels = new TreeMap<>();
-        List<ProgressReport.Slow> behind = new ArrayList<>();
+        List<ProgressReport.SlowController> behind = new ArrayList<>();
         for (ProgressReport report : reports.values()) {
             report.levels().forEach(level -> levels.merge(level.inForce(), level.controllers(), Long::sum));
             report.slowest().stream().filter(slow -> newest.isAfter(slow.inForce())).forEach(behind::add);
@@ -66,12 +66,12 @@
         reduce(levels);
         return new ProgressReport(
                 levels.entrySet().stream().map(level -> new ProgressReport.Level(level.getKey(), level.getValue())).toList(),
-                behind.stream().sorted(SLOWEST_FIRST).limit(ProgressReport.MOST_SLOWEST).toList());
+                behind.stream().sorted(SLOWEST_FIRST).limit(ProgressReport.MAX_SLOWEST).toList());
     }
 
     /** Counts neighbours that are few together at the lower one. The lowest stays exact: it says what all have in force. */
     private static void reduce(TreeMap<Revision, Long> levels) {
-        while (levels.size() > ProgressReport.MOST_LEVELS) {
+        while (levels.size() > ProgressReport.MAX_LEVELS) {
             Revision upper = upperOfSmallestNeighbours(levels);
             long controllers = levels.remove(upper);
             levels.merge(levels.lowerKey(upper), controllers, Long::sum);
@@ -80,11 +80,11 @@
 
     private static Revision upperOfSmallestNeighbours(TreeMap<Revision, Long> levels) {
         Revision upper = null;
-        long fewest = Long.MAX_VALUE;
+        long smallestSum = Long.MAX_VALUE;
         Long below = null;
         for (Map.Entry<Revision, Long> level : levels.tailMap(levels.firstKey(), false).entrySet()) {
-            if (below != null && below + level.getValue() < fewest) {
-                fewest = below + level.getValue();
+            if (below != null && below + level.getValue() < smallestSum) {
+                smallestSum = below + level.getValue();
                 upper = level.getKey();
             }
             below = level.getValue();
--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -18,9 +18,9 @@
 public final class Publisher {
 
     /** Ticks in {@link PublisherTerms#bookmarkEvery}; a bookmark may leave earlier by one of them. */
-    private static final int TICKS = 10;
+    private static final int TICKS_PER_BOOKMARK = 10;
     /** What a subscriber that finds no room is told to wait, to which up to half is added. */
-    private static final Duration FULL_WAIT = Duration.ofSeconds(10);
+    private static final Duration FULL_RETRY_AFTER = Duration.ofSeconds(10);
 
     /** The publisher's side of one connection. */
     public interface Session {
@@ -43,7 +43,7 @@
     private final PublisherMetrics metrics = new PublisherMetrics();
     private final UpdateEncoder encoder;
     private final WatchAdmission admission;
-    private final Duration tickEvery;
+    private final Duration tickInterval;
     private final SubscriberIndex index = new SubscriberIndex();
     private final ProgressTable progress = new ProgressTable();
     /** All that are open, with those that have not been accepted yet. */
@@ -65,10 +65,10 @@
         this.terms = terms;
         this.scheduler = scheduler;
         this.random = random;
-        this.encoder = new UpdateEncoder(catalogue, metrics, UpdateEncoder.MOST_CACHED_BYTES);
+        this.encoder = new UpdateEncoder(catalogue, metrics, UpdateEncoder.MAX_CACHED_BYTES);
         this.admission = new WatchAdmission(terms.watchesPerSecond(), terms.watchBurst(), scheduler.now(), random);
-        this.tickEvery = terms.bookmarkEvery().dividedBy(TICKS);
-        catalogue.addListener(new Changes());
+        this.tickInterval = terms.bookmarkEvery().dividedBy(TICKS_PER_BOOKMARK);
+        catalogue.addListener(new ChangeDispatcher());
     }
 
     /** A connection has come up; what it says goes to the session. */
@@ -83,15 +83,15 @@
     }
 
     /** Ends all connections. */
-    public void close(CloseReason why) {
-        List.copyOf(sessions).forEach(session -> session.end(why));
+    public void close(CloseReason reason) {
+        List.copyOf(sessions).forEach(session -> session.end(reason));
     }
 
     /** At a relay: since when it has lost its way to the source, or that it has one. Subscribers are told. */
     public void setStaleSince(Optional<Instant> lostAt) {
         if (!staleSince.equals(lostAt)) {
             staleSince = lostAt;
-            tellStatus();
+            sendStatusToAll();
         }
     }
 
@@ -111,25 +111,25 @@
                 staleFor.isNegative() ? Duration.ZERO : staleFor);
     }
 
-    private void tellStatus() {
+    private void sendStatusToAll() {
         byte[] message = statusMessage();
         List.copyOf(accepted).forEach(session -> session.sendStatus(message));
     }
 
     private void scheduleTick() {
-        tickDueAt = scheduler.now().plus(tickEvery);
-        scheduler.after(tickEvery, this::tick);
+        tickDueAt = scheduler.now().plus(tickInterval);
+        scheduler.after(tickInterval, this::tick);
     }
 
     private void tick() {
         Instant now = scheduler.now();
         Duration late = Duration.between(tickDueAt, now);
-        if (late.compareTo(tickEvery) > 0) {
+        if (late.compareTo(tickInterval) > 0) {
             // Acknowledgements that came during an own stall have yet to be read: that time counts against nobody.
             sessions.forEach(session -> session.excludeStall(late));
         }
-        Duration heartbeatEvery = terms.bookmarkEvery().minus(tickEvery);
-        List.copyOf(sessions).forEach(session -> session.tick(now, heartbeatEvery));
+        Duration heartbeatInterval = terms.bookmarkEvery().minus(tickInterval);
+        List.copyOf(sessions).forEach(session -> session.tick(now, heartbeatInterval));
         isTicking = !sessions.isEmpty();
         if (isTicking) {
             scheduleTick();
@@ -142,11 +142,11 @@
         due.forEach(SubscriberSession::flush);
     }
 
-    private final class Changes implements CatalogueListener {
+    private final class ChangeDispatcher implements CatalogueListener {
         @Override
-        public void changed(String service, Revision revision, boolean takesAway) {
+        public void changed(String service, Revision revision, boolean removesOrDrains) {
             encoder.invalidate(service);
-            index.forEach(service, session -> session.changed(service, takesAway));
+            index.forEach(service, session -> session.changed(service, removesOrDrains));
         }
 
         @Override
@@ -159,7 +159,7 @@
         @Override
         public void completed() {
             resolve();
-            tellStatus();
+            sendStatusToAll();
         }
 
         private void resolve() {
@@ -178,14 +178,14 @@
     /** Takes one more watch, where the result is empty, or says after what time to come back. */
     Optional<Duration> admit() {
         if (accepted.size() >= terms.subscribers()) {
-            return Optional.of(FULL_WAIT.plusMillis(random.nextLong(FULL_WAIT.toMillis() / 2)));
+            return Optional.of(FULL_RETRY_AFTER.plusMillis(random.nextLong(FULL_RETRY_AFTER.toMillis() / 2)));
         }
         return admission.admit(scheduler.now());
     }
 
     void accepted(SubscriberSession session) {
         accepted.add(session);
-        progress.begin(session, session.name());
+        progress.register(session, session.name());
     }
 
     /** Has a session send at the end of this turn, so that changes of one turn leave together. */
@@ -196,21 +196,21 @@
         scheduled.add(session);
     }
 
-    void watches(SubscriberSession session, String service) {
+    void addWatch(SubscriberSession session, String service) {
         index.add(service, session);
     }
 
-    void unwatches(SubscriberSession session, String service) {
+    void removeWatch(SubscriberSession session, String service) {
         index.remove(service, session);
     }
 
     /** A session watches everything from now on, in place of single services. */
-    void watchesEverything(SubscriberSession session, Iterable<String> services) {
+    void watchEverything(SubscriberSession session, Iterable<String> services) {
         services.forEach(service -> index.remove(service, session));
         index.addEverything(session);
     }
 
-    void isUnresolved(SubscriberSession session) {
+    void addUnresolved(SubscriberSession session) {
         unresolved.add(session);
     }
 
--- a/discovery/src/main/java/pathlane/discovery/PublisherLink.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherLink.java
@@ -47,13 +47,13 @@
         }
 
         @Override
-        public boolean isStuck() {
+        public boolean isBlocked() {
             return link.isBlocked();
         }
 
         @Override
-        public void close(CloseReason why) {
-            link.close(why);
+        public void close(CloseReason reason) {
+            link.close(reason);
         }
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
@@ -24,7 +24,7 @@
     public sealed interface Choice {}
 
     /** Dial this publisher now. */
-    public record Dial(PublisherAddress publisher) implements Choice {}
+    public record Connect(PublisherAddress publisher) implements Choice {}
 
     /** Ask again after this time. */
     public record Wait(Duration delay) implements Choice {}
@@ -33,10 +33,10 @@
      * How long a nearer publisher that refused for the moment is waited for, rather than that a farther one is dialled: some
      * 900 clients of one relay, admitted at its usual rate, are back within it.
      */
-    private static final Duration WAIT_FOR_NEARER = Duration.ofSeconds(8);
+    private static final Duration MAX_WAIT_FOR_NEARER = Duration.ofSeconds(8);
     /** Doublings of the backoff after which the most is reached, whatever the terms are. */
-    private static final int MOST_DOUBLINGS = 20;
-    private static final Duration LEAST_WAIT = Duration.ofMillis(1);
+    private static final int MAX_DOUBLINGS = 20;
+    private static final Duration MIN_WAIT = Duration.ofMillis(1);
 
     private enum Distance { ZONE, REGION, ELSEWHERE }
 
@@ -44,22 +44,22 @@
     private final RandomGenerator random;
     private final List<Candidate> order = new ArrayList<>();
     private final Map<String, Candidate> byName = new HashMap<>();
-    private Instant nextDial = Instant.MIN;
+    private Instant nextAttemptAt = Instant.MIN;
 
     private static final class Candidate {
         final PublisherAddress publisher;
         final Distance distance;
         int failures;
         Instant notBefore = Instant.MIN;
-        boolean refusing;
-        Instant lastTried = Instant.MIN;
+        boolean isRefusing;
+        Instant lastTriedAt = Instant.MIN;
 
         Candidate(PublisherAddress publisher, Distance distance) {
             this.publisher = publisher;
             this.distance = distance;
         }
 
-        boolean isOpen(Instant now) {
+        boolean isAvailable(Instant now) {
             return !now.isBefore(notBefore);
         }
     }
@@ -100,21 +100,21 @@
 
     /** The first publisher in the order that may be dialled, or how long to wait for one. */
     public Choice next(Instant now) {
-        if (now.isBefore(nextDial)) {
-            return waitUntil(nextDial, now);
+        if (now.isBefore(nextAttemptAt)) {
+            return waitUntil(nextAttemptAt, now);
         }
-        Optional<Candidate> open = order.stream().filter(candidate -> candidate.isOpen(now)).findFirst();
-        if (open.isEmpty()) {
+        Optional<Candidate> available = order.stream().filter(candidate -> candidate.isAvailable(now)).findFirst();
+        if (available.isEmpty()) {
             return waitUntil(earliest(order), now);
         }
-        List<Candidate> nearer = order.stream().filter(candidate -> isWorthWaiting(candidate, open.get(), now)).toList();
-        return nearer.isEmpty() ? new Dial(open.get().publisher) : waitUntil(earliest(nearer), now);
+        List<Candidate> nearer = order.stream().filter(candidate -> isWorthWaitingFor(candidate, available.get(), now)).toList();
+        return nearer.isEmpty() ? new Connect(available.get().publisher) : waitUntil(earliest(nearer), now);
     }
 
     /** Guards farther zones against the load of a nearer one whose publishers take watches at their rate. */
-    private static boolean isWorthWaiting(Candidate candidate, Candidate open, Instant now) {
-        return candidate.refusing && candidate.distance.compareTo(open.distance) < 0
-                && candidate.notBefore.isBefore(now.plus(WAIT_FOR_NEARER));
+    private static boolean isWorthWaitingFor(Candidate candidate, Candidate available, Instant now) {
+        return candidate.isRefusing && candidate.distance.compareTo(available.distance) < 0
+                && candidate.notBefore.isBefore(now.plus(MAX_WAIT_FOR_NEARER));
     }
 
     private static Instant earliest(Collection<Candidate> candidates) {
@@ -123,20 +123,20 @@
 
     private static Wait waitUntil(Instant until, Instant now) {
         Duration delay = Duration.between(now, until);
-        return new Wait(delay.compareTo(LEAST_WAIT) < 0 ? LEAST_WAIT : delay);
+        return new Wait(delay.compareTo(MIN_WAIT) < 0 ? MIN_WAIT : delay);
     }
 
     /**
      * The publisher to move to from the current one: one that comes before it in the order or, where the current one can't
      * be relied on, any other. Each call counts as a try; of several, that which was tried longest ago is named.
      */
-    public Optional<PublisherAddress> better(String current, boolean currentIsReliable, Instant now) {
-        int place = order.indexOf(byName.get(current));
-        Optional<Candidate> better = order.subList(0, currentIsReliable ? place : order.size()).stream()
+    public Optional<PublisherAddress> better(String current, boolean isCurrentReliable, Instant now) {
+        int position = order.indexOf(byName.get(current));
+        Optional<Candidate> better = order.subList(0, isCurrentReliable ? position : order.size()).stream()
                 .filter(candidate -> !candidate.publisher.name().equals(current))
-                .filter(candidate -> !candidate.refusing || candidate.isOpen(now))
-                .min(Comparator.comparing(candidate -> candidate.lastTried));
-        better.ifPresent(candidate -> candidate.lastTried = now);
+                .filter(candidate -> !candidate.isRefusing || candidate.isAvailable(now))
+                .min(Comparator.comparing(candidate -> candidate.lastTriedAt));
+        better.ifPresent(candidate -> candidate.lastTriedAt = now);
         return better.map(candidate -> candidate.publisher);
     }
 
@@ -149,50 +149,50 @@
     public void accepted(String name) {
         Candidate candidate = byName.get(name);
         candidate.failures = 0;
-        candidate.refusing = false;
+        candidate.isRefusing = false;
         candidate.notBefore = Instant.MIN;
     }
 
     /** A publisher could not be reached, was lost, or can't be used. It is left alone for a time that doubles. */
     public void failed(String name, Instant now) {
         Candidate candidate = byName.get(name);
-        Duration longest = terms.backoffFirst().multipliedBy(1L << Math.min(candidate.failures, MOST_DOUBLINGS));
+        Duration backoff = terms.backoffFirst().multipliedBy(1L << Math.min(candidate.failures, MAX_DOUBLINGS));
         candidate.failures++;
-        candidate.refusing = false;
-        candidate.notBefore = now.plus(halfToAll(shorter(longest, terms.backoffMost())));
-        spread(now);
+        candidate.isRefusing = false;
+        candidate.notBefore = now.plus(withJitter(shorter(backoff, terms.backoffMost())));
+        delayNextAttempt(now);
     }
 
     /** A publisher takes no more watches for so long. */
     public void refused(String name, Duration comeBackAfter, Instant now) {
         Candidate candidate = byName.get(name);
-        candidate.refusing = true;
+        candidate.isRefusing = true;
         // Later by up to half, so that those who were refused together do not come back together.
-        candidate.notBefore = now.plus(comeBackAfter).plus(upTo(comeBackAfter.dividedBy(2)));
-        spread(now);
+        candidate.notBefore = now.plus(comeBackAfter).plus(randomUpTo(comeBackAfter.dividedBy(2)));
+        delayNextAttempt(now);
     }
 
     /**
      * Guards the next publishers against all clients of one that is lost at the same moment. Shorter than any backoff, so
      * that another publisher is dialled before the same one, where there is another.
      */
-    private void spread(Instant now) {
-        nextDial = now.plus(upTo(terms.backoffFirst().dividedBy(2)));
+    private void delayNextAttempt(Instant now) {
+        nextAttemptAt = now.plus(randomUpTo(terms.backoffFirst().dividedBy(2)));
     }
 
     /** When to look for a better publisher again: a random time within {@link WatchTerms#returnWithin}. */
     public Duration returnDelay() {
-        Duration delay = upTo(terms.returnWithin());
-        return delay.compareTo(LEAST_WAIT) < 0 ? LEAST_WAIT : delay;
+        Duration delay = randomUpTo(terms.returnWithin());
+        return delay.compareTo(MIN_WAIT) < 0 ? MIN_WAIT : delay;
     }
 
-    private Duration halfToAll(Duration whole) {
-        Duration half = whole.dividedBy(2);
-        return half.plus(upTo(whole.minus(half)));
+    private Duration withJitter(Duration backoff) {
+        Duration half = backoff.dividedBy(2);
+        return half.plus(randomUpTo(backoff.minus(half)));
     }
 
-    private Duration upTo(Duration most) {
-        return most.isZero() || most.isNegative() ? Duration.ZERO : Duration.ofNanos(random.nextLong(most.toNanos()));
+    private Duration randomUpTo(Duration max) {
+        return max.isZero() || max.isNegative() ? Duration.ZERO : Duration.ofNanos(random.nextLong(max.toNanos()));
     }
 
     private static Duration shorter(Duration one, Duration other) {
--- a/discovery/src/main/java/pathlane/discovery/Relay.java
+++ b/discovery/src/main/java/pathlane/discovery/Relay.java
@@ -16,9 +16,9 @@
  */
 public final class Relay {
 
-    private static final Duration REPORT_EVERY = Duration.ofSeconds(1);
+    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
     /** Two words on how old the content is that differ by no more mean the same moment. */
-    private static final Duration SAME_MOMENT = Duration.ofSeconds(2);
+    private static final Duration STALE_SINCE_TOLERANCE = Duration.ofSeconds(2);
 
     private final AuthenticatedLink.Context common;
     private final Scheduler scheduler;
@@ -26,17 +26,17 @@
     private final Publisher publisher;
     private final WatchClient upstream;
     private Optional<Instant> staleSince = Optional.empty();
-    private Optional<Scheduler.Timer> nextReport = Optional.empty();
+    private Optional<Scheduler.Timer> reportTimer = Optional.empty();
 
     /** Dials nothing yet. */
-    public Relay(WatchTerms upstream, PublisherTerms terms, AuthenticatedLink.Context common, Connector dialer,
+    public Relay(WatchTerms upstream, PublisherTerms terms, AuthenticatedLink.Context common, Connector connector,
             Scheduler scheduler,
             RandomGenerator random) {
         this.common = common;
         this.scheduler = scheduler;
         this.catalogue = new Catalogue(terms.historyChanges());
         this.publisher = new Publisher(catalogue, terms, scheduler, random);
-        this.upstream = new WatchClient(upstream, dialer, common, scheduler, random, new Upstream());
+        this.upstream = new WatchClient(upstream, connector, common, scheduler, random, new Upstream());
     }
 
     /** Begins to look for an upstream. */
@@ -48,7 +48,7 @@
 
     /** Ends all connections, upstream and downstream. */
     public void stop() {
-        nextReport.ifPresent(Scheduler.Timer::cancel);
+        reportTimer.ifPresent(Scheduler.Timer::cancel);
         upstream.stop();
         publisher.close(CloseReason.SHUTDOWN);
     }
@@ -75,12 +75,12 @@
 
     private void report() {
         upstream.report(publisher.progress());
-        nextReport = Optional.of(scheduler.after(REPORT_EVERY, this::report));
+        reportTimer = Optional.of(scheduler.after(REPORT_INTERVAL, this::report));
     }
 
     private void setStaleSince(Optional<Instant> lostAt) {
         boolean isSame = staleSince.isPresent() && lostAt.isPresent()
-                && Duration.between(staleSince.get(), lostAt.get()).abs().compareTo(SAME_MOMENT) < 0;
+                && Duration.between(staleSince.get(), lostAt.get()).abs().compareTo(STALE_SINCE_TOLERANCE) < 0;
         if (!isSame) {
             staleSince = lostAt;
             publisher.setStaleSince(lostAt);
--- a/discovery/src/main/java/pathlane/discovery/SendWindow.java
+++ b/discovery/src/main/java/pathlane/discovery/SendWindow.java
@@ -11,52 +11,52 @@
 
     private record Batch(long number, int bytes) {}
 
-    private final int mostBytes;
-    private final Duration deadAfter;
-    private final Deque<Batch> batches = new ArrayDeque<>();
+    private final int maxBytes;
+    private final Duration acknowledgeTimeout;
+    private final Deque<Batch> pendingBatches = new ArrayDeque<>();
     private long lastBatch;
-    private int bytes;
-    private boolean bookmarkUnderWay;
+    private int pendingBytes;
+    private boolean isBookmarkPending;
     /** The last acknowledgement, or when something was sent after nothing had been under way. */
     private Instant progressAt = Instant.MIN;
 
-    SendWindow(int mostBytes, Duration deadAfter) {
-        this.mostBytes = mostBytes;
-        this.deadAfter = deadAfter;
+    SendWindow(int maxBytes, Duration acknowledgeTimeout) {
+        this.maxBytes = maxBytes;
+        this.acknowledgeTimeout = acknowledgeTimeout;
     }
 
     /** Whether so many bytes may be sent. One change always may while nothing is under way, however large it is. */
-    boolean hasRoom(int more) {
-        return bytes == 0 || bytes + more <= mostBytes;
+    boolean hasRoom(int size) {
+        return pendingBytes == 0 || pendingBytes + size <= maxBytes;
     }
 
     /** Bytes of the next update if it takes all the room there is. */
-    int room() {
-        return Math.max(0, mostBytes - bytes);
+    int availableBytes() {
+        return Math.max(0, maxBytes - pendingBytes);
     }
 
     /** The number of the update that is about to be sent. */
     long sentUpdate(int size, Instant now) {
-        begin(now);
+        startTimeoutIfIdle(now);
         lastBatch++;
-        batches.add(new Batch(lastBatch, size));
-        bytes += size;
+        pendingBatches.add(new Batch(lastBatch, size));
+        pendingBytes += size;
         return lastBatch;
     }
 
     void sentBookmark(Instant now) {
-        begin(now);
-        bookmarkUnderWay = true;
+        startTimeoutIfIdle(now);
+        isBookmarkPending = true;
     }
 
-    private void begin(Instant now) {
-        if (!isUnderWay()) {
+    private void startTimeoutIfIdle(Instant now) {
+        if (!isAwaitingAcknowledgement()) {
             progressAt = now;
         }
     }
 
-    private boolean isUnderWay() {
-        return !batches.isEmpty() || bookmarkUnderWay;
+    private boolean isAwaitingAcknowledgement() {
+        return !pendingBatches.isEmpty() || isBookmarkPending;
     }
 
     /**
@@ -71,10 +71,10 @@
         }
         progressAt = now;
         if (batch == 0) {
-            bookmarkUnderWay = false;
+            isBookmarkPending = false;
         }
-        while (!batches.isEmpty() && batches.peek().number() <= batch) {
-            bytes -= batches.remove().bytes();
+        while (!pendingBatches.isEmpty() && pendingBatches.peek().number() <= batch) {
+            pendingBytes -= pendingBatches.remove().bytes();
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** Whether something is under way and nothing was acknowledged for too long. */
-    boolean isDead(Instant now) {
-        return isUnderWay() && Duration.between(progressAt, now).compareTo(deadAfter) >= 0;
+    boolean isTimedOut(Instant now) {
+        return isAwaitingAcknowledgement() && Duration.between(progressAt, now).compareTo(acknowledgeTimeout) >= 0;
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
@@ -27,7 +27,7 @@
 
     private static final int IPV4_BYTES = 4;
     private static final int IPV6_BYTES = 16;
-    private static final int MOST_PORT = 0xffff;
+    private static final int MAX_PORT = 0xffff;
 
     private ServiceChangeCodec() {}
 
@@ -95,13 +95,13 @@
     private static void writeEndpoint(MessagePacker packer, ServerEndpoint endpoint) throws IOException {
         packer.packLong(endpoint.id());
         writeAddress(packer, endpoint.address());
-        packer.packInt(number(endpoint.status())).packInt(endpoint.pool());
+        packer.packInt(statusNumber(endpoint.status())).packInt(endpoint.pool());
         writeWeight(packer, endpoint.weight());
         packer.packTimestamp(endpoint.startedAt());
     }
 
     private static ServerEndpoint endpoint(MessageUnpacker unpacker) throws IOException {
-        return new ServerEndpoint(unpacker.unpackLong(), address(unpacker), mode(unpacker.unpackInt()), unpacker.unpackInt(),
+        return new ServerEndpoint(unpacker.unpackLong(), address(unpacker), status(unpacker.unpackInt()), unpacker.unpackInt(),
                 weight(unpacker.unpackDouble()), unpacker.unpackTimestamp());
     }
 
@@ -137,21 +137,21 @@
 
     private static int port(MessageUnpacker unpacker) throws IOException {
         int port = unpacker.unpackInt();
-        if (port < 0 || port > MOST_PORT) {
+        if (port < 0 || port > MAX_PORT) {
             throw new BadInput("port " + port);
         }
         return port;
     }
 
-    private static int number(ServerStatus mode) {
-        return switch (mode) {
+    private static int statusNumber(ServerStatus status) {
+        return switch (status) {
             case RUNNING -> RUNNING;
             case DRAINING -> DRAINING;
             case GONE -> throw new IllegalArgumentException("an endpoint that is gone is sent as removed");
         };
     }
 
-    private static ServerStatus mode(int number) {
+    private static ServerStatus status(int number) {
         return switch (number) {
             case RUNNING -> ServerStatus.RUNNING;
             case DRAINING -> ServerStatus.DRAINING;
@@ -169,7 +169,7 @@
     }
 
     private static double weight(double weight) {
-        if (!CatalogueLimits.isWeight(weight)) {
+        if (!CatalogueLimits.isValidWeight(weight)) {
             throw new BadInput("a weight of " + weight);
         }
         return weight;
--- a/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
@@ -76,9 +76,9 @@
     /**
      * Applies a change, or says why not.
      *
-     * @param publisherIsComplete whether its sender holds the whole catalogue
+     * @param isPublisherComplete whether its sender holds the whole catalogue
      */
-    public Result apply(ServiceChange change, boolean publisherIsComplete) {
+    public Result apply(ServiceChange change, boolean isPublisherComplete) {
         if (!change.revision().isAfter(revision)) {
             return new Ignored();
         }
@@ -86,17 +86,17 @@
             return applyDelta(delta);
         }
         if (change instanceof ServiceChange.Snapshot snapshot) {
-            return applySnapshot(snapshot.state(), publisherIsComplete);
+            return applySnapshot(snapshot.state(), isPublisherComplete);
         }
-        return applyAbsent(change.revision(), publisherIsComplete);
+        return applyAbsent(change.revision(), isPublisherComplete);
     }
 
-    private Result applySnapshot(ServiceState fresh, boolean publisherIsComplete) {
+    private Result applySnapshot(ServiceState fresh, boolean isPublisherComplete) {
         if (!isAscending(fresh.endpoints())
                 || ServiceDigest.of(fresh.endpoints(), fresh.configuration()) != fresh.digest()) {
             return new NeedsSnapshot("a snapshot whose content differs from its digest");
         }
-        if (!publisherIsComplete && takesAwayMost(fresh.endpoints())) {
+        if (!isPublisherComplete && removesMajority(fresh.endpoints())) {
             return new Withheld("an incomplete publisher's snapshot without most of the endpoints");
         }
         state = Optional.of(fresh);
@@ -104,8 +104,8 @@
         return new Applied();
     }
 
-    private Result applyAbsent(Revision absentAt, boolean publisherIsComplete) {
-        if (!publisherIsComplete) {
+    private Result applyAbsent(Revision absentAt, boolean isPublisherComplete) {
+        if (!isPublisherComplete) {
             return new Withheld("an incomplete publisher's word that the service does not exist");
         }
         state = Optional.empty();
@@ -132,13 +132,13 @@
     private static long digest(ServiceState held, ServiceChange.Delta delta) {
         Set<Long> replaced = replaced(delta.upserted(), delta.removed());
         long digest = held.digest();
-        for (ServerEndpoint line : held.endpoints()) {
-            if (replaced.contains(line.id())) {
-                digest = ServiceDigest.without(digest, line);
+        for (ServerEndpoint endpoint : held.endpoints()) {
+            if (replaced.contains(endpoint.id())) {
+                digest = ServiceDigest.without(digest, endpoint);
             }
         }
-        for (ServerEndpoint line : delta.upserted()) {
-            digest = ServiceDigest.with(digest, line);
+        for (ServerEndpoint endpoint : delta.upserted()) {
+            digest = ServiceDigest.with(digest, endpoint);
         }
         return ServiceDigest.withConfiguration(digest, held.configuration(),
                 delta.configuration().orElse(held.configuration()));
@@ -146,15 +146,15 @@
 
     private static Set<Long> replaced(List<ServerEndpoint> upserted, List<Long> removed) {
         Set<Long> replaced = new HashSet<>(removed);
-        upserted.forEach(line -> replaced.add(line.id()));
+        upserted.forEach(endpoint -> replaced.add(endpoint.id()));
         return replaced;
     }
 
-    private boolean takesAwayMost(List<ServerEndpoint> fresh) {
+    private boolean removesMajority(List<ServerEndpoint> fresh) {
         List<ServerEndpoint> held = state.map(ServiceState::endpoints).orElse(List.of());
         Set<Long> kept = new HashSet<>();
-        fresh.forEach(line -> kept.add(line.id()));
-        long removed = held.stream().filter(line -> !kept.contains(line.id())).count();
+        fresh.forEach(endpoint -> kept.add(endpoint.id()));
+        long removed = held.stream().filter(endpoint -> !kept.contains(endpoint.id())).count();
         return removed * 2 > held.size();
     }
 
@@ -171,7 +171,7 @@
     private static List<ServerEndpoint> merge(List<ServerEndpoint> held, List<ServerEndpoint> upserted, List<Long> removed) {
         Set<Long> replaced = replaced(upserted, removed);
         List<ServerEndpoint> merged = new ArrayList<>(held.size() + upserted.size());
-        held.stream().filter(line -> !replaced.contains(line.id())).forEach(merged::add);
+        held.stream().filter(endpoint -> !replaced.contains(endpoint.id())).forEach(merged::add);
         merged.addAll(upserted);
         merged.sort(BY_ID);   // two ascending runs: linear
         return Collections.unmodifiableList(merged);
--- a/discovery/src/main/java/pathlane/discovery/Source.java
+++ b/discovery/src/main/java/pathlane/discovery/Source.java
@@ -13,7 +13,7 @@
 public final class Source {
 
     /** How often progress is looked at while a change is on its way; bounds the error of the times measured. */
-    private static final Duration PROGRESS_EVERY = Duration.ofMillis(100);
+    private static final Duration PROGRESS_POLL_INTERVAL = Duration.ofMillis(100);
 
     private final Catalogue catalogue;
     private final Publisher publisher;
@@ -30,10 +30,10 @@
         this.catalogue = new Catalogue(terms.historyChanges());
         catalogue.begin(epoch);
         this.publisher = new Publisher(catalogue, terms, scheduler, random);
-        catalogue.addListener((service, revision, takesAway) -> track(revision));
+        catalogue.addListener((service, revision, removesOrDrains) -> track(revision));
     }
 
-    /** What is written here reaches the subscribers. It is complete only once {@link Catalogue#complete} is called. */
+    /** What is written here reaches the subscribers. It is complete only once {@link Catalogue#isComplete} is called. */
     public Catalogue catalogue() {
         return catalogue;
     }
@@ -55,15 +55,15 @@
         inForce.note(revision, scheduler.now());
         if (!isTracking) {
             isTracking = true;
-            scheduler.after(PROGRESS_EVERY, this::look);
+            scheduler.after(PROGRESS_POLL_INTERVAL, this::pollProgress);
         }
     }
 
-    private void look() {
+    private void pollProgress() {
         inForce.progress(publisher.progress(), scheduler.now());
         isTracking = inForce.isWaiting();
         if (isTracking) {
-            scheduler.after(PROGRESS_EVERY, this::look);
+            scheduler.after(PROGRESS_POLL_INTERVAL, this::pollProgress);
         }
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/SubscriberPort.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberPort.java
@@ -12,8 +12,8 @@
     void send(byte[] message);
 
     /** Whether what was sent earlier has yet to leave, since the subscriber does not read. */
-    boolean isStuck();
+    boolean isBlocked();
 
     /** Closes the connection once all that was sent has left; {@link Publisher.Session#closed} follows. */
-    void close(CloseReason why);
+    void close(CloseReason reason);
 }
--- a/discovery/src/main/java/pathlane/discovery/SubscriberQueue.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberQueue.java
@@ -14,7 +14,7 @@
  */
 final class SubscriberQueue {
 
-    private final Map<String, Held> watched = new HashMap<>();
+    private final Map<String, HeldVersion> watched = new HashMap<>();
     /** Services of which endpoints are gone or drain: sent first. */
     private final Set<String> urgent = new LinkedHashSet<>();
     private final Set<String> ordinary = new LinkedHashSet<>();
@@ -33,22 +33,22 @@
         return watched.keySet();
     }
 
-    Held held(String service) {
+    HeldVersion held(String service) {
         return watched.get(service);
     }
 
     /** Watches a service from now on, or anew, as held by the subscriber. Nothing is queued. */
-    void watch(String service, Held held) {
+    void watch(String service, HeldVersion held) {
         watched.put(service, held);
-        takeOut(service);
+        dequeue(service);
     }
 
     void unwatch(String service) {
         watched.remove(service);
-        takeOut(service);
+        dequeue(service);
     }
 
-    private void takeOut(String service) {
+    private void dequeue(String service) {
         urgent.remove(service);
         ordinary.remove(service);
         unresolved.remove(service);
@@ -79,14 +79,14 @@
     }
 
     /** A service needs no more sending: the subscriber holds this, once all that was sent has arrived. */
-    void sent(String service, Held held) {
+    void sent(String service, HeldVersion held) {
         watched.put(service, held);
-        takeOut(service);
+        dequeue(service);
     }
 
     /** A service can't be told of yet, as the catalogue may not have heard of it. */
     void postpone(String service) {
-        takeOut(service);
+        dequeue(service);
         unresolved.add(service);
     }
 
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -18,7 +18,7 @@
 final class SubscriberSession implements Publisher.Session {
 
     /** Guards memory against a watch of more services than a fleet has. */
-    private static final int MOST_SERVICES = 1 << 16;
+    private static final int MAX_SERVICES = 1 << 16;
 
     private enum Phase {
         /** Nothing was asked for yet. */
@@ -38,11 +38,11 @@
     private final SubscriberQueue queue = new SubscriberQueue();
     private final SendWindow window;
     private Phase phase = Phase.OPENED;
-    private boolean everything;
+    private boolean watchesEverything;
     /** Whether the last message of a subscription has come: services that it does not name are not held. */
-    private boolean isSubscriptionWhole;
+    private boolean isSubscriptionComplete;
     private boolean isRelay;
-    private Revision bookmarked = Revision.NONE;
+    private Revision bookmarkedRevision = Revision.NONE;
     private Instant bookmarkedAt = Instant.MIN;
     /** When the last bookmark or status was sent. */
     private Instant heartbeatAt = Instant.MIN;
@@ -89,29 +89,29 @@
     }
 
     private void subscribe(Subscribe message) {
-        if (phase == Phase.OPENED && !isAdmitted()) {
+        if (phase == Phase.OPENED && !admit()) {
             return;
         }
-        if (message.everything() && !everything) {
-            everything = true;
-            publisher.watchesEverything(this, queue.services());
+        if (message.everything() && !watchesEverything) {
+            watchesEverything = true;
+            publisher.watchEverything(this, queue.services());
         }
         message.ended().forEach(this::unwatch);
         message.interests().forEach(this::watch);
-        isSubscriptionWhole = message.last();
-        if (everything && isSubscriptionWhole) {
-            publisher.services().forEach(this::watchFound);
+        isSubscriptionComplete = message.last();
+        if (watchesEverything && isSubscriptionComplete) {
+            publisher.services().forEach(this::watchIfAbsent);
             // Guards a new relay against calling a service absent at a revision at which it was there.
-            publisher.removedSinceRevision().forEach(this::watchFound);
+            publisher.removedSinceRevision().forEach(this::watchIfAbsent);
         }
         publisher.schedule(this);
     }
 
-    private boolean isAdmitted() {
-        Optional<Duration> comeBackAfter = publisher.admit();
-        if (comeBackAfter.isPresent()) {
+    private boolean admit() {
+        Optional<Duration> retryAfter = publisher.admit();
+        if (retryAfter.isPresent()) {
             metrics.refused++;
-            send(WatchCodec.bytes(new Refused(comeBackAfter.get())));
+            send(WatchCodec.bytes(new Refused(retryAfter.get())));
             end(CloseReason.LIMIT_REACHED);
             return false;
         }
@@ -125,33 +125,33 @@
     }
 
     private void watch(Interest interest) {
-        boolean isAnew = queue.isWatched(interest.service());
-        if (!isAnew && queue.size() >= MOST_SERVICES) {
-            throw new BadInput("a watch of more than " + MOST_SERVICES + " services");
+        boolean isAlreadyWatched = queue.isWatched(interest.service());
+        if (!isAlreadyWatched && queue.size() >= MAX_SERVICES) {
+            throw new BadInput("a watch of more than " + MAX_SERVICES + " services");
         }
         String service = publisher.sharedName(interest.service());
-        Held held = interest.have().equals(Revision.NONE) ? Held.NOTHING : new Held(interest.have(), interest.digest());
+        HeldVersion held = interest.have().equals(Revision.NONE) ? HeldVersion.NOTHING : new HeldVersion(interest.have(), interest.digest());
         queue.watch(service, held);
-        if (!everything) {
-            publisher.watches(this, service);
+        if (!watchesEverything) {
+            publisher.addWatch(this, service);
         }
         // What is asked for anew is in force in some form that may name servers that are gone.
-        boolean takesAway = isAnew || !held.isNothing()
-                && encoder.change(service, held).map(EncodedChange::takesAway).orElse(false);
-        queue.add(service, takesAway);
+        boolean removesOrDrains = isAlreadyWatched || !held.isNothing()
+                && encoder.change(service, held).map(EncodedChange::removesOrDrains).orElse(false);
+        queue.add(service, removesOrDrains);
     }
 
-    private void watchFound(String service) {
+    private void watchIfAbsent(String service) {
         if (!queue.isWatched(service)) {
-            queue.watch(service, Held.NOTHING);
+            queue.watch(service, HeldVersion.NOTHING);
             queue.add(service, false);
         }
     }
 
     private void unwatch(String service) {
-        if (!everything) {
+        if (!watchesEverything) {
             queue.unwatch(service);
-            publisher.unwatches(this, service);
+            publisher.removeWatch(this, service);
         }
     }
 
@@ -168,14 +168,14 @@
     // ---- from the catalogue
 
     /** A service that this subscriber watches has changed. */
-    void changed(String service, boolean takesAway) {
+    void changed(String service, boolean removesOrDrains) {
         if (!queue.isWatched(service)) {
-            if (!isSubscriptionWhole) {
+            if (!isSubscriptionComplete) {
                 return;   // the subscriber may yet say what it holds of it
             }
-            queue.watch(service, Held.NOTHING);
+            queue.watch(service, HeldVersion.NOTHING);
         }
-        boolean isUrgent = takesAway && !queue.held(service).isNothing();
+        boolean isUrgent = removesOrDrains && !queue.held(service).isNothing();
         if (queue.add(service, isUrgent)) {
             metrics.coalesced++;
         }
@@ -194,7 +194,7 @@
 
     /** Sends what waits, as far as there is room. */
     void flush() {
-        while (phase == Phase.WATCHING && !queue.isEmpty() && !port.isStuck()) {
+        while (phase == Phase.WATCHING && !queue.isEmpty() && !port.isBlocked()) {
             List<EncodedChange> batch = nextBatch();
             if (batch.isEmpty()) {
                 return;
@@ -208,27 +208,27 @@
         int size = 0;
         while (!queue.isEmpty()) {
             String service = queue.next();
-            Held held = queue.held(service);
+            HeldVersion held = queue.held(service);
             Optional<EncodedChange> change = encoder.change(service, held);
             if (change.isEmpty()) {
-                settle(service, held);
+                skipOrPostpone(service, held);
                 continue;
             }
-            int larger = size + change.get().size();
-            boolean fits = batch.isEmpty() ? window.hasRoom(larger)
-                    : larger <= Math.min(terms.updateBytes(), window.room());
+            int newSize = size + change.get().size();
+            boolean fits = batch.isEmpty() ? window.hasRoom(newSize)
+                    : newSize <= Math.min(terms.updateBytes(), window.availableBytes());
             if (!fits) {
                 break;
             }
-            size = larger;
+            size = newSize;
             batch.add(change.get());
-            taken(service, change.get());
+            markSent(service, change.get());
         }
         return batch;
     }
 
-    private void taken(String service, EncodedChange change) {
-        if (everything && change.kind() == EncodedChange.Kind.ABSENT) {
+    private void markSent(String service, EncodedChange change) {
+        if (watchesEverything && change.kind() == EncodedChange.Kind.ABSENT) {
             queue.unwatch(service);   // guards memory against names that come and go
         } else {
             queue.sent(service, change.held());
@@ -236,10 +236,10 @@
     }
 
     /** Nothing can or need be sent of a service now. */
-    private void settle(String service, Held held) {
+    private void skipOrPostpone(String service, HeldVersion held) {
         if (encoder.isUnresolved(service, held)) {
             queue.postpone(service);
-            publisher.isUnresolved(this);
+            publisher.addUnresolved(this);
         } else {
             queue.sent(service, held);
         }
@@ -259,48 +259,48 @@
     }
 
     /** What is due by time: called several times in {@link PublisherTerms#bookmarkEvery}. */
-    void tick(Instant now, Duration heartbeatEvery) {
+    void tick(Instant now, Duration heartbeatInterval) {
         if (phase == Phase.OPENED) {
-            if (isOver(openedAt, terms.deadAfter(), now)) {
+            if (hasElapsed(openedAt, terms.deadAfter(), now)) {
                 end(CloseReason.UNFINISHED);
             }
             return;
         }
-        if (window.isDead(now)) {
+        if (window.isTimedOut(now)) {
             metrics.unresponsive++;
             end(CloseReason.SILENT);
             return;
         }
         flush();
-        if (phase == Phase.WATCHING && !port.isStuck()) {
-            heartbeat(now, heartbeatEvery);
+        if (phase == Phase.WATCHING && !port.isBlocked()) {
+            heartbeat(now, heartbeatInterval);
         }
     }
 
-    private void heartbeat(Instant now, Duration every) {
+    private void heartbeat(Instant now, Duration interval) {
         boolean isSynchronized = isSynchronized();
-        boolean isSilent = isOver(heartbeatAt, every, now);
-        boolean isNews = publisher.revision().isAfter(bookmarked) && isOver(bookmarkedAt, every, now);
-        if (isSilent && (publisher.isStale() || !isSynchronized)) {
+        boolean isHeartbeatDue = hasElapsed(heartbeatAt, interval, now);
+        boolean isNewBookmarkDue = publisher.revision().isAfter(bookmarkedRevision) && hasElapsed(bookmarkedAt, interval, now);
+        if (isHeartbeatDue && (publisher.isStale() || !isSynchronized)) {
             sendStatus(publisher.statusMessage());
         }
         // Also while it says nothing new: a subscriber that is gone is found by its acknowledgements.
-        if (isSynchronized && (isSilent || isNews)) {
+        if (isSynchronized && (isHeartbeatDue || isNewBookmarkDue)) {
             sendBookmark(now);
         }
     }
 
-    private static boolean isOver(Instant since, Duration time, Instant now) {
+    private static boolean hasElapsed(Instant since, Duration time, Instant now) {
         return !now.isBefore(since.plus(time));
     }
 
     /** Whether all that the watch concerns, up to the catalogue's revision, has been sent. */
     private boolean isSynchronized() {
-        return isSubscriptionWhole && publisher.isComplete() && queue.isEmpty() && !queue.hasUnresolved();
+        return isSubscriptionComplete && publisher.isComplete() && queue.isEmpty() && !queue.hasUnresolved();
     }
 
     private void sendBookmark(Instant now) {
-        bookmarked = publisher.revision();
+        bookmarkedRevision = publisher.revision();
         bookmarkedAt = now;
         heartbeatAt = now;
         window.sentBookmark(now);
@@ -310,7 +310,7 @@
 
     /** Tells the publisher's status, as encoded for all subscribers. */
     void sendStatus(byte[] message) {
-        if (phase == Phase.WATCHING && !port.isStuck()) {
+        if (phase == Phase.WATCHING && !port.isBlocked()) {
             heartbeatAt = publisher.now();
             send(message);
         }
@@ -323,9 +323,9 @@
     }
 
     /** Ends the session from this side. */
-    void end(CloseReason why) {
+    void end(CloseReason reason) {
         closed();
-        port.close(why);
+        port.close(reason);
     }
 
     /** The subscriber's name. */
--- a/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
+++ b/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
@@ -15,26 +15,26 @@
 final class UpdateEncoder {
 
     /** The snapshots of a fleet of 26,000 endpoints take about 1 MiB, the deltas of a busy second much less. */
-    static final long MOST_CACHED_BYTES = 16 << 20;
+    static final long MAX_CACHED_BYTES = 16 << 20;
 
     /** What was encoded of one service at its present revision, by what the subscribers hold. */
     private static final class Encoded {
         private EncodedChange snapshot;
-        private final Map<Held, EncodedChange> deltas = new HashMap<>();
+        private final Map<HeldVersion, EncodedChange> deltas = new HashMap<>();
         private long bytes;
     }
 
     private final Catalogue catalogue;
     private final PublisherMetrics metrics;
-    private final long mostCachedBytes;
+    private final long maxCachedBytes;
     /** By service, the least recently used first. */
     private final Map<String, Encoded> cache = new LinkedHashMap<>(16, 0.75f, true);
     private long cachedBytes;
 
-    UpdateEncoder(Catalogue catalogue, PublisherMetrics metrics, long mostCachedBytes) {
+    UpdateEncoder(Catalogue catalogue, PublisherMetrics metrics, long maxCachedBytes) {
         this.catalogue = catalogue;
         this.metrics = metrics;
-        this.mostCachedBytes = mostCachedBytes;
+        this.maxCachedBytes = maxCachedBytes;
     }
 
     /** A service has changed: what was encoded of it is of the past. */
@@ -46,7 +46,7 @@
     }
 
     /** What a subscriber that holds this must be sent; empty where it holds the newest state of the service, or a newer. */
-    Optional<EncodedChange> change(String service, Held held) {
+    Optional<EncodedChange> change(String service, HeldVersion held) {
         CatalogueEntry entry = catalogue.entry(service);
         if (entry == null) {
             return absent(service, held);
@@ -58,41 +58,41 @@
     }
 
     /** Whether the catalogue lacks a service without it being known yet that it is absent at the revision held. */
-    boolean isUnresolved(String service, Held held) {
+    boolean isUnresolved(String service, HeldVersion held) {
         return catalogue.entry(service) == null
                 && (!catalogue.isComplete() || held.revision().isAfter(catalogue.absentSince(service)));
     }
 
-    private Optional<EncodedChange> absent(String service, Held held) {
+    private Optional<EncodedChange> absent(String service, HeldVersion held) {
         if (isUnresolved(service, held)) {
             return Optional.empty();
         }
         ServiceChange absent = new ServiceChange.Absent(service, catalogue.absentSince(service));
-        return Optional.of(new EncodedChange(EncodedChange.Kind.ABSENT, WatchCodec.bytes(absent), Held.NOTHING,
+        return Optional.of(new EncodedChange(EncodedChange.Kind.ABSENT, WatchCodec.bytes(absent), HeldVersion.NOTHING,
                 !held.isNothing()));
     }
 
-    private EncodedChange snapshot(CatalogueEntry entry, Held held) {
+    private EncodedChange snapshot(CatalogueEntry entry, HeldVersion held) {
         Encoded encoded = encoded(entry);
         if (encoded.snapshot == null) {
             byte[] bytes = WatchCodec.bytes(new ServiceChange.Snapshot(entry.state()));
             metrics.snapshotsEncoded++;
             encoded.snapshot = new EncodedChange(EncodedChange.Kind.SNAPSHOT, bytes, entry.held(), false);
-            added(encoded, bytes.length);
+            addCachedBytes(encoded, bytes.length);
         }
-        return held.isNothing() ? encoded.snapshot : takingAway(encoded.snapshot);
+        return held.isNothing() ? encoded.snapshot : asRemoving(encoded.snapshot);
     }
 
     /** In place of some other content, a snapshot may take anything away. */
-    private static EncodedChange takingAway(EncodedChange snapshot) {
+    private static EncodedChange asRemoving(EncodedChange snapshot) {
         return new EncodedChange(snapshot.kind(), snapshot.bytes(), snapshot.held(), true);
     }
 
-    private EncodedChange difference(CatalogueEntry entry, Held held) {
+    private EncodedChange difference(CatalogueEntry entry, HeldVersion held) {
         Encoded encoded = encoded(entry);
-        EncodedChange known = encoded.deltas.get(held);
-        if (known != null) {
-            return known;
+        EncodedChange cached = encoded.deltas.get(held);
+        if (cached != null) {
+            return cached;
         }
         Optional<ServiceChange.Delta> delta = held.digest() == entry.digest() ? Optional.of(sameContent(entry, held))
                 : catalogue.deltaSince(entry, held.revision());
@@ -101,31 +101,31 @@
         }
         EncodedChange change = encode(delta.get(), entry.held());
         encoded.deltas.put(held, change);
-        added(encoded, change.size());
+        addCachedBytes(encoded, change.size());
         return change;
     }
 
     /** The content is held already, only under an earlier revision, as after the source has started anew. */
-    private static ServiceChange.Delta sameContent(CatalogueEntry entry, Held held) {
+    private static ServiceChange.Delta sameContent(CatalogueEntry entry, HeldVersion held) {
         return new ServiceChange.Delta(entry.service(), held.revision(), entry.revision(), entry.digest(), List.of(),
                 List.of(), Optional.empty());
     }
 
-    private EncodedChange encode(ServiceChange.Delta delta, Held result) {
-        boolean takesAway = !delta.removed().isEmpty()
+    private EncodedChange encode(ServiceChange.Delta delta, HeldVersion result) {
+        boolean removesOrDrains = !delta.removed().isEmpty()
                 || delta.upserted().stream().anyMatch(endpoint -> endpoint.status() == ServerStatus.DRAINING);
         metrics.deltasEncoded++;
-        return new EncodedChange(EncodedChange.Kind.DELTA, WatchCodec.bytes(delta), result, takesAway);
+        return new EncodedChange(EncodedChange.Kind.DELTA, WatchCodec.bytes(delta), result, removesOrDrains);
     }
 
     private Encoded encoded(CatalogueEntry entry) {
         return cache.computeIfAbsent(entry.service(), key -> new Encoded());
     }
 
-    private void added(Encoded encoded, int bytes) {
+    private void addCachedBytes(Encoded encoded, int bytes) {
         encoded.bytes += bytes;
         cachedBytes += bytes;
-        for (Iterator<Encoded> oldest = cache.values().iterator(); cachedBytes > mostCachedBytes;) {
+        for (Iterator<Encoded> oldest = cache.values().iterator(); cachedBytes > maxCachedBytes;) {
             cachedBytes -= oldest.next().bytes;
             oldest.remove();
         }
--- a/discovery/src/main/java/pathlane/discovery/WatchAdmission.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchAdmission.java
@@ -12,19 +12,19 @@
 final class WatchAdmission {
 
     /** The longest time that anybody is told to wait: by then the state of things is another. */
-    static final Duration LONGEST_WAIT = Duration.ofSeconds(30);
+    static final Duration MAX_WAIT = Duration.ofSeconds(30);
     /** Times to come back are drawn out by up to this share, so that the order among the refused is a new one. */
     private static final double JITTER = 0.25;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final double nanosPerWatch;
-    private final double mostNanos;
+    private final double maxNanos;
     private final RandomGenerator random;
     /** The bucket's content as time: a watch takes the time in which one token comes. */
-    private double nanos;
+    private double availableNanos;
     private Instant filledAt;
     /** When the next of those who are refused may come back. */
-    private Instant nextTurn;
+    private Instant nextRetryAt;
 
     /**
      * A full bucket.
@@ -37,32 +37,32 @@
             throw new IllegalArgumentException("admission of " + perSecond + " watches a second, " + burst + " at once");
         }
         this.nanosPerWatch = NANOS_PER_SECOND / perSecond;
-        this.mostNanos = nanosPerWatch * burst;
+        this.maxNanos = nanosPerWatch * burst;
         this.random = random;
-        this.nanos = mostNanos;
+        this.availableNanos = maxNanos;
         this.filledAt = now;
-        this.nextTurn = now;
+        this.nextRetryAt = now;
     }
 
     /** Admits a watch, where the result is empty, or says after what time to come back. */
     Optional<Duration> admit(Instant now) {
-        nanos = Math.min(mostNanos, nanos + Duration.between(filledAt, now).toNanos());
+        availableNanos = Math.min(maxNanos, availableNanos + Duration.between(filledAt, now).toNanos());
         filledAt = now;
-        if (nanos >= nanosPerWatch) {
-            nanos -= nanosPerWatch;
+        if (availableNanos >= nanosPerWatch) {
+            availableNanos -= nanosPerWatch;
             return Optional.empty();
         }
-        return Optional.of(turn(now));
+        return Optional.of(nextRetryDelay(now));
     }
 
     /** The time to come back of a watch that is refused, in its turn after those that were refused before. */
-    Duration turn(Instant now) {
-        Instant earliest = nextTurn.isAfter(now) ? nextTurn : now;
-        nextTurn = earliest.plusNanos((long) nanosPerWatch);
-        Duration wait = Duration.between(now, nextTurn);
-        if (wait.compareTo(LONGEST_WAIT) > 0) {
-            nextTurn = now.plus(LONGEST_WAIT);
-            wait = LONGEST_WAIT;
+    Duration nextRetryDelay(Instant now) {
+        Instant earliest = nextRetryAt.isAfter(now) ? nextRetryAt : now;
+        nextRetryAt = earliest.plusNanos((long) nanosPerWatch);
+        Duration wait = Duration.between(now, nextRetryAt);
+        if (wait.compareTo(MAX_WAIT) > 0) {
+            nextRetryAt = now.plus(MAX_WAIT);
+            wait = MAX_WAIT;
         }
         return wait.plusNanos((long) (wait.toNanos() * JITTER * random.nextDouble()));
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchClient.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchClient.java
@@ -24,13 +24,13 @@
 public final class WatchClient {
 
     private static final Logger LOG = System.getLogger("discovery");
-    private static final Duration DIAL_TIMEOUT = Duration.ofSeconds(1);
-    private static final Duration REPORT_EVERY = Duration.ofSeconds(1);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
     /** Some 100 KiB of names at the longest, which leaves room for others' messages on the way. */
     private static final int INTERESTS_PER_MESSAGE = 1_000;
 
     private final WatchTerms terms;
-    private final Connector dialer;
+    private final Connector connector;
     private final AuthenticatedLink.Context common;
     private final Scheduler scheduler;
     private final WatchListener listener;
@@ -44,17 +44,17 @@
     /** The connection to a better publisher, until the watch is accepted there. */
     private Optional<WatchSession> candidate = Optional.empty();
     private Optional<PublisherStatus> status = Optional.empty();
-    private Optional<Scheduler.Timer> redial = Optional.empty();
-    private Optional<Scheduler.Timer> move = Optional.empty();
-    private Optional<Scheduler.Timer> nextReport = Optional.empty();
+    private Optional<Scheduler.Timer> reconnectTimer = Optional.empty();
+    private Optional<Scheduler.Timer> moveTimer = Optional.empty();
+    private Optional<Scheduler.Timer> reportTimer = Optional.empty();
     private Optional<ProgressReport> report = Optional.empty();
     private Optional<ProgressReport> sentReport = Optional.empty();
 
     /** Dials nothing yet. */
-    public WatchClient(WatchTerms terms, Connector dialer, AuthenticatedLink.Context common, Scheduler scheduler,
+    public WatchClient(WatchTerms terms, Connector connector, AuthenticatedLink.Context common, Scheduler scheduler,
             RandomGenerator random, WatchListener listener) {
         this.terms = terms;
-        this.dialer = dialer;
+        this.connector = connector;
         this.common = common;
         this.scheduler = scheduler;
         this.listener = listener;
@@ -82,16 +82,16 @@
     }
 
     private void cancelTimers() {
-        List.of(redial, move, nextReport).forEach(timer -> timer.ifPresent(Scheduler.Timer::cancel));
-        redial = Optional.empty();
-        move = Optional.empty();
-        nextReport = Optional.empty();
+        List.of(reconnectTimer, moveTimer, reportTimer).forEach(timer -> timer.ifPresent(Scheduler.Timer::cancel));
+        reconnectTimer = Optional.empty();
+        moveTimer = Optional.empty();
+        reportTimer = Optional.empty();
     }
 
     /** Adds a service to the watch. */
     public void watch(String service) {
         if (services.watch(service)) {
-            askForSnapshots(List.of(service));
+            requestSnapshots(List.of(service));
         }
     }
 
@@ -135,50 +135,50 @@
     /** How far the subscribers below a relay are: sent on when it has changed, once a second at most. */
     public void report(ProgressReport fresh) {
         report = Optional.of(fresh);
-        if (nextReport.isEmpty()) {
+        if (reportTimer.isEmpty()) {
             sendReport();
         }
     }
 
     private void sendReport() {
-        nextReport = Optional.empty();
+        reportTimer = Optional.empty();
         Optional<WatchSession> session = current.filter(WatchSession::isAccepted);
         if (session.isEmpty() || report.isEmpty() || report.equals(sentReport)) {
             return;
         }
         session.get().send(new WatchMessage.Progress(report.get()));
         sentReport = report;
-        nextReport = Optional.of(scheduler.after(REPORT_EVERY, this::sendReport));
+        reportTimer = Optional.of(scheduler.after(REPORT_INTERVAL, this::sendReport));
     }
 
-    private void askForSnapshots(List<String> names) {
+    private void requestSnapshots(List<String> names) {
         List<Interest> interests = names.stream().map(name -> new Interest(name, Revision.NONE, 0)).toList();
         sendToAll(new WatchMessage.Subscribe(services.isEverything(), true, interests, List.of()));
     }
 
     private void sendToAll(WatchMessage.Request request) {
-        List.of(current, candidate).forEach(session -> session.filter(WatchSession::isUp)
+        List.of(current, candidate).forEach(session -> session.filter(WatchSession::isAuthenticated)
                 .ifPresent(one -> one.send(request)));
     }
 
     // ---- connections
 
     private void connect() {
-        redial = Optional.empty();
+        reconnectTimer = Optional.empty();
         if (!isRunning || current.isPresent()) {
             return;
         }
         PublisherSelector.Choice choice = selector.next(scheduler.now());
-        if (choice instanceof PublisherSelector.Dial dial) {
-            current = Optional.of(open(dial.publisher()));
+        if (choice instanceof PublisherSelector.Connect connect) {
+            current = Optional.of(open(connect.publisher()));
         } else {
-            redial = Optional.of(scheduler.after(((PublisherSelector.Wait) choice).delay(), this::connect));
+            reconnectTimer = Optional.of(scheduler.after(((PublisherSelector.Wait) choice).delay(), this::connect));
         }
     }
 
     private WatchSession open(PublisherAddress publisher) {
         WatchSession session = new WatchSession(publisher, common, scheduler, terms.silentAfter(), tally, connections);
-        dialer.connect(publisher.address(), DIAL_TIMEOUT, session.link());
+        connector.connect(publisher.address(), CONNECT_TIMEOUT, session.link());
         return session;
     }
 
@@ -190,7 +190,7 @@
         return candidate.filter(one -> one == session).isPresent();
     }
 
-    private void resume(WatchSession session) {
+    private void sendSubscription(WatchSession session) {
         List<Interest> held = services.interests();
         int from = 0;
         do {
@@ -226,7 +226,7 @@
                 fresh.revision());
         statusChanged(fresh);
         sentReport = Optional.empty();
-        if (nextReport.isEmpty()) {
+        if (reportTimer.isEmpty()) {
             sendReport();
         }
     }
@@ -271,43 +271,43 @@
         if (becameComplete) {
             List<String> withheld = services.takeWithheld();
             if (!withheld.isEmpty()) {
-                askForSnapshots(withheld);
+                requestSnapshots(withheld);
             }
         }
         listener.status(fresh);
-        planMove();
+        scheduleMove();
     }
 
-    private void planMove() {
-        boolean isContent = publisher().filter(selector::isPreferred).isPresent()
+    private void scheduleMove() {
+        boolean isOnReliablePreferred = publisher().filter(selector::isPreferred).isPresent()
                 && status.filter(WatchClient::isReliable).isPresent();
-        if (isContent) {
+        if (isOnReliablePreferred) {
             cancelMove();
-        } else if (move.isEmpty() && candidate.isEmpty()) {
-            move = Optional.of(scheduler.after(selector.returnDelay(), this::tryBetter));
+        } else if (moveTimer.isEmpty() && candidate.isEmpty()) {
+            moveTimer = Optional.of(scheduler.after(selector.returnDelay(), this::tryBetterPublisher));
         }
     }
 
     private void cancelMove() {
-        move.ifPresent(Scheduler.Timer::cancel);
-        move = Optional.empty();
+        moveTimer.ifPresent(Scheduler.Timer::cancel);
+        moveTimer = Optional.empty();
     }
 
-    private void tryBetter() {
-        move = Optional.empty();
+    private void tryBetterPublisher() {
+        moveTimer = Optional.empty();
         if (publisher().isEmpty()) {
             return;   // planned again once a publisher has accepted
         }
         boolean isReliable = status.filter(WatchClient::isReliable).isPresent();
         candidate = selector.better(publisher().get(), isReliable, scheduler.now()).map(this::open);
         if (candidate.isEmpty()) {
-            planMove();
+            scheduleMove();
         }
     }
 
     // ---- what the publisher tells
 
-    private void told(WatchSession session, WatchMessage.Response response) {
+    private void process(WatchSession session, WatchMessage.Response response) {
         if (response instanceof WatchMessage.Update update) {
             update.changes().forEach(change -> apply(session, change));
             session.send(new WatchMessage.Acknowledge(update.batch(), services.inForce()));
@@ -325,7 +325,7 @@
     private void apply(WatchSession session, ServiceChange change) {
         boolean isComplete = status.filter(PublisherStatus::complete).isPresent();
         switch (services.apply(change, isComplete)) {
-            case ASK_FOR_SNAPSHOT -> askForSnapshots(List.of(change.service()));
+            case REQUEST_SNAPSHOT -> requestSnapshots(List.of(change.service()));
             case UNUSABLE_PUBLISHER -> throw new BadInput("a snapshot of '" + change.service()
                     + "' that differs from its digest");
             case DONE -> {}
@@ -338,7 +338,7 @@
         @Override
         public void connected(WatchSession session) {
             if (isCurrent(session) || isCandidate(session)) {
-                resume(session);
+                sendSubscription(session);
             } else {
                 session.end(CloseReason.SHUTDOWN);
             }
@@ -356,7 +356,7 @@
             } else if (!session.isAccepted()) {
                 throw new BadInput("content of a publisher that has not accepted the watch");
             } else {
-                told(session, response);
+                process(session, response);
             }
         }
 
@@ -372,7 +372,7 @@
                 lost(session, end);
             } else {
                 candidate = Optional.empty();
-                planMove();
+                scheduleMove();
             }
         }
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchCodec.java
@@ -37,7 +37,7 @@
     private static final int STATUS = 8;
 
     /** Guards sums of times against overflow. */
-    private static final Duration LONGEST_DURATION = Duration.ofDays(3_650);
+    private static final Duration MAX_DURATION = Duration.ofDays(3_650);
 
     private WatchCodec() {}
 
@@ -166,7 +166,7 @@
     }
 
     private static Duration duration(MessageUnpacker unpacker) throws IOException {
-        return Duration.ofMillis(WatchFields.count(unpacker, LONGEST_DURATION.toMillis()));
+        return Duration.ofMillis(WatchFields.count(unpacker, MAX_DURATION.toMillis()));
     }
 
     private static void write(MessagePacker packer, ProgressReport report) throws IOException {
@@ -181,10 +181,10 @@
     }
 
     private static ProgressReport report(MessageUnpacker unpacker) throws IOException {
-        List<ProgressReport.Level> levels = WatchFields.list(unpacker, ProgressReport.MOST_LEVELS,
+        List<ProgressReport.Level> levels = WatchFields.list(unpacker, ProgressReport.MAX_LEVELS,
                 from -> new ProgressReport.Level(WatchFields.revision(from), WatchFields.count(from, Integer.MAX_VALUE)));
-        List<ProgressReport.Slow> slowest = WatchFields.list(unpacker, ProgressReport.MOST_SLOWEST,
-                from -> new ProgressReport.Slow(WatchFields.name(from), WatchFields.revision(from)));
+        List<ProgressReport.SlowController> slowest = WatchFields.list(unpacker, ProgressReport.MAX_SLOWEST,
+                from -> new ProgressReport.SlowController(WatchFields.name(from), WatchFields.revision(from)));
         return new ProgressReport(levels, slowest);
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/WatchFields.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchFields.java
@@ -13,9 +13,9 @@
 final class WatchFields {
 
     /** Guards memory against lengths that no fleet has. */
-    private static final int MOST_ITEMS = 1 << 20;
+    private static final int MAX_ITEMS = 1 << 20;
     /** As in the opening of a connection. */
-    private static final int LONGEST_SUBSCRIBER = 255;
+    private static final int MAX_SUBSCRIBER_NAME_BYTES = 255;
 
     private WatchFields() {}
 
@@ -37,13 +37,13 @@
     }
 
     static <T> List<T> list(MessageUnpacker unpacker, ItemReader<T> reader) throws IOException {
-        return list(unpacker, MOST_ITEMS, reader);
+        return list(unpacker, MAX_ITEMS, reader);
     }
 
     /** The list grows as its items are read: a length alone takes no memory. */
-    static <T> List<T> list(MessageUnpacker unpacker, int most, ItemReader<T> reader) throws IOException {
+    static <T> List<T> list(MessageUnpacker unpacker, int maxItems, ItemReader<T> reader) throws IOException {
         int size = unpacker.unpackArrayHeader();
-        if (size > most) {
+        if (size > maxItems) {
             throw new BadInput(size + " items");
         }
         List<T> items = new ArrayList<>();
@@ -67,9 +67,9 @@
     }
 
     /** A number from 0 to a bound. */
-    static long count(MessageUnpacker unpacker, long most) throws IOException {
+    static long count(MessageUnpacker unpacker, long max) throws IOException {
         long count = unpacker.unpackLong();
-        if (count < 0 || count > most) {
+        if (count < 0 || count > max) {
             throw new BadInput("the number " + count);
         }
         return count;
@@ -81,13 +81,13 @@
 
     /** A subscriber's name. */
     static String name(MessageUnpacker unpacker) throws IOException {
-        return text(unpacker, LONGEST_SUBSCRIBER);
+        return text(unpacker, MAX_SUBSCRIBER_NAME_BYTES);
     }
 
-    private static String text(MessageUnpacker unpacker, int longest) throws IOException {
+    private static String text(MessageUnpacker unpacker, int maxBytes) throws IOException {
         String text = unpacker.unpackString();
         int length = text.getBytes(StandardCharsets.UTF_8).length;
-        if (length == 0 || length > longest) {
+        if (length == 0 || length > maxBytes) {
             throw new BadInput("a name of " + length + " bytes");
         }
         return text;
--- a/discovery/src/main/java/pathlane/discovery/WatchSession.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchSession.java
@@ -25,25 +25,25 @@
         void ended(WatchSession session, CloseReason end);
     }
 
-    private static final Duration LEAST_CHECK = Duration.ofMillis(10);
+    private static final Duration MIN_CHECK_DELAY = Duration.ofMillis(10);
 
     private final PublisherAddress publisher;
     private final Scheduler scheduler;
-    private final Duration silentAfter;
+    private final Duration silenceTimeout;
     private final WatchCounters.Tally tally;
     private final Owner owner;
     private final AuthenticatedLink link;
     private Instant lastReceived;
-    private Scheduler.Timer silence;
-    private boolean accepted;
-    private boolean refused;
-    private boolean ended;
+    private Scheduler.Timer silenceTimer;
+    private boolean isAccepted;
+    private boolean isRefused;
+    private boolean isEnded;
 
-    WatchSession(PublisherAddress publisher, AuthenticatedLink.Context common, Scheduler scheduler, Duration silentAfter,
+    WatchSession(PublisherAddress publisher, AuthenticatedLink.Context common, Scheduler scheduler, Duration silenceTimeout,
             WatchCounters.Tally tally, Owner owner) {
         this.publisher = publisher;
         this.scheduler = scheduler;
-        this.silentAfter = silentAfter;
+        this.silenceTimeout = silenceTimeout;
         this.tally = tally;
         this.owner = owner;
         this.link = new AuthenticatedLink(common, true, this);
@@ -57,25 +57,25 @@
         return link;
     }
 
-    boolean isUp() {
+    boolean isAuthenticated() {
         return link.isAuthenticated();
     }
 
     boolean isAccepted() {
-        return accepted;
+        return isAccepted;
     }
 
     void setAccepted() {
-        accepted = true;
+        isAccepted = true;
     }
 
     /** Whether the publisher took the watch not now. */
     boolean wasRefused() {
-        return refused;
+        return isRefused;
     }
 
     void setRefused() {
-        refused = true;
+        isRefused = true;
     }
 
     void send(Request request) {
@@ -83,27 +83,27 @@
     }
 
     /** Ends it; the owner hears of it within this call, however long the connection takes to close. */
-    void end(CloseReason why) {
-        link.close(why);
-        closed(why);
+    void end(CloseReason reason) {
+        link.close(reason);
+        closed(reason);
     }
 
     @Override
-    public void authenticated(AuthenticatedLink up, String name) {
+    public void authenticated(AuthenticatedLink authenticated, String name) {
         lastReceived = scheduler.now();
-        silence = scheduler.after(silentAfter, this::checkSilence);
+        silenceTimer = scheduler.after(silenceTimeout, this::checkSilence);
         owner.connected(this);
     }
 
     /** What was held up by an own stall may have come long since: that time does not count. */
     private void checkSilence() {
         Duration silent = Duration.between(lastReceived, scheduler.now()).minus(scheduler.lag());
-        Duration left = silentAfter.minus(silent);
+        Duration left = silenceTimeout.minus(silent);
         if (left.isZero() || left.isNegative()) {
             end(CloseReason.SILENT);
             return;
         }
-        silence = scheduler.after(left.compareTo(LEAST_CHECK) < 0 ? LEAST_CHECK : left, this::checkSilence);
+        silenceTimer = scheduler.after(left.compareTo(MIN_CHECK_DELAY) < 0 ? MIN_CHECK_DELAY : left, this::checkSilence);
     }
 
     @Override
@@ -119,12 +119,12 @@
 
     @Override
     public void closed(CloseReason end) {
-        if (ended) {
+        if (isEnded) {
             return;
         }
-        ended = true;
-        if (silence != null) {
-            silence.cancel();
+        isEnded = true;
+        if (silenceTimer != null) {
+            silenceTimer.cancel();
         }
         owner.ended(this, end);
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchedServices.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchedServices.java
@@ -14,27 +14,27 @@
 final class WatchedServices {
 
     /** What a change asks of the client. */
-    enum Outcome { DONE, ASK_FOR_SNAPSHOT, UNUSABLE_PUBLISHER }
+    enum Outcome { DONE, REQUEST_SNAPSHOT, UNUSABLE_PUBLISHER }
 
     private static final class Watched {
         final ServiceReplica replica;
         /** Whether the service was asked for whole, and has not come since. */
-        boolean awaited;
-        boolean withheld;
+        boolean isSnapshotAwaited;
+        boolean isWithheld;
 
         Watched(ServiceReplica replica) {
             this.replica = replica;
         }
 
         boolean isBehind() {
-            return replica.isUnknown() || awaited || withheld;
+            return replica.isUnknown() || isSnapshotAwaited || isWithheld;
         }
     }
 
     private final Map<String, Watched> services = new HashMap<>();
     private final WatchListener listener;
     private final WatchCounters.Tally tally;
-    private boolean everything;
+    private boolean isEverything;
     private Revision inForce = Revision.NONE;
     private long epoch = Revision.NONE.epoch();
 
@@ -50,16 +50,16 @@
 
     /** Ends the watch of a service; false where it was not watched. */
     boolean unwatch(String service) {
-        return !everything && services.remove(service) != null;
+        return !isEverything && services.remove(service) != null;
     }
 
     /** All services are watched from now on. */
     void watchEverything() {
-        everything = true;
+        isEverything = true;
     }
 
     boolean isEverything() {
-        return everything;
+        return isEverything;
     }
 
     Optional<ServiceState> state(String service) {
@@ -74,8 +74,8 @@
      * Whether a publisher at this revision has only content of an earlier start of the source than some that is in force.
      * Asked when it accepts the watch: later it may send services of the new start before it holds all of them.
      */
-    boolean isOutdated(Revision publishers) {
-        return publishers.epoch() < epoch;
+    boolean isOutdated(Revision publisherRevision) {
+        return publisherRevision.epoch() < epoch;
     }
 
     /** What is held of each service, to be told to a publisher. */
@@ -86,40 +86,40 @@
     /** Another publisher has been told what is held, and sends what is missing: nothing of the former's is awaited. */
     void resumed() {
         services.values().forEach(watched -> {
-            watched.awaited = false;
-            watched.withheld = false;
+            watched.isSnapshotAwaited = false;
+            watched.isWithheld = false;
         });
     }
 
     /** Services whose content was not believed, and can be asked for again since the publisher is complete by now. */
     List<String> takeWithheld() {
-        List<String> again = new ArrayList<>();
-        services.values().stream().filter(watched -> watched.withheld).forEach(watched -> {
-            watched.withheld = false;
-            watched.awaited = true;
-            again.add(watched.replica.service());
+        List<String> names = new ArrayList<>();
+        services.values().stream().filter(watched -> watched.isWithheld).forEach(watched -> {
+            watched.isWithheld = false;
+            watched.isSnapshotAwaited = true;
+            names.add(watched.replica.service());
         });
-        return again;
+        return names;
     }
 
     /** Applies a change of the current publisher. */
-    Outcome apply(ServiceChange change, boolean publisherIsComplete) {
+    Outcome apply(ServiceChange change, boolean isPublisherComplete) {
         count(change);
-        Optional<Watched> target = target(change.service());
+        Optional<Watched> target = findTarget(change.service());
         if (target.isEmpty()) {
             return Outcome.DONE;
         }
         Watched watched = target.get();
-        ServiceReplica.Result result = watched.replica.apply(change, publisherIsComplete);
+        ServiceReplica.Result result = watched.replica.apply(change, isPublisherComplete);
         if (result instanceof ServiceReplica.Applied) {
             applied(watched, change);
         } else if (result instanceof ServiceReplica.NeedsSnapshot) {
-            return gap(watched, change, publisherIsComplete);
+            return handleGap(watched, change, isPublisherComplete);
         } else if (result instanceof ServiceReplica.Withheld) {
             tally.withheld++;
-            watched.withheld = true;
+            watched.isWithheld = true;
         } else if (!(change instanceof ServiceChange.Delta)) {
-            watched.awaited = false;   // the publisher is not ahead of what is in force
+            watched.isSnapshotAwaited = false;   // the publisher is not ahead of what is in force
         }
         return Outcome.DONE;
     }
@@ -133,31 +133,31 @@
     }
 
     /** A service that comes up while everything is watched did not exist at the revision in force. */
-    private Optional<Watched> target(String service) {
-        if (everything) {
+    private Optional<Watched> findTarget(String service) {
+        if (isEverything) {
             return Optional.of(services.computeIfAbsent(service, name -> new Watched(new ServiceReplica(name, inForce))));
         }
         return Optional.ofNullable(services.get(service));
     }
 
     private void applied(Watched watched, ServiceChange change) {
-        watched.awaited = false;
-        watched.withheld = false;
+        watched.isSnapshotAwaited = false;
+        watched.isWithheld = false;
         epoch = Math.max(epoch, change.revision().epoch());
         watched.replica.state().ifPresentOrElse(state -> listener.changed(state, change),
                 () -> listener.absent(change.service(), change.revision()));
     }
 
-    private Outcome gap(Watched watched, ServiceChange change, boolean publisherIsComplete) {
+    private Outcome handleGap(Watched watched, ServiceChange change, boolean isPublisherComplete) {
         tally.gaps++;
         if (change instanceof ServiceChange.Snapshot) {
             return Outcome.UNUSABLE_PUBLISHER;   // asking again would bring the same
         }
-        if (watched.awaited || watched.withheld && !publisherIsComplete) {
+        if (watched.isSnapshotAwaited || watched.isWithheld && !isPublisherComplete) {
             return Outcome.DONE;
         }
-        watched.awaited = true;
-        return Outcome.ASK_FOR_SNAPSHOT;
+        watched.isSnapshotAwaited = true;
+        return Outcome.REQUEST_SNAPSHOT;
     }
 
     /** Everything up to this revision was sent by a complete publisher. */
@@ -167,7 +167,7 @@
         }
         inForce = revision;
         epoch = Math.max(epoch, revision.epoch());
-        if (everything) {
+        if (isEverything) {
             // What is absent at the revision in force needs no replica of its own any more.
             services.values().removeIf(watched -> watched.replica.state().isEmpty()
                     && !watched.replica.revision().isAfter(revision));
--- a/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
+++ b/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
@@ -142,7 +142,7 @@
         List<Revision> advanced = new ArrayList<>();
         relay.addListener(new CatalogueListener() {
             @Override
-            public void changed(String service, Revision revision, boolean takesAway) {}
+            public void changed(String service, Revision revision, boolean removesOrDrains) {}
 
             @Override
             public void advanced(Revision revision) {
--- a/discovery/src/test/java/pathlane/discovery/ProgressTest.java
+++ b/discovery/src/test/java/pathlane/discovery/ProgressTest.java
@@ -38,12 +38,12 @@
             table.putController(session, "c" + i, revision(i < 30 ? i : 29));
         }
         ProgressReport report = table.report(revision(29));
-        assertEquals(ProgressReport.MOST_LEVELS, report.levels().size());
+        assertEquals(ProgressReport.MAX_LEVELS, report.levels().size());
         assertEquals(new ProgressReport.Level(revision(0), 1), report.levels().get(0), "the lowest is exact");
         assertEquals(40, report.levels().stream().mapToLong(ProgressReport.Level::controllers).sum());
         assertEquals(new ProgressReport.Level(revision(29), 11), report.levels().get(15), "large levels stay apart");
         assertEquals(List.of("c0", "c1", "c2", "c3", "c4", "c5", "c6", "c7"),
-                report.slowest().stream().map(ProgressReport.Slow::name).toList());
+                report.slowest().stream().map(ProgressReport.SlowController::name).toList());
     }
 
     @Test
--- a/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
@@ -169,13 +169,13 @@
         }
 
         @Override
-        public boolean isStuck() {
+        public boolean isBlocked() {
             return stuck;
         }
 
         @Override
-        public void close(CloseReason why) {
-            end = why;
+        public void close(CloseReason reason) {
+            end = reason;
             session.closed();
         }
     }
--- a/discovery/src/test/java/pathlane/discovery/PublisherLinkTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherLinkTest.java
@@ -36,8 +36,8 @@
                 }
 
                 @Override
-                public void closed(CloseReason why) {
-                    end = why;
+                public void closed(CloseReason reason) {
+                    end = reason;
                 }
             });
 
--- a/discovery/src/test/java/pathlane/discovery/PublisherSelectorTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherSelectorTest.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import pathlane.discovery.PublisherSelector.Dial;
+import pathlane.discovery.PublisherSelector.Connect;
 import pathlane.discovery.PublisherSelector.Wait;
 import pathlane.discovery.WatchTerms.PublisherAddress;
 
@@ -44,7 +44,7 @@
     }
 
     private static String name(PublisherSelector.Choice choice) {
-        return assertInstanceOf(Dial.class, choice).publisher().name();
+        return assertInstanceOf(Connect.class, choice).publisher().name();
     }
 
     @Test
--- a/discovery/src/test/java/pathlane/discovery/PublisherTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -293,11 +293,11 @@
         Subscriber relay = harness.subscriber("r").subscribe(true);
         relay.say(new Progress(new ProgressReport(List.of(new ProgressReport.Level(behind, 1),
                 new ProgressReport.Level(harness.catalogue.revision(), 7)),
-                List.of(new ProgressReport.Slow("c9", behind)))));
+                List.of(new ProgressReport.SlowController("c9", behind)))));
         relay.say(new Acknowledge(1, harness.catalogue.revision()));
         assertEquals(new ProgressReport(List.of(new ProgressReport.Level(behind, 1),
                 new ProgressReport.Level(harness.catalogue.revision(), 8)),
-                List.of(new ProgressReport.Slow("c9", behind))), harness.publisher.progress());
+                List.of(new ProgressReport.SlowController("c9", behind))), harness.publisher.progress());
         relay.disconnect();
         assertEquals(List.of(new ProgressReport.Level(harness.catalogue.revision(), 1)),
                 harness.publisher.progress().levels());
--- a/discovery/src/test/java/pathlane/discovery/Samples.java
+++ b/discovery/src/test/java/pathlane/discovery/Samples.java
@@ -17,8 +17,8 @@
 
     private Samples() {}
 
-    static ServerEndpoint endpoint(long id, ServerStatus mode) {
-        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", 1000 + (int) id), mode, 1, 1, Instant.EPOCH);
+    static ServerEndpoint endpoint(long id, ServerStatus status) {
+        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", 1000 + (int) id), status, 1, 1, Instant.EPOCH);
     }
 
     static ServerEndpoint endpoint(long id) {
@@ -49,7 +49,7 @@
     /** The delta that removes endpoints from a state. */
     static ServiceChange.Delta removing(ServiceState before, Revision revision, Long... ids) {
         List<Long> removed = Arrays.asList(ids);
-        List<ServerEndpoint> after = before.endpoints().stream().filter(line -> !removed.contains(line.id())).toList();
+        List<ServerEndpoint> after = before.endpoints().stream().filter(endpoint -> !removed.contains(endpoint.id())).toList();
         return new ServiceChange.Delta(SERVICE, before.revision(), revision, ServiceDigest.of(after, ""), List.of(),
                 removed, Optional.empty());
     }
--- a/discovery/src/test/java/pathlane/discovery/UpdateEncoderTest.java
+++ b/discovery/src/test/java/pathlane/discovery/UpdateEncoderTest.java
@@ -16,12 +16,12 @@
         catalogue.begin(1);
         for (int i = 0; i < 10; i++) {
             catalogue.replace("s" + i, List.of(), "x".repeat(1_000));
-            encoder.change("s" + i, Held.NOTHING);
-            encoder.change("s0", Held.NOTHING);
+            encoder.change("s" + i, HeldVersion.NOTHING);
+            encoder.change("s0", HeldVersion.NOTHING);
             assertTrue(encoder.cachedBytes() <= 3_500, encoder.cachedBytes() + " bytes");
         }
         assertEquals(10, metrics.snapshotsEncoded, "s0 is used all the time and stays");
-        encoder.change("s1", Held.NOTHING);
+        encoder.change("s1", HeldVersion.NOTHING);
         assertEquals(11, metrics.snapshotsEncoded);
         for (int i = 0; i < 10; i++) {
             encoder.invalidate("s" + i);
--- a/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
+++ b/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
@@ -83,15 +83,15 @@
         }
 
         @Override
-        public void close(CloseReason why) {
-            ended(why);
+        public void close(CloseReason reason) {
+            ended(reason);
             time.after(LATENCY, () -> other.ended(CloseReason.CLOSED_BY_PEER));
         }
 
-        private void ended(CloseReason why) {
+        private void ended(CloseReason reason) {
             if (open) {
                 open = false;
-                time.after(Duration.ZERO, () -> protocol.closed(why));
+                time.after(Duration.ZERO, () -> protocol.closed(reason));
             }
         }
 
--- a/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
+++ b/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
@@ -50,7 +50,7 @@
             new Subscribe(true, false, List.of(new Interest("a", REVISION, Long.MIN_VALUE)), List.of("b", "c")),
             new Acknowledge(4, REVISION),
             new Progress(new ProgressReport(List.of(new ProgressReport.Level(REVISION, 26_000)),
-                    List.of(new ProgressReport.Slow("c", Revision.NONE)))),
+                    List.of(new ProgressReport.SlowController("c", Revision.NONE)))),
             new Accepted(STATUS), new Refused(Duration.ofMillis(250)),
             new Update(2, List.of(SNAPSHOT, DELTA, SMALL_DELTA, new Absent("d", REVISION))),
             new Bookmark(REVISION), new Status(STATUS));
