--- a/discovery/src/main/java/pathlane/discovery/Catalogue.java
+++ b/discovery/src/main/java/pathlane/discovery/Catalogue.java
@@ -11,13 +11,15 @@
 import pathlane.core.ServerEndpoint;
 
 /**
- * The services that a publisher can tell of, under a revision that only grows, with a bounded history of changes. The source
- * writes one and numbers its changes; a relay fills one with the content and the revisions of its upstream. On the loop's
- * thread.
+ * The services that a publisher distributes, under a monotonically increasing revision, with a bounded history of changes.
+ * The source writes its catalogue and numbers the changes; a relay fills its catalogue with the content and revisions of
+ * its upstream. Not thread-safe: used on the event loop's thread.
  */
 public final class Catalogue {
 
-    /** Services that have gone whose revision of removal is kept; older ones are absent at the catalogue's revision. */
+    /**
+     * How many removed services keep their revision of removal; older ones count as absent at the catalogue's revision.
+     */
     private static final int MAX_REMOVED_SERVICES = 8_192;
 
     private final Map<String, CatalogueEntry> entries = new LinkedHashMap<>();
@@ -27,26 +29,26 @@
     private Revision revision = Revision.NONE;
     private boolean isComplete;
 
-    /** {@code historyChanges} bounds the changes and changed endpoints that are kept for deltas. */
+    /** {@code historyChanges} limits the changes and changed endpoints kept for deltas. */
     public Catalogue(int historyChanges) {
         history = new ChangeHistory(historyChanges);
     }
 
-    /** Has a listener told of all that follows. */
+    /** Registers a listener for all later events. */
     public void addListener(CatalogueListener listener) {
         listeners.add(listener);
     }
 
-    // ---- at the source
+    // ---- used by the source
 
     /**
-     * Begins a new epoch; whatever is in the catalogue stays.
+     * Starts a new epoch; the content is kept.
      *
-     * @throws IllegalArgumentException where it is not greater than the one before
+     * @throws IllegalArgumentException if it is not greater than the previous one
      */
     public void begin(long epoch) {
         if (epoch <= revision.epoch()) {
-            throw new IllegalArgumentException("epoch " + epoch + " does not come after " + revision.epoch());
+            throw new IllegalArgumentException("epoch " + epoch + " is not greater than " + revision.epoch());
         }
         revision = new Revision(epoch, 0);
     }
@@ -54,10 +56,10 @@
     /**
      * Changes a service, or adds it.
      *
-     * @param upserted endpoints that are new or differ; one that is gone counts as removed
-     * @param configuration the new configuration, or empty to leave it as it is
-     * @return the service's revision; that from before where nothing differs
-     * @throws IllegalArgumentException where something is beyond {@link CatalogueLimits}; nothing has changed then
+     * @param upserted new or changed endpoints; one with status GONE is removed
+     * @param configuration the new configuration, or empty to keep the current one
+     * @return the service's revision; unchanged if nothing differs
+     * @throws IllegalArgumentException if a limit of {@link CatalogueLimits} is exceeded; nothing is changed then
      */
     public Revision update(String service, List<ServerEndpoint> upserted, List<Long> removedIds,
             Optional<String> configuration) {
@@ -81,12 +83,12 @@
         return revision;
     }
 
-    /** Makes this a service's whole content; the difference is worked out. Otherwise as {@link #update}. */
+    /** Replaces a service's complete content by computing the difference. Otherwise as {@link #update}. */
     public Revision replace(String service, List<ServerEndpoint> endpoints, String configuration) {
         return update(service, endpoints, missingIds(service, endpoints), Optional.of(configuration));
     }
 
-    /** Removes a service. Returns the revision of its removal, or the catalogue's where there is none of this name. */
+    /** Removes a service. Returns the revision of its removal, or the catalogue's revision if there is no such service. */
     public Revision remove(String service) {
         if (!entries.containsKey(service)) {
             return revision;
@@ -97,9 +99,12 @@
         return revision;
     }
 
-    // ---- at a relay
+    // ---- used by relays
 
-    /** A service's state came from the upstream, by this change. One that is not newer than what is held is passed over. */
+    /**
+     * Applies a service's state received from the upstream, together with the change that led to it. Ignored unless it is
+     * newer than the state held.
+     */
     public void apply(ServiceState state, ServiceChange change) {
         String service = state.service();
         if (!state.revision().isAfter(lastRevision(service))) {
@@ -119,14 +124,14 @@
         recordChange(entry, difference, state.revision());
     }
 
-    /** The upstream has no such service at this revision. */
+    /** Records that the upstream has no such service at this revision. */
     public void applyAbsent(String service, Revision at) {
         if (at.isAfter(lastRevision(service))) {
             removeEntry(service, at);
         }
     }
 
-    /** Everything of the upstream's up to this revision is held. */
+    /** Records that all changes of the upstream up to this revision have been received. */
     public void advance(Revision to) {
         if (to.isAfter(revision)) {
             revision = to;
@@ -134,9 +139,9 @@
         }
     }
 
-    // ---- at both
+    // ---- used by both
 
-    /** The whole catalogue is held from now on: what it lacks does not exist. */
+    /** Marks the catalogue as complete: services missing from it do not exist. */
     public void complete() {
         if (!isComplete) {
             isComplete = true;
@@ -148,7 +153,7 @@
         return isComplete;
     }
 
-    /** Everything up to this revision is held; single services may be further. */
+    /** All changes up to this revision are held; single services may be newer. */
     public Revision revision() {
         return revision;
     }
@@ -162,23 +167,23 @@
         return List.copyOf(entries.keySet());
     }
 
-    /** The revision at which a service that the catalogue lacks is known to be absent. */
+    /** The revision at which a service missing from the catalogue is known to be absent. */
     Revision absentSince(String service) {
         return removed.getOrDefault(service, revision);
     }
 
-    /** Services that are known to have gone after the revision up to which everything is held. */
+    /** Services known to be removed after the catalogue's revision. */
     List<String> removedSinceRevision() {
         return removed.entrySet().stream().filter(service -> service.getValue().isAfter(revision))
                 .map(Map.Entry::getKey).toList();
     }
 
-    /** The entry of a service, or null where there is none. */
+    /** The entry of a service, or null if there is none. */
     CatalogueEntry entry(String service) {
         return entries.get(service);
     }
 
-    /** Everything that has changed in a service since it was at a revision; empty where that is too long ago. */
+    /** All changes of a service since a revision, as one delta; empty if the history does not reach back that far. */
     Optional<ServiceChange.Delta> deltaSince(CatalogueEntry entry, Revision from) {
         return history.since(entry.service(), from).map(changedParts -> delta(entry, from, changedParts));
     }
@@ -194,7 +199,8 @@
                 upserted.add(endpoint);
             }
         }
-        Optional<String> configuration = changedParts.configuration() ? Optional.of(entry.configuration()) : Optional.empty();
+        Optional<String> configuration =
+                changedParts.configuration() ? Optional.of(entry.configuration()) : Optional.empty();
         return new ServiceChange.Delta(entry.service(), from, entry.revision(), entry.digest(), upserted, removedIds,
                 configuration);
     }
@@ -204,7 +210,7 @@
         entries.put(entry.service(), entry);
     }
 
-    /** The ids that a service has and a new list of its endpoints has not. */
+    /** The ids of a service's endpoints that a new list of endpoints does not contain. */
     private List<Long> missingIds(String service, Collection<ServerEndpoint> endpoints) {
         CatalogueEntry entry = entries.get(service);
         if (entry == null) {
--- a/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
@@ -9,13 +9,16 @@
 import pathlane.core.ServerEndpoint;
 import pathlane.decision.ServerStatus;
 
-/** One service of a {@link Catalogue}, changed in place so that a change of one endpoint costs that endpoint. */
+/**
+ * One service of a {@link Catalogue}. It is changed in place, so that the cost of a change is proportional to the
+ * endpoints changed.
+ */
 final class CatalogueEntry {
 
     /**
-     * What a difference touched.
+     * The parts of a service that differ after a change.
      *
-     * @param removesOrDrains whether an endpoint is gone, or has begun to drain
+     * @param removesOrDrains whether an endpoint was removed or started draining
      */
     record Difference(Set<Long> endpoints, boolean configuration, boolean removesOrDrains) {
         boolean isEmpty() {
@@ -28,7 +31,7 @@
     private String configuration = "";
     private long digest = ServiceDigest.of(List.of(), "");
     private HeldVersion held = HeldVersion.NOTHING;
-    /** Made when it is asked for, and kept until the next change. */
+    /** Computed on demand and cached until the next change. */
     private ServiceState state;
 
     CatalogueEntry(String service) {
@@ -43,7 +46,7 @@
         return held.revision();
     }
 
-    /** What a subscriber holds that has been sent the whole of this; one object for all of them. */
+    /** The version that a subscriber holds after receiving this entry completely; one object shared by all subscribers. */
     HeldVersion held() {
         return held;
     }
@@ -56,7 +59,7 @@
         return configuration;
     }
 
-    /** How many endpoints there would be after a change. */
+    /** The number of endpoints after a change. */
     int sizeAfter(List<ServerEndpoint> upserted, List<Long> removed) {
         Set<Long> added = new HashSet<>();
         for (ServerEndpoint endpoint : upserted) {
@@ -77,7 +80,7 @@
         return new ArrayList<>(endpoints.keySet());
     }
 
-    /** Puts a change in; an endpoint that is upserted as gone counts as removed. */
+    /** Applies a change; an upserted endpoint with status GONE is removed. */
     Difference change(List<ServerEndpoint> upserted, List<Long> removed, String newConfiguration) {
         Set<Long> touched = new HashSet<>();
         boolean removesOrDrains = false;
@@ -99,7 +102,7 @@
         return new Difference(touched, configured, removesOrDrains);
     }
 
-    /** Whether the endpoint begins to drain with this. */
+    /** Adds or replaces an endpoint. Returns whether it starts draining. */
     private boolean upsert(ServerEndpoint endpoint, Set<Long> touched) {
         ServerEndpoint former = endpoints.put(endpoint.id(), endpoint);
         if (endpoint.equals(former)) {
@@ -123,7 +126,7 @@
         return true;
     }
 
-    /** The content is that of this revision now. */
+    /** Sets the revision of the current content. */
     void setRevision(Revision revision) {
         held = new HeldVersion(revision, digest);
         state = null;
--- a/discovery/src/main/java/pathlane/discovery/CatalogueListener.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueListener.java
@@ -1,19 +1,19 @@
 package pathlane.discovery;
 
-/** Is told what happens to a {@link Catalogue}, within the call that brings it about. */
+/** Receives the events of a {@link Catalogue}, within the call that causes them. */
 public interface CatalogueListener {
 
     /**
-     * A service has changed, has come or has gone.
+     * A service was changed, added or removed.
      *
-     * @param revision the revision at which it did
-     * @param removesOrDrains whether an endpoint was removed or began to drain: such changes are passed on before others
+     * @param revision the revision of the change
+     * @param removesOrDrains whether an endpoint was removed or started draining: such changes are forwarded before others
      */
     void changed(String service, Revision revision, boolean removesOrDrains);
 
-    /** Everything up to this revision is held. Follows {@link #changed} at the source, a bookmark at a relay. */
+    /** All changes up to this revision are held. Follows {@link #changed} at the source, a bookmark at a relay. */
     default void advanced(Revision revision) {}
 
-    /** The whole catalogue is held from now on. */
+    /** The catalogue has become complete. */
     default void completed() {}
 }
--- a/discovery/src/main/java/pathlane/discovery/ChangeHistory.java
+++ b/discovery/src/main/java/pathlane/discovery/ChangeHistory.java
@@ -10,20 +10,19 @@
 import java.util.TreeSet;
 
 /**
- * The latest changes of all services of a catalogue, as far as a bound allows, so that a subscriber that is a little behind
- * gets a delta in place of a snapshot. Only the ids of what changed are kept: a delta is made up of the content as it is
- * now.
+ * The latest changes of all services of a catalogue, up to a limit, so that a subscriber slightly behind receives a delta
+ * instead of a snapshot. Only the ids of changed endpoints are kept: a delta is built from the current content.
  */
 final class ChangeHistory {
 
     /**
-     * Which parts of a service a change touched.
+     * Which parts of a service one change affected.
      *
      * @param from the service's revision before the change
      */
     record Step(Revision from, Set<Long> endpoints, boolean configuration) {
 
-        /** What it counts for in the bound: an id each, and the change itself. */
+        /** The change's weight towards the limit: one, plus one for each changed endpoint. */
         int weight() {
             return 1 + endpoints.size();
         }
@@ -33,18 +32,18 @@
     record ChangedParts(Set<Long> endpoints, boolean configuration) {}
 
     private final int maxWeight;
-    /** Of each service the steps that are kept, oldest first; each one begins where the one before it ends. */
+    /** The steps kept per service, oldest first; each one starts at the revision at which the previous one ended. */
     private final Map<String, Deque<Step>> steps = new HashMap<>();
-    /** The service of each step that is kept, oldest first. */
+    /** The service of each step kept, oldest first. */
     private final Deque<String> order = new ArrayDeque<>();
     private int weight;
 
-    /** {@code most} bounds the number of changes and changed endpoints together. */
+    /** {@code maxWeight} limits the number of changes plus the number of changed endpoints. */
     ChangeHistory(int maxWeight) {
         this.maxWeight = maxWeight;
     }
 
-    /** A service changed; the step must begin at the revision at which the service's last one ended. */
+    /** Adds a change of a service; it must start at the revision at which the service's previous step ended. */
     void add(String service, Step step) {
         steps.computeIfAbsent(service, key -> new ArrayDeque<>()).add(step);
         order.add(service);
@@ -54,7 +53,7 @@
         }
     }
 
-    /** Whatever came before is of no use for a service any more: it has gone, or was put in place without a difference. */
+    /** Drops all steps of a service, because it was removed or was replaced without a known difference. */
     void forget(String service) {
         Deque<Step> forgotten = steps.remove(service);
         if (forgotten == null) {
@@ -73,7 +72,7 @@
         }
     }
 
-    /** What has changed in a service since a revision that it had; empty where the history does not reach back so far. */
+    /** The parts of a service changed since one of its revisions; empty if the history does not reach back that far. */
     Optional<ChangedParts> since(String service, Revision from) {
         Deque<Step> kept = steps.get(service);
         if (kept == null) {
@@ -81,7 +80,7 @@
         }
         Set<Long> endpoints = new TreeSet<>();
         boolean configuration = false;
-        // Newest first: who asks is most often one change behind.
+        // Newest first: subscribers are usually one change behind.
         for (Iterator<Step> newestFirst = kept.descendingIterator(); newestFirst.hasNext();) {
             Step step = newestFirst.next();
             endpoints.addAll(step.endpoints());
@@ -93,7 +92,7 @@
         return Optional.empty();
     }
 
-    /** What the bound is held against. */
+    /** The total weight, which the limit applies to. */
     int weight() {
         return weight;
     }
--- a/discovery/src/main/java/pathlane/discovery/EncodedChange.java
+++ b/discovery/src/main/java/pathlane/discovery/EncodedChange.java
@@ -1,10 +1,11 @@
 package pathlane.discovery;
 
 /**
- * A change as it is sent, shared by all subscribers that need the same one.
+ * An encoded change, shared by all subscribers that need it.
  *
- * @param held what a subscriber holds once it has applied it
- * @param removesOrDrains whether it may take an endpoint away or have one drain; such changes are sent before others
+ * @param held the version that a subscriber holds once it has applied the change
+ * @param removesOrDrains whether the change may remove an endpoint or start draining one; such changes are sent before
+ *                        others
  */
 record EncodedChange(Kind kind, byte[] bytes, HeldVersion held, boolean removesOrDrains) {
 
--- a/discovery/src/main/java/pathlane/discovery/HeldVersion.java
+++ b/discovery/src/main/java/pathlane/discovery/HeldVersion.java
@@ -1,13 +1,13 @@
 package pathlane.discovery;
 
 /**
- * What a subscriber holds of a service, as far as its publisher knows.
+ * The version of a service that a subscriber holds, as known to its publisher.
  *
- * @param digest the content's digest; of no meaning at {@link Revision#NONE}
+ * @param digest the content's digest; meaningless at {@link Revision#NONE}
  */
 record HeldVersion(Revision revision, long digest) {
 
-    /** Nothing was ever received. */
+    /** No state was received yet. */
     static final HeldVersion NOTHING = new HeldVersion(Revision.NONE, 0);
 
     boolean isNothing() {
--- a/discovery/src/main/java/pathlane/discovery/InForceTracker.java
+++ b/discovery/src/main/java/pathlane/discovery/InForceTracker.java
@@ -9,17 +9,20 @@
 import java.util.Optional;
 
 /**
- * At the source: how long each change took until the last controller had it in force. Controllers that are connected, to
- * the source or to a relay with a way to it, are counted; others are not known here. On the loop's thread.
+ * Measures at the source how long each change took until the last controller had applied it. Only controllers connected to
+ * the source, or to a relay connected to it, are counted; others are unknown here. Not thread-safe: used on the event
+ * loop's thread.
  */
 public final class InForceTracker {
 
-    /** Revisions that wait for the last controller; the oldest are given up beyond that. */
+    /** Maximum number of revisions not applied everywhere yet; beyond that, the oldest are dropped. */
     private static final int MAX_WAITING = 16_384;
-    /** The latest times that percentiles are taken of. */
+    /** Maximum number of times kept for percentiles. */
     private static final int MAX_TIMES = 16_384;
 
-    /** A revision that every controller has in force, and how long after its commit the last one had. */
+    /**
+     * A revision that every controller has applied, and the time from its commit until the last controller had applied it.
+     */
     public record InForce(Revision revision, Duration after) {}
 
     private record Committed(Revision revision, Instant at) {}
@@ -28,7 +31,7 @@
     private final Deque<Duration> times = new ArrayDeque<>();
     private long givenUp;
 
-    /** A revision was committed; each must come after the one before. */
+    /** Records the commit of a revision; each must be later than the previous one. */
     public void note(Revision revision, Instant committed) {
         waiting.add(new Committed(revision, committed));
         if (waiting.size() > MAX_WAITING) {
@@ -38,8 +41,8 @@
     }
 
     /**
-     * The controllers' progress, now. Returns what is in force everywhere since the last call, oldest first. While there is
-     * no controller, what waits is in force nowhere, and is dropped.
+     * Processes a progress report. Returns the revisions that became applied everywhere since the last call, oldest first.
+     * If there are no controllers, all waiting revisions are dropped.
      */
     public List<InForce> progress(ProgressReport report, Instant now) {
         if (report.levels().isEmpty()) {
@@ -64,35 +67,35 @@
         }
     }
 
-    /** Whether some revision is not known to be in force everywhere. */
+    /** Whether some revision is not known to be applied everywhere. */
     public boolean isWaiting() {
         return !waiting.isEmpty();
     }
 
-    /** Revisions that are not known to be in force everywhere. */
+    /** The number of revisions not known to be applied everywhere. */
     public int waiting() {
         return waiting.size();
     }
 
-    /** Revisions that were given up since too many waited. */
+    /** The number of revisions dropped because too many were waiting. */
     public long givenUp() {
         return givenUp;
     }
 
-    /** The times that percentiles are taken of, at most the latest 16,384. */
+    /** The number of times kept for percentiles, at most the latest 16,384. */
     public int times() {
         return times.size();
     }
 
     /**
-     * The time within which so many of 100 of the latest revisions were in force everywhere (nearest rank); empty where
-     * there was none.
+     * The given percentile (nearest rank) of the times in which the latest revisions were applied everywhere; empty if
+     * there are no times.
      *
      * @param percent above 0, up to 100
      */
     public Optional<Duration> percentile(double percent) {
         if (!(percent > 0 && percent <= 100)) {
-            throw new IllegalArgumentException("percentile " + percent);
+            throw new IllegalArgumentException("invalid percentile " + percent);
         }
         if (times.isEmpty()) {
             return Optional.empty();
--- a/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
+++ b/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
@@ -10,29 +10,30 @@
 import pathlane.core.Scheduler;
 
 /**
- * Which services are watched, by the calls that come: a service is watched from its first call on, and no longer once none
- * has come for a while. What comes before the first state waits for it, within bounds. On the loop's thread.
+ * Watches services on demand: a service is watched from its first call on, and no longer once it has had no calls for a
+ * while. Calls that arrive before the first state wait for it, for a limited time. Not thread-safe: used on the event
+ * loop's thread.
  */
 public final class OnDemandWatches {
 
-    /** How long a call waits for the first state of its service, where its own deadline leaves so much. */
+    /** The longest time that a call waits for the first state of its service; its own deadline may be earlier. */
     public static final Duration MOST_WAIT = Duration.ofSeconds(2);
-    /** What a call is told that has waited in vain; a watch that was refused or lost is up again by then. */
+    /** The retry delay for a call whose wait timed out; by then a rejected or lost watch is usually established again. */
     public static final Duration COME_BACK_AFTER = Duration.ofSeconds(1);
-    /** A service without calls is watched for so long: longer than the pauses of a service that is in use. */
+    /** The time without calls after which a service is no longer watched: longer than the pauses of a service in use. */
     public static final Duration UNUSED_AFTER = Duration.ofMinutes(5);
     private static final Duration CHECK_INTERVAL = Duration.ofMinutes(1);
 
-    /** What follows from the decisions. */
+    /** The operations that this class requests. */
     public interface Actions {
 
-        /** Begins to watch a service; {@link OnDemandWatches#known} follows. */
+        /** Starts to watch a service; {@link OnDemandWatches#known} must be called when its state is known. */
         void watch(String service);
 
         /**
-         * Ends the watch of a service, and forgets what is known of it.
+         * Stops watching a service and drops its state.
          *
-         * @return false where it is needed still
+         * @return false if the service is still needed
          */
         boolean unwatch(String service);
     }
@@ -55,7 +56,10 @@
         this.actions = actions;
     }
 
-    /** A call of a service has come: it is watched from now on. Says whether its state, or its absence, is known. */
+    /**
+     * Records a call for a service, and starts to watch it if necessary. Returns whether the service's state, or its
+     * absence, is known.
+     */
     public boolean use(String service) {
         Watch watch = watches.get(service);
         if (watch == null) {
@@ -69,11 +73,11 @@
     }
 
     /**
-     * Has a call wait for the first state of a service that is in use.
+     * Lets a call wait for the first state of a service in use.
      *
-     * @param maxWait what the call's deadline leaves
-     * @param known run once the state is known
-     * @param unknown told when to come back, where the state is not known in time
+     * @param maxWait the time left until the call's deadline
+     * @param known run when the state is known
+     * @param unknown receives the retry delay if the state is not known in time
      */
     public void await(String service, Duration maxWait, Runnable known, Consumer<Duration> unknown) {
         Watch watch = watches.get(service);
@@ -90,7 +94,7 @@
         waiting.add(new Waiting(known, timeout));
     }
 
-    /** The first or a later state of a service, or its absence, is in force. */
+    /** Notifies that a service's state, or its absence, is known. */
     public void known(String service) {
         Watch watch = watches.get(service);
         if (watch == null || watch.isKnown) {
@@ -103,7 +107,7 @@
         waiting.forEach(one -> one.known.run());
     }
 
-    /** Services that are watched. */
+    /** The number of watched services. */
     public int size() {
         return watches.size();
     }
--- a/discovery/src/main/java/pathlane/discovery/ProgressTable.java
+++ b/discovery/src/main/java/pathlane/discovery/ProgressTable.java
@@ -8,21 +8,23 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How far the controllers below one publisher are: those connected to it, and those that its relays report. */
+/**
+ * The revisions applied by the controllers below one publisher: those connected to it, and those reported by its relays.
+ */
 final class ProgressTable {
 
     private static final Comparator<ProgressReport.SlowController> SLOWEST_FIRST =
             Comparator.comparing(ProgressReport.SlowController::inForce).thenComparing(ProgressReport.SlowController::name);
 
-    /** By subscriber: itself as a report of one controller, or a relay's report. */
+    /** By subscriber: a report of one controller, or a relay's report. */
     private final Map<SubscriberSession, ProgressReport> reports = new LinkedHashMap<>();
 
     /** The latest connection of each subscriber. */
     private final Map<String, SubscriberSession> latest = new HashMap<>();
 
     /**
-     * A watch is accepted. A former connection of the same subscriber, whose end has not been seen yet, counts no more:
-     * nobody is counted twice.
+     * Registers an accepted watch. An earlier connection of the same subscriber whose end has not been noticed yet is
+     * dropped, so that no controller is counted twice.
      */
     void register(SubscriberSession subscriber, String name) {
         SubscriberSession former = latest.put(name, subscriber);
@@ -31,13 +33,13 @@
         }
     }
 
-    /** A subscriber that is a controller has everything up to this revision in force. */
+    /** Records that a directly connected controller has applied all changes up to this revision. */
     void putController(SubscriberSession subscriber, String name, Revision inForce) {
         put(subscriber, name, new ProgressReport(List.of(new ProgressReport.Level(inForce, 1)),
                 List.of(new ProgressReport.SlowController(name, inForce))));
     }
 
-    /** A subscriber that is a relay reports the controllers below it. */
+    /** Records the report of a connected relay. */
     void putRelay(SubscriberSession subscriber, String name, ProgressReport report) {
         put(subscriber, name, report);
     }
@@ -48,13 +50,13 @@
         }
     }
 
-    /** A connection has ended. */
+    /** Removes a closed connection. */
     void remove(SubscriberSession subscriber, String name) {
         reports.remove(subscriber);
         latest.remove(name, subscriber);
     }
 
-    /** All of them together; who has the newest revision in force is not slow. */
+    /** Aggregates all reports; controllers at the newest revision are not listed as slow. */
     ProgressReport report(Revision newest) {
         TreeMap<Revision, Long> levels = new TreeMap<>();
         List<ProgressReport.SlowController> behind = new ArrayList<>();
@@ -69,7 +71,10 @@
                 behind.stream().sorted(SLOWEST_FIRST).limit(ProgressReport.MAX_SLOWEST).toList());
     }
 
-    /** Counts neighbours that are few together at the lower one. The lowest stays exact: it says what all have in force. */
+    /**
+     * Merges adjacent levels with the fewest controllers into the lower one. The lowest level stays exact, because it is
+     * the revision that all controllers have applied.
+     */
     private static void reduce(TreeMap<Revision, Long> levels) {
         while (levels.size() > ProgressReport.MAX_LEVELS) {
             Revision upper = upperOfSmallestNeighbours(levels);
--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -11,28 +11,28 @@
 import pathlane.core.Scheduler;
 
 /**
- * Sends the changes of a catalogue to the subscribers that watch them, each at its own pace, and adds up how far the
- * controllers below are. A change costs the sessions that watch it; a bookmark is encoded once for all sessions. On the
- * loop's thread.
+ * Sends the changes of a catalogue to the subscribers that watch them, each at its own pace, and aggregates which
+ * revisions the controllers below have applied. The cost of a change is proportional to the number of sessions that watch
+ * the service; a bookmark is encoded once for all sessions. Not thread-safe: used on the event loop's thread.
  */
 public final class Publisher {
 
-    /** Ticks in {@link PublisherTerms#bookmarkEvery}; a bookmark may leave earlier by one of them. */
+    /** Ticks per {@link PublisherTerms#bookmarkEvery}; a bookmark may be sent up to one tick early. */
     private static final int TICKS_PER_BOOKMARK = 10;
-    /** What a subscriber that finds no room is told to wait, to which up to half is added. */
+    /** The retry delay for subscribers beyond the limit; a jitter of up to half of it is added. */
     private static final Duration FULL_RETRY_AFTER = Duration.ofSeconds(10);
 
     /** The publisher's side of one connection. */
     public interface Session {
 
         /**
-         * A message came.
+         * Handles a message of the subscriber.
          *
-         * @throws BadInput where it is none, or breaks the protocol; the connection is to be ended
+         * @throws BadInput if the message is malformed or violates the protocol; the caller must close the connection
          */
         void received(byte[] message);
 
-        /** The connection has ended; called once, and last. */
+        /** Handles the end of the connection; called exactly once, as the last call. */
         void closed();
     }
 
@@ -46,11 +46,11 @@
     private final Duration tickInterval;
     private final SubscriberIndex index = new SubscriberIndex();
     private final ProgressTable progress = new ProgressTable();
-    /** All that are open, with those that have not been accepted yet. */
+    /** All open sessions, including those not yet accepted. */
     private final Set<SubscriberSession> sessions = new LinkedHashSet<>();
     private final Set<SubscriberSession> accepted = new LinkedHashSet<>();
     private final Set<SubscriberSession> unresolved = new LinkedHashSet<>();
-    /** Sessions that have something to send at the end of this turn. */
+    /** Sessions that are flushed at the end of this event loop turn. */
     private Set<SubscriberSession> scheduled = new LinkedHashSet<>();
     private boolean isTicking;
     private Instant tickDueAt = Instant.MIN;
@@ -71,7 +71,7 @@
         catalogue.addListener(new ChangeDispatcher());
     }
 
-    /** A connection has come up; what it says goes to the session. */
+    /** Opens a session for a new connection; the connection's messages must be passed to it. */
     public Session open(SubscriberPort port) {
         SubscriberSession session = new SubscriberSession(this, encoder, metrics, terms, port, scheduler.now());
         sessions.add(session);
@@ -82,12 +82,15 @@
         return session;
     }
 
-    /** Ends all connections. */
+    /** Closes all connections. */
     public void close(CloseReason reason) {
         List.copyOf(sessions).forEach(session -> session.end(reason));
     }
 
-    /** At a relay: since when it has lost its way to the source, or that it has one. Subscribers are told. */
+    /**
+     * Sets since when a relay has been disconnected from the source, empty while it is connected. Subscribers are notified
+     * of a change.
+     */
     public void setStaleSince(Optional<Instant> lostAt) {
         if (!staleSince.equals(lostAt)) {
             staleSince = lostAt;
@@ -95,7 +98,7 @@
         }
     }
 
-    /** How far the connected controllers and those below the connected relays are. */
+    /** The revisions applied by the connected controllers and by those below the connected relays. */
     public ProgressReport progress() {
         return progress.report(catalogue.revision());
     }
@@ -104,7 +107,7 @@
         return metrics.counters(accepted.size());
     }
 
-    /** What the publisher says of itself now. */
+    /** The publisher's current status. */
     public PublisherStatus status() {
         Duration staleFor = staleSince.map(since -> Duration.between(since, scheduler.now())).orElse(Duration.ZERO);
         return new PublisherStatus(catalogue.isComplete(), catalogue.revision(),
@@ -125,7 +128,8 @@
         Instant now = scheduler.now();
         Duration late = Duration.between(tickDueAt, now);
         if (late.compareTo(tickInterval) > 0) {
-            // Acknowledgements that came during an own stall have yet to be read: that time counts against nobody.
+            // Acknowledgements that arrived during a stall of this process are not read yet: the stall does not count as
+            // the subscribers' silence.
             sessions.forEach(session -> session.excludeStall(late));
         }
         Duration heartbeatInterval = terms.bookmarkEvery().minus(tickInterval);
@@ -169,13 +173,13 @@
         }
     }
 
-    // ---- for sessions
+    // ---- used by the sessions
 
     Instant now() {
         return scheduler.now();
     }
 
-    /** Takes one more watch, where the result is empty, or says after what time to come back. */
+    /** Admits one more watch and returns empty, or returns the retry delay. */
     Optional<Duration> admit() {
         if (accepted.size() >= terms.subscribers()) {
             return Optional.of(FULL_RETRY_AFTER.plusMillis(random.nextLong(FULL_RETRY_AFTER.toMillis() / 2)));
@@ -188,7 +192,9 @@
         progress.register(session, session.name());
     }
 
-    /** Has a session send at the end of this turn, so that changes of one turn leave together. */
+    /**
+     * Schedules a session's flush for the end of this event loop turn, so that the changes of one turn are sent together.
+     */
     void schedule(SubscriberSession session) {
         if (scheduled.isEmpty()) {
             scheduler.after(Duration.ZERO, this::flush);
@@ -204,7 +210,7 @@
         index.remove(service, session);
     }
 
-    /** A session watches everything from now on, in place of single services. */
+    /** Switches a session from single services to the complete catalogue. */
     void watchEverything(SubscriberSession session, Iterable<String> services) {
         services.forEach(service -> index.remove(service, session));
         index.addEverything(session);
@@ -236,12 +242,12 @@
         return catalogue.services();
     }
 
-    /** Services whose removal the revision of a bookmark does not cover yet. */
+    /** Services that were removed after the catalogue's revision, which a bookmark does not cover yet. */
     List<String> removedSinceRevision() {
         return catalogue.removedSinceRevision();
     }
 
-    /** The catalogue's own copy of a name, so that each subscriber does not keep one. */
+    /** The catalogue's own instance of a name, so that subscribers share it and do not each keep a copy. */
     String sharedName(String service) {
         CatalogueEntry entry = catalogue.entry(service);
         return entry == null ? service : entry.service();
@@ -259,7 +265,7 @@
         return staleSince.isPresent();
     }
 
-    /** A bookmark at the catalogue's revision, encoded once. */
+    /** A bookmark at the catalogue's revision, encoded once per revision. */
     byte[] bookmarkMessage() {
         if (bookmarkMessage.length == 0 || !encodedBookmark.equals(catalogue.revision())) {
             encodedBookmark = catalogue.revision();
@@ -268,7 +274,7 @@
         return bookmarkMessage;
     }
 
-    /** The status as of now, encoded once for all who are told it at the same time. */
+    /** The current status, encoded once for all subscribers that receive it at the same time. */
     byte[] statusMessage() {
         PublisherStatus status = status();
         if (!status.equals(encodedStatus)) {
--- a/discovery/src/main/java/pathlane/discovery/PublisherLink.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherLink.java
@@ -5,8 +5,8 @@
 import pathlane.transport.Protocol;
 
 /**
- * The accepting side of a subscriber's connection: messages of the watch in signed frames, above a publisher. The driver
- * must let wait as many bytes to be written as {@link PublisherTerms#unacknowledgedBytes}, or the largest service if that is
+ * The accepting side of a subscriber's connection: passes the watch's messages between signed frames and a publisher. The
+ * driver's write buffer must hold at least {@link PublisherTerms#unacknowledgedBytes}, or the largest service if that is
  * more.
  */
 public final class PublisherLink implements AuthenticatedLink.Listener {
@@ -18,7 +18,7 @@
         this.publisher = publisher;
     }
 
-    /** The state machine of a connection that was accepted, for the driver that feeds it. */
+    /** The state machine of an accepted connection, for the driver that feeds it. */
     public static Protocol accept(Publisher publisher, AuthenticatedLink.Context common) {
         return new AuthenticatedLink(common, false, new PublisherLink(publisher));
     }
--- a/discovery/src/main/java/pathlane/discovery/PublisherMetrics.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherMetrics.java
@@ -1,6 +1,6 @@
 package pathlane.discovery;
 
-/** The running values behind {@link PublisherCounters}. */
+/** The mutable counters behind {@link PublisherCounters}. */
 final class PublisherMetrics {
     long watches;
     long refused;
--- a/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
@@ -14,27 +14,27 @@
 import pathlane.discovery.WatchTerms.PublisherAddress;
 
 /**
- * Which publisher a watch client dials, and when. Each client has an order of its own by rendezvous hashing (Thaler and
- * Ravishankar, 1998), first over the publishers of its zone, then of its region, then of all others: the clients of a
- * publisher that is lost spread evenly over those that are left, and no other client moves.
+ * Selects the publisher that a watch client connects to, and when. Each client has its own order of preference by
+ * rendezvous hashing (Thaler and Ravishankar, 1998): first the publishers of its zone, then of its region, then all
+ * others. If a publisher is lost, its clients spread evenly over the remaining ones, and no other client moves.
  */
 public final class PublisherSelector {
 
-    /** What to do next. */
+    /** The next action of the client. */
     public sealed interface Choice {}
 
-    /** Dial this publisher now. */
+    /** Connect to this publisher now. */
     public record Connect(PublisherAddress publisher) implements Choice {}
 
-    /** Ask again after this time. */
+    /** Call {@link #next} again after this delay. */
     public record Wait(Duration delay) implements Choice {}
 
     /**
-     * How long a nearer publisher that refused for the moment is waited for, rather than that a farther one is dialled: some
-     * 900 clients of one relay, admitted at its usual rate, are back within it.
+     * How long a client waits for a nearer publisher that rejected it temporarily, rather than connecting to a farther
+     * one. About 900 clients of one relay, admitted at its default rate, are accepted again within this time.
      */
     private static final Duration MAX_WAIT_FOR_NEARER = Duration.ofSeconds(8);
-    /** Doublings of the backoff after which the most is reached, whatever the terms are. */
+    /** The number of doublings of the backoff is limited to this, whatever the settings, to avoid overflow. */
     private static final int MAX_DOUBLINGS = 20;
     private static final Duration MIN_WAIT = Duration.ofMillis(1);
 
@@ -64,7 +64,11 @@
         }
     }
 
-    /** @throws IllegalArgumentException where there is no publisher, or two have one name */
+    /**
+     * Creates a selector.
+     *
+     * @throws IllegalArgumentException if there is no publisher, or two have the same name
+     */
     public PublisherSelector(WatchTerms terms, RandomGenerator random) {
         this.terms = terms;
         this.random = random;
@@ -93,12 +97,12 @@
         return Hashing.komihash5_0().hashStream().putString(terms.name()).putString(publisher.name()).getAsLong();
     }
 
-    /** All publishers, the preferred one first. */
+    /** All publishers in order of preference. */
     public List<PublisherAddress> order() {
         return order.stream().map(candidate -> candidate.publisher).toList();
     }
 
-    /** The first publisher in the order that may be dialled, or how long to wait for one. */
+    /** The first publisher in the order that is available, or how long to wait for one. */
     public Choice next(Instant now) {
         if (now.isBefore(nextAttemptAt)) {
             return waitUntil(nextAttemptAt, now);
@@ -107,11 +111,12 @@
         if (available.isEmpty()) {
             return waitUntil(earliest(order), now);
         }
-        List<Candidate> nearer = order.stream().filter(candidate -> isWorthWaitingFor(candidate, available.get(), now)).toList();
+        List<Candidate> nearer =
+                order.stream().filter(candidate -> isWorthWaitingFor(candidate, available.get(), now)).toList();
         return nearer.isEmpty() ? new Connect(available.get().publisher) : waitUntil(earliest(nearer), now);
     }
 
-    /** Guards farther zones against the load of a nearer one whose publishers take watches at their rate. */
+    /** Protects farther zones from the load of a nearer zone whose publishers accept watches at a limited rate. */
     private static boolean isWorthWaitingFor(Candidate candidate, Candidate available, Instant now) {
         return candidate.isRefusing && candidate.distance.compareTo(available.distance) < 0
                 && candidate.notBefore.isBefore(now.plus(MAX_WAIT_FOR_NEARER));
@@ -127,8 +132,8 @@
     }
 
     /**
-     * The publisher to move to from the current one: one that comes before it in the order or, where the current one can't
-     * be relied on, any other. Each call counts as a try; of several, that which was tried longest ago is named.
+     * The publisher to move to from the current one: one that precedes it in the order or, if the current one is not
+     * reliable, any other. Each call counts as an attempt; of several publishers, the least recently tried is returned.
      */
     public Optional<PublisherAddress> better(String current, boolean isCurrentReliable, Instant now) {
         int position = order.indexOf(byName.get(current));
@@ -140,12 +145,12 @@
         return better.map(candidate -> candidate.publisher);
     }
 
-    /** Whether no publisher comes before this one. */
+    /** Whether this is the first publisher in the order. */
     public boolean isPreferred(String name) {
         return order.get(0).publisher.name().equals(name);
     }
 
-    /** A publisher accepted the watch. */
+    /** Records that a publisher accepted the watch. */
     public void accepted(String name) {
         Candidate candidate = byName.get(name);
         candidate.failures = 0;
@@ -153,7 +158,10 @@
         candidate.notBefore = Instant.MIN;
     }
 
-    /** A publisher could not be reached, was lost, or can't be used. It is left alone for a time that doubles. */
+    /**
+     * Records that a publisher could not be reached, was lost or is unusable. It is not tried again for a backoff that
+     * doubles with each failure.
+     */
     public void failed(String name, Instant now) {
         Candidate candidate = byName.get(name);
         Duration backoff = terms.backoffFirst().multipliedBy(1L << Math.min(candidate.failures, MAX_DOUBLINGS));
@@ -163,24 +171,24 @@
         delayNextAttempt(now);
     }
 
-    /** A publisher takes no more watches for so long. */
+    /** Records that a publisher rejected the watch, with its retry delay. */
     public void refused(String name, Duration comeBackAfter, Instant now) {
         Candidate candidate = byName.get(name);
         candidate.isRefusing = true;
-        // Later by up to half, so that those who were refused together do not come back together.
+        // Delayed by up to half more, so that clients rejected together do not retry together.
         candidate.notBefore = now.plus(comeBackAfter).plus(randomUpTo(comeBackAfter.dividedBy(2)));
         delayNextAttempt(now);
     }
 
     /**
-     * Guards the next publishers against all clients of one that is lost at the same moment. Shorter than any backoff, so
-     * that another publisher is dialled before the same one, where there is another.
+     * Protects the other publishers when all clients of a lost one reconnect at the same moment. Shorter than any backoff,
+     * so that another publisher, if there is one, is tried before the same one.
      */
     private void delayNextAttempt(Instant now) {
         nextAttemptAt = now.plus(randomUpTo(terms.backoffFirst().dividedBy(2)));
     }
 
-    /** When to look for a better publisher again: a random time within {@link WatchTerms#returnWithin}. */
+    /** The delay until the next attempt to find a better publisher: random within {@link WatchTerms#returnWithin}. */
     public Duration returnDelay() {
         Duration delay = randomUpTo(terms.returnWithin());
         return delay.compareTo(MIN_WAIT) < 0 ? MIN_WAIT : delay;
--- a/discovery/src/main/java/pathlane/discovery/PublisherTerms.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherTerms.java
@@ -5,14 +5,16 @@
 /**
  * The limits of a publisher.
  *
- * @param subscribers connections at once; more are refused
- * @param watchesPerSecond watches accepted a second; others are refused with a time to come back
+ * @param subscribers maximum number of connections; more are rejected
+ * @param watchesPerSecond watches accepted per second; others are rejected with a retry delay
  * @param watchBurst watches accepted at once
- * @param unacknowledgedBytes encoded changes that may be under way to one subscriber; what comes meanwhile is coalesced
- * @param updateBytes encoded changes in one update at most, one change excepted
- * @param historyChanges changes that are kept for deltas, of all services together; who is further behind gets a snapshot
- * @param bookmarkEvery the shortest time between bookmarks on a connection
- * @param deadAfter a subscriber that has acknowledged nothing for so long, while something is under way, is disconnected
+ * @param unacknowledgedBytes encoded changes that may be unacknowledged per subscriber; further changes are coalesced
+ *                            until then
+ * @param updateBytes maximum bytes of encoded changes in one update, except for an update of a single change
+ * @param historyChanges changes kept for deltas, of all services together; subscribers further behind receive snapshots
+ * @param bookmarkEvery the minimum interval between bookmarks on a connection
+ * @param deadAfter the time after which a subscriber with unacknowledged messages that has acknowledged none is
+ *                  disconnected
  */
 public record PublisherTerms(int subscribers, double watchesPerSecond, int watchBurst, int unacknowledgedBytes,
         int updateBytes, int historyChanges, Duration bookmarkEvery, Duration deadAfter) {
--- a/discovery/src/main/java/pathlane/discovery/Relay.java
+++ b/discovery/src/main/java/pathlane/discovery/Relay.java
@@ -11,13 +11,14 @@
 import pathlane.transport.Protocol;
 
 /**
- * One watch of everything upstream for many watches downstream. Without its upstream it goes on serving what it holds, and
- * says how old that is. On the loop's thread.
+ * Maintains one upstream watch of the complete catalogue and serves many downstream watches from it. While disconnected
+ * from its upstream, it continues to serve the content held and reports how stale it is. Not thread-safe: used on the
+ * event loop's thread.
  */
 public final class Relay {
 
     private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
-    /** Two words on how old the content is that differ by no more mean the same moment. */
+    /** Start times of staleness that differ by less than this are treated as equal. */
     private static final Duration STALE_SINCE_TOLERANCE = Duration.ofSeconds(2);
 
     private final AuthenticatedLink.Context common;
@@ -28,7 +29,7 @@
     private Optional<Instant> staleSince = Optional.empty();
     private Optional<Scheduler.Timer> reportTimer = Optional.empty();
 
-    /** Dials nothing yet. */
+    /** Does not connect before {@link #start}. */
     public Relay(WatchTerms upstream, PublisherTerms terms, AuthenticatedLink.Context common, Connector connector,
             Scheduler scheduler,
             RandomGenerator random) {
@@ -39,36 +40,36 @@
         this.upstream = new WatchClient(upstream, connector, common, scheduler, random, new Upstream());
     }
 
-    /** Begins to look for an upstream. */
+    /** Starts connecting to an upstream. */
     public void start() {
         upstream.watchEverything();
         report();
         upstream.start();
     }
 
-    /** Ends all connections, upstream and downstream. */
+    /** Closes all connections, upstream and downstream. */
     public void stop() {
         reportTimer.ifPresent(Scheduler.Timer::cancel);
         upstream.stop();
         publisher.close(CloseReason.SHUTDOWN);
     }
 
-    /** The state machine of a connection that a subscriber has opened. */
+    /** The state machine of an accepted subscriber connection. */
     public Protocol accept() {
         return PublisherLink.accept(publisher, common);
     }
 
-    /** The downstream side. */
+    /** The publisher that serves the downstream watches. */
     public Publisher publisher() {
         return publisher;
     }
 
-    /** The upstream side. */
+    /** The client that watches the upstream. */
     public WatchClient upstream() {
         return upstream;
     }
 
-    /** What is held of the upstream's catalogue. */
+    /** The content received from the upstream. */
     public Catalogue catalogue() {
         return catalogue;
     }
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Feeds the catalogue. */
+    /** Applies the upstream's changes to the catalogue. */
     private final class Upstream implements WatchListener {
 
         @Override
@@ -103,7 +104,7 @@
         @Override
         public void inForce(Revision revision) {
             catalogue.advance(revision);
-            catalogue.complete();   // a bookmark of a complete upstream follows all that it has
+            catalogue.complete();   // a bookmark of a complete upstream is sent after all of its content
         }
 
         @Override
--- a/discovery/src/main/java/pathlane/discovery/Revision.java
+++ b/discovery/src/main/java/pathlane/discovery/Revision.java
@@ -3,14 +3,15 @@
 import java.util.Comparator;
 
 /**
- * A place in the history of a catalogue. Revisions of one catalogue are totally ordered.
+ * A position in the history of a catalogue. Revisions of one catalogue are totally ordered.
  *
- * @param epoch the start of the source that wrote it; each start of a source has a greater one than any before
+ * @param epoch identifies the start of the source that wrote the revision; each start has a greater epoch than all earlier
+ *              ones
  * @param number counts the source's changes within the epoch, from 1
  */
 public record Revision(long epoch, long number) implements Comparable<Revision> {
 
-    /** Before the first revision of any source: the revision of what was never received. */
+    /** Precedes the first revision of any source: the revision of content that was never received. */
     public static final Revision NONE = new Revision(0, 0);
 
     private static final Comparator<Revision> ORDER =
@@ -21,7 +22,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Whether this one comes after the other in the catalogue's history. */
+    /** Whether this revision is later than the other. */
     public boolean isAfter(Revision other) {
         return compareTo(other) > 0;
     }
--- a/discovery/src/main/java/pathlane/discovery/SendWindow.java
+++ b/discovery/src/main/java/pathlane/discovery/SendWindow.java
@@ -6,7 +6,7 @@
 import java.util.Deque;
 import pathlane.wire.BadInput;
 
-/** What is under way to one subscriber and not acknowledged: bounded in bytes, and in time. */
+/** The messages sent to one subscriber and not yet acknowledged: limited in bytes and in time. */
 final class SendWindow {
 
     private record Batch(long number, int bytes) {}
@@ -17,7 +17,7 @@
     private long lastBatch;
     private int pendingBytes;
     private boolean isBookmarkPending;
-    /** The last acknowledgement, or when something was sent after nothing had been under way. */
+    /** When the last acknowledgement arrived, or when a message was sent while none was unacknowledged. */
     private Instant progressAt = Instant.MIN;
 
     SendWindow(int maxBytes, Duration acknowledgeTimeout) {
@@ -25,17 +25,19 @@
         this.acknowledgeTimeout = acknowledgeTimeout;
     }
 
-    /** Whether so many bytes may be sent. One change always may while nothing is under way, however large it is. */
+    /**
+     * Whether an update of this size may be sent. While no update is unacknowledged, one change of any size may be sent.
+     */
     boolean hasRoom(int size) {
         return pendingBytes == 0 || pendingBytes + size <= maxBytes;
     }
 
-    /** Bytes of the next update if it takes all the room there is. */
+    /** Bytes left in the window for the next update. */
     int availableBytes() {
         return Math.max(0, maxBytes - pendingBytes);
     }
 
-    /** The number of the update that is about to be sent. */
+    /** Records an update that is about to be sent, and returns its number. */
     long sentUpdate(int size, Instant now) {
         startTimeoutIfIdle(now);
         lastBatch++;
@@ -60,14 +62,14 @@
     }
 
     /**
-     * The subscriber has acknowledged a batch and all before it, or a bookmark.
+     * Handles the acknowledgement of a bookmark, or of an update and all updates before it.
      *
      * @param batch the number of the update, 0 for a bookmark
-     * @throws BadInput where no such batch was sent
+     * @throws BadInput if no such update was sent
      */
     void acknowledged(long batch, Instant now) {
         if (batch > lastBatch) {
-            throw new BadInput("batch " + batch + " is acknowledged, and " + lastBatch + " was the last one sent");
+            throw new BadInput("batch " + batch + " was acknowledged, but " + lastBatch + " was the last one sent");
         }
         progressAt = now;
         if (batch == 0) {
@@ -78,12 +80,12 @@
         }
     }
 
-    /** The time of an own stall does not count. */
+    /** Extends the timeout by a stall of this process. */
     void excludeStall(Duration stall) {
         progressAt = progressAt.plus(stall);
     }
 
-    /** Whether something is under way and nothing was acknowledged for too long. */
+    /** Whether messages are unacknowledged and no acknowledgement arrived within the timeout. */
     boolean isTimedOut(Instant now) {
         return isAwaitingAcknowledgement() && Duration.between(progressAt, now).compareTo(acknowledgeTimeout) >= 0;
     }
--- a/discovery/src/main/java/pathlane/discovery/ServiceChange.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChange.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 import pathlane.core.ServerEndpoint;
 
-/** One service's part of a {@link WatchMessage.Update}. */
+/** The change of one service in a {@link WatchMessage.Update}. */
 public sealed interface ServiceChange {
 
     String service();
 
-    /** The revision that the service has once this has been applied. */
+    /** The service's revision after the change. */
     Revision revision();
 
-    /** The whole state of a service, in place of whatever the receiver holds. */
+    /** The complete state of a service, which replaces the receiver's state. */
     record Snapshot(ServiceState state) implements ServiceChange {
         @Override
         public String service() {
@@ -26,12 +26,12 @@
     }
 
     /**
-     * What has changed since a revision. It may be applied only to a state at exactly {@code from}, and the result must have
-     * the digest; anything else is answered by asking for a snapshot.
+     * The difference to an earlier revision. It may be applied only to the state at exactly {@code from}, and the result
+     * must have the digest; otherwise the receiver requests a snapshot.
      *
-     * @param upserted endpoints that are new or differ
-     * @param removed ids of endpoints that are gone
-     * @param configuration the new configuration, where it has changed
+     * @param upserted new or changed endpoints
+     * @param removed ids of removed endpoints
+     * @param configuration the new configuration, if it has changed
      */
     record Delta(String service, Revision from, Revision revision, long digest, List<ServerEndpoint> upserted,
             List<Long> removed, Optional<String> configuration) implements ServiceChange {}
--- a/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
@@ -15,7 +15,7 @@
 import pathlane.discovery.ServiceChange.Snapshot;
 import pathlane.wire.BadInput;
 
-/** A {@link ServiceChange} as MessagePack: its kind, then its fields in the order of its record. */
+/** Encodes and decodes a {@link ServiceChange} as MessagePack: its kind, then its fields in the order of its record. */
 final class ServiceChangeCodec {
 
     private static final int SNAPSHOT = 1;
@@ -51,7 +51,7 @@
             case SNAPSHOT -> new Snapshot(state(unpacker));
             case DELTA -> delta(unpacker);
             case ABSENT -> new Absent(WatchFields.service(unpacker), WatchFields.revision(unpacker));
-            default -> throw new BadInput("a change of kind " + kind);
+            default -> throw new BadInput("unknown kind of change: " + kind);
         };
     }
 
@@ -101,7 +101,8 @@
     }
 
     private static ServerEndpoint endpoint(MessageUnpacker unpacker) throws IOException {
-        return new ServerEndpoint(unpacker.unpackLong(), address(unpacker), status(unpacker.unpackInt()), unpacker.unpackInt(),
+        return new ServerEndpoint(unpacker.unpackLong(), address(unpacker), status(unpacker.unpackInt()),
+                unpacker.unpackInt(),
                 weight(unpacker.unpackDouble()), unpacker.unpackTimestamp());
     }
 
@@ -122,7 +123,7 @@
         }
         int length = unpacker.unpackBinaryHeader();
         if (length != IPV4_BYTES && length != IPV6_BYTES) {
-            throw new BadInput("an address of " + length + " bytes");
+            throw new BadInput("invalid address of " + length + " bytes");
         }
         return new InetSocketAddress(internetAddress(unpacker.readPayload(length)), port(unpacker));
     }
@@ -131,14 +132,14 @@
         try {
             return InetAddress.getByAddress(bytes);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException(e);   // of a length that has been checked
+            throw new IllegalStateException(e);   // can't happen: the length was checked
         }
     }
 
     private static int port(MessageUnpacker unpacker) throws IOException {
         int port = unpacker.unpackInt();
         if (port < 0 || port > MAX_PORT) {
-            throw new BadInput("port " + port);
+            throw new BadInput("invalid port " + port);
         }
         return port;
     }
@@ -147,7 +148,7 @@
         return switch (status) {
             case RUNNING -> RUNNING;
             case DRAINING -> DRAINING;
-            case GONE -> throw new IllegalArgumentException("an endpoint that is gone is sent as removed");
+            case GONE -> throw new IllegalArgumentException("an endpoint that is GONE must be sent as removed");
         };
     }
 
@@ -155,11 +156,11 @@
         return switch (number) {
             case RUNNING -> ServerStatus.RUNNING;
             case DRAINING -> ServerStatus.DRAINING;
-            default -> throw new BadInput("an endpoint in mode " + number);
+            default -> throw new BadInput("unknown endpoint status " + number);
         };
     }
 
-    /** Most weights are small numbers, which four bytes hold exactly. */
+    /** Weights that a float represents exactly, usually small numbers, take four bytes instead of eight. */
     private static void writeWeight(MessagePacker packer, double weight) throws IOException {
         if ((float) weight == weight) {
             packer.packFloat((float) weight);
@@ -170,7 +171,7 @@
 
     private static double weight(double weight) {
         if (!CatalogueLimits.isValidWeight(weight)) {
-            throw new BadInput("a weight of " + weight);
+            throw new BadInput("invalid weight " + weight);
         }
         return weight;
     }
--- a/discovery/src/main/java/pathlane/discovery/ServiceDigest.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceDigest.java
@@ -8,20 +8,20 @@
 import pathlane.core.ServerEndpoint;
 
 /**
- * A digest of a service's content: the sum, modulo 2^64, of one hash for each endpoint and one of the configuration. The sum
- * does not depend on an order, and a change costs only what it changes. It finds faults, not forgeries: the connections are
- * authenticated by themselves.
+ * A digest of a service's content: the sum, modulo 2^64, of one hash per endpoint and one of the configuration. The sum is
+ * independent of the order, and updating it costs only the parts changed. It detects faults, not forgery: the connections
+ * are authenticated separately.
  */
 public final class ServiceDigest {
 
     private static final Hasher64 HASH = Hashing.komihash5_0();
-    /** Starts the hashes of endpoints and of configurations apart from each other. */
+    /** Distinguishes the hashes of endpoints from those of configurations. */
     private static final byte ENDPOINT = 1;
     private static final byte CONFIGURATION = 2;
 
     private ServiceDigest() {}
 
-    /** The digest of a whole content; the order of the endpoints is of no account. */
+    /** The digest of a service's complete content; the order of the endpoints does not matter. */
     public static long of(List<ServerEndpoint> endpoints, String configuration) {
         long digest = hash(configuration);
         for (ServerEndpoint endpoint : endpoints) {
@@ -30,17 +30,17 @@
         return digest;
     }
 
-    /** The digest once an endpoint has been added. */
+    /** The digest after adding an endpoint. */
     public static long with(long digest, ServerEndpoint added) {
         return digest + hash(added);
     }
 
-    /** The digest once an endpoint that the content had has been taken out. */
+    /** The digest after removing an endpoint that the content contained. */
     public static long without(long digest, ServerEndpoint removed) {
         return digest - hash(removed);
     }
 
-    /** The digest once one configuration has taken another's place. */
+    /** The digest after replacing the configuration. */
     public static long withConfiguration(long digest, String former, String configuration) {
         return digest - hash(former) + hash(configuration);
     }
--- a/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
@@ -10,24 +10,24 @@
 import pathlane.core.ServerEndpoint;
 
 /**
- * One service's state at a subscriber. A change is applied only where it leads to exactly the content that its sender holds;
- * anything else leaves the state as it is, and the result says what to do instead.
+ * One service's state at a subscriber. A change is applied only if the result is exactly the content that its sender
+ * holds; otherwise the state is left unchanged, and the result tells the caller what to do.
  */
 public final class ServiceReplica {
 
-    /** What became of a change. */
+    /** The outcome of applying a change. */
     public sealed interface Result {}
 
-    /** The change is in force. */
+    /** The change was applied. */
     public record Applied() implements Result {}
 
-    /** The change is no newer than what is in force. */
+    /** The change is not newer than the current state. */
     public record Ignored() implements Result {}
 
-    /** The change can't be applied; the service must be sent whole. */
+    /** The change can't be applied; a snapshot of the service must be requested. */
     public record NeedsSnapshot(String reason) implements Result {}
 
-    /** The sender does not hold the whole catalogue yet, and the change would take away what may exist. */
+    /** The sender's catalogue is incomplete, and the change would remove content that may exist. */
     public record Withheld(String reason) implements Result {}
 
     private static final Comparator<ServerEndpoint> BY_ID = Comparator.comparingLong(ServerEndpoint::id);
@@ -36,12 +36,12 @@
     private Revision revision;
     private Optional<ServiceState> state = Optional.empty();
 
-    /** Of which nothing was received. */
+    /** A replica that has received no state yet. */
     public ServiceReplica(String service) {
         this(service, Revision.NONE);
     }
 
-    /** Which is known not to exist at this revision. */
+    /** A replica of a service known not to exist at this revision. */
     ServiceReplica(String service, Revision absentAt) {
         this.service = service;
         this.revision = absentAt;
@@ -52,31 +52,31 @@
         return service;
     }
 
-    /** The state in force; empty where none was received or the service does not exist. */
+    /** The current state; empty if none was received or the service does not exist. */
     public Optional<ServiceState> state() {
         return state;
     }
 
-    /** The revision in force, of the state or of its absence; {@link Revision#NONE} before the first. */
+    /** The revision of the current state or of the service's absence; {@link Revision#NONE} before the first. */
     public Revision revision() {
         return revision;
     }
 
-    /** Whether nothing was received yet. */
+    /** Whether no state was received yet. */
     public boolean isUnknown() {
         return revision.equals(Revision.NONE);
     }
 
-    /** What a publisher is told of this replica. */
+    /** The interest in this service, to be sent to a publisher. */
     public WatchMessage.Interest interest() {
         return state.map(held -> new WatchMessage.Interest(service, held.revision(), held.digest()))
                 .orElseGet(() -> new WatchMessage.Interest(service, Revision.NONE, 0));
     }
 
     /**
-     * Applies a change, or says why not.
+     * Applies a change, or returns why it was not applied.
      *
-     * @param isPublisherComplete whether its sender holds the whole catalogue
+     * @param isPublisherComplete whether the sender's catalogue is complete
      */
     public Result apply(ServiceChange change, boolean isPublisherComplete) {
         if (!change.revision().isAfter(revision)) {
@@ -94,10 +94,10 @@
     private Result applySnapshot(ServiceState fresh, boolean isPublisherComplete) {
         if (!isAscending(fresh.endpoints())
                 || ServiceDigest.of(fresh.endpoints(), fresh.configuration()) != fresh.digest()) {
-            return new NeedsSnapshot("a snapshot whose content differs from its digest");
+            return new NeedsSnapshot("the snapshot's content does not match its digest");
         }
         if (!isPublisherComplete && removesMajority(fresh.endpoints())) {
-            return new Withheld("an incomplete publisher's snapshot without most of the endpoints");
+            return new Withheld("an incomplete publisher's snapshot lacks more than half of the endpoints");
         }
         state = Optional.of(fresh);
         revision = fresh.revision();
@@ -106,7 +106,7 @@
 
     private Result applyAbsent(Revision absentAt, boolean isPublisherComplete) {
         if (!isPublisherComplete) {
-            return new Withheld("an incomplete publisher's word that the service does not exist");
+            return new Withheld("an incomplete publisher reports that the service does not exist");
         }
         state = Optional.empty();
         revision = absentAt;
@@ -115,20 +115,20 @@
 
     private Result applyDelta(ServiceChange.Delta delta) {
         if (state.isEmpty() || !delta.from().equals(revision)) {
-            return new NeedsSnapshot("a delta from " + delta.from() + " where " + revision + " is in force");
+            return new NeedsSnapshot("a delta from revision " + delta.from() + " but revision " + revision + " is applied");
         }
         ServiceState held = state.get();
         List<ServerEndpoint> endpoints = merge(held.endpoints(), delta.upserted(), delta.removed());
         String configuration = delta.configuration().orElse(held.configuration());
         if (digest(held, delta) != delta.digest()) {
-            return new NeedsSnapshot("a delta whose result differs from its digest");
+            return new NeedsSnapshot("the delta's result does not match its digest");
         }
         state = Optional.of(new ServiceState(service, delta.revision(), delta.digest(), endpoints, configuration));
         revision = delta.revision();
         return new Applied();
     }
 
-    /** Worked out by the change alone: what is held has been compared with its own digest before. */
+    /** Computed from the change alone: the current state was verified against its own digest before. */
     private static long digest(ServiceState held, ServiceChange.Delta delta) {
         Set<Long> replaced = replaced(delta.upserted(), delta.removed());
         long digest = held.digest();
@@ -167,13 +167,13 @@
         return true;
     }
 
-    /** The held endpoints, in ascending order, with some added or replaced and others taken out. */
+    /** The current endpoints in ascending order of ids, with some added, replaced or removed. */
     private static List<ServerEndpoint> merge(List<ServerEndpoint> held, List<ServerEndpoint> upserted, List<Long> removed) {
         Set<Long> replaced = replaced(upserted, removed);
         List<ServerEndpoint> merged = new ArrayList<>(held.size() + upserted.size());
         held.stream().filter(endpoint -> !replaced.contains(endpoint.id())).forEach(merged::add);
         merged.addAll(upserted);
-        merged.sort(BY_ID);   // two ascending runs: linear
+        merged.sort(BY_ID);   // two ascending runs: linear time
         return Collections.unmodifiableList(merged);
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/Source.java
+++ b/discovery/src/main/java/pathlane/discovery/Source.java
@@ -7,12 +7,15 @@
 import pathlane.transport.Protocol;
 
 /**
- * The root of the tree of publishers: the catalogue that is written here, the publisher above it, and the time that each
- * change takes until every controller has it in force. On the loop's thread.
+ * The root of the publisher tree: the writable catalogue, its publisher, and the measurement of how long each change takes
+ * until all controllers have applied it. Not thread-safe: used on the event loop's thread.
  */
 public final class Source {
 
-    /** How often progress is looked at while a change is on its way; bounds the error of the times measured. */
+    /**
+     * The interval at which progress is checked while a change is not applied everywhere; limits the error of the measured
+     * times.
+     */
     private static final Duration PROGRESS_POLL_INTERVAL = Duration.ofMillis(100);
 
     private final Catalogue catalogue;
@@ -22,7 +25,7 @@
     private final InForceTracker inForce = new InForceTracker();
     private boolean isTracking;
 
-    /** {@code epoch} must be greater than that of every earlier start of a source of this catalogue. */
+    /** {@code epoch} must be greater than the epochs of all earlier starts of this catalogue's source. */
     public Source(long epoch, PublisherTerms terms, AuthenticatedLink.Context common, Scheduler scheduler,
             RandomGenerator random) {
         this.common = common;
@@ -33,12 +36,15 @@
         catalogue.addListener((service, revision, removesOrDrains) -> track(revision));
     }
 
-    /** What is written here reaches the subscribers. It is complete only once {@link Catalogue#isComplete} is called. */
+    /**
+     * The writable catalogue, whose changes reach the subscribers. It is incomplete until {@link Catalogue#complete} is
+     * called.
+     */
     public Catalogue catalogue() {
         return catalogue;
     }
 
-    /** The state machine of a connection that was accepted. */
+    /** The state machine of an accepted connection. */
     public Protocol accept() {
         return PublisherLink.accept(publisher, common);
     }
--- a/discovery/src/main/java/pathlane/discovery/SubscriberIndex.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberIndex.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Which sessions watch a service, so that a change costs those sessions and no others. */
+/** Maps each service to the sessions that watch it, so that a change is processed for those sessions only. */
 final class SubscriberIndex {
 
     private final Map<String, Set<SubscriberSession>> byService = new HashMap<>();
@@ -23,7 +23,7 @@
         }
     }
 
-    /** A session that watches everything is not kept by service as well. */
+    /** Adds a session that watches the complete catalogue; it must not be indexed by service as well. */
     void addEverything(SubscriberSession session) {
         everything.add(session);
     }
@@ -32,7 +32,7 @@
         everything.remove(session);
     }
 
-    /** Calls each session that watches a service. */
+    /** Applies an action to each session that watches a service. */
     void forEach(String service, Consumer<SubscriberSession> action) {
         everything.forEach(action);
         Set<SubscriberSession> sessions = byService.get(service);
--- a/discovery/src/main/java/pathlane/discovery/SubscriberPort.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberPort.java
@@ -2,18 +2,18 @@
 
 import pathlane.core.CloseReason;
 
-/** A publisher's way to one subscriber. On the loop's thread. */
+/** A publisher's connection to one subscriber. Used on the event loop's thread. */
 public interface SubscriberPort {
 
-    /** The subscriber's name, as its connection has shown it. */
+    /** The subscriber's name, as authenticated by its connection. */
     String name();
 
-    /** Sends a message as {@link WatchCodec} writes it. The array is shared with other ports and is not changed. */
+    /** Sends a message encoded by {@link WatchCodec}. The array is shared with other ports and must not be modified. */
     void send(byte[] message);
 
-    /** Whether what was sent earlier has yet to leave, since the subscriber does not read. */
+    /** Whether earlier messages are still buffered because the subscriber does not read. */
     boolean isBlocked();
 
-    /** Closes the connection once all that was sent has left; {@link Publisher.Session#closed} follows. */
+    /** Closes the connection once all messages sent have been written; {@link Publisher.Session#closed} follows. */
     void close(CloseReason reason);
 }
--- a/discovery/src/main/java/pathlane/discovery/SubscriberQueue.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberQueue.java
@@ -9,16 +9,17 @@
 import java.util.Set;
 
 /**
- * What one subscriber watches and holds, and which services it has yet to be sent. Only names wait: what is sent is the
- * newest state at that moment, so that the memory is bounded by the watch and a slow subscriber skips what is past.
+ * What one subscriber watches and holds, and which services have yet to be sent to it. Only names are queued and the
+ * newest state is sent, so that memory is bounded by the size of the watch and a slow subscriber skips intermediate
+ * states.
  */
 final class SubscriberQueue {
 
     private final Map<String, HeldVersion> watched = new HashMap<>();
-    /** Services of which endpoints are gone or drain: sent first. */
+    /** Services with removed or draining endpoints: sent first. */
     private final Set<String> urgent = new LinkedHashSet<>();
     private final Set<String> ordinary = new LinkedHashSet<>();
-    /** Watched services that the catalogue lacks, not known to be absent yet. */
+    /** Watched services that are missing from the catalogue but not yet known to be absent. */
     private final Set<String> unresolved = new HashSet<>();
 
     boolean isWatched(String service) {
@@ -37,7 +38,7 @@
         return watched.get(service);
     }
 
-    /** Watches a service from now on, or anew, as held by the subscriber. Nothing is queued. */
+    /** Adds a service to the watch, or replaces what the subscriber holds of it. Nothing is queued. */
     void watch(String service, HeldVersion held) {
         watched.put(service, held);
         dequeue(service);
@@ -54,7 +55,7 @@
         unresolved.remove(service);
     }
 
-    /** Queues a watched service; one that waits already may become urgent. Returns whether it waited already. */
+    /** Queues a watched service; one that is queued already may become urgent. Returns whether it was queued already. */
     boolean add(String service, boolean isUrgent) {
         unresolved.remove(service);
         if (urgent.contains(service)) {
@@ -67,24 +68,24 @@
         return !ordinary.add(service);
     }
 
-    /** Whether nothing waits to be sent. */
+    /** Whether nothing is queued. */
     boolean isEmpty() {
         return urgent.isEmpty() && ordinary.isEmpty();
     }
 
-    /** The service to be sent next; there must be one. */
+    /** The service to send next; the queue must not be empty. */
     String next() {
         Iterator<String> first = (urgent.isEmpty() ? ordinary : urgent).iterator();
         return first.next();
     }
 
-    /** A service needs no more sending: the subscriber holds this, once all that was sent has arrived. */
+    /** Removes a service from the queue; the subscriber holds this version once all messages sent have arrived. */
     void sent(String service, HeldVersion held) {
         watched.put(service, held);
         dequeue(service);
     }
 
-    /** A service can't be told of yet, as the catalogue may not have heard of it. */
+    /** Postpones a service whose existence is unknown, because the catalogue may not have received it yet. */
     void postpone(String service) {
         dequeue(service);
         unresolved.add(service);
@@ -94,7 +95,7 @@
         return !unresolved.isEmpty();
     }
 
-    /** Queues again what could not be told of. */
+    /** Queues the postponed services again. */
     void requeueUnresolved() {
         for (String service : List.copyOf(unresolved)) {
             add(service, !held(service).isNothing());
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -14,18 +14,20 @@
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.wire.BadInput;
 
-/** A publisher's side of one connection: the subscriber's watch, what is sent to it, and how far it is. */
+/**
+ * The publisher's side of one connection: the subscriber's watch, the changes sent to it and the revision it has applied.
+ */
 final class SubscriberSession implements Publisher.Session {
 
-    /** Guards memory against a watch of more services than a fleet has. */
+    /** Limits memory use: a watch of more services than any deployment has is rejected. */
     private static final int MAX_SERVICES = 1 << 16;
 
     private enum Phase {
-        /** Nothing was asked for yet. */
+        /** No subscription was received yet. */
         OPENED,
         /** The watch is accepted. */
         WATCHING,
-        /** Refused, or ended: nothing more is sent, and what comes is passed over. */
+        /** Rejected or closed: nothing more is sent, and received messages are ignored. */
         ENDED
     }
 
@@ -39,7 +41,7 @@
     private final SendWindow window;
     private Phase phase = Phase.OPENED;
     private boolean watchesEverything;
-    /** Whether the last message of a subscription has come: services that it does not name are not held. */
+    /** Whether the last message of a subscription was received: the subscriber holds no service that it did not list. */
     private boolean isSubscriptionComplete;
     private boolean isRelay;
     private Revision bookmarkedRevision = Revision.NONE;
@@ -58,7 +60,7 @@
         this.window = new SendWindow(terms.unacknowledgedBytes(), terms.deadAfter());
     }
 
-    // ---- from the subscriber
+    // ---- messages from the subscriber
 
     @Override
     public void received(byte[] bytes) {
@@ -69,14 +71,14 @@
         if (message instanceof Subscribe subscribe) {
             subscribe(subscribe);
         } else if (phase == Phase.OPENED) {
-            throw new BadInput("a watch that does not begin with a subscription");
+            throw new BadInput("the first message of a watch must be a subscription");
         } else if (message instanceof Acknowledge acknowledge) {
             acknowledged(acknowledge);
         } else if (message instanceof Progress progress) {
             isRelay = true;
             publisher.recordProgress(this, progress.report());
         } else {
-            throw new BadInput("a publisher's message from a subscriber");
+            throw new BadInput("a subscriber sent a message of a publisher");
         }
     }
 
@@ -101,7 +103,7 @@
         isSubscriptionComplete = message.last();
         if (watchesEverything && isSubscriptionComplete) {
             publisher.services().forEach(this::watchIfAbsent);
-            // Guards a new relay against calling a service absent at a revision at which it was there.
+            // Keeps a new relay from reporting a service as absent at a revision at which it existed.
             publisher.removedSinceRevision().forEach(this::watchIfAbsent);
         }
         publisher.schedule(this);
@@ -121,7 +123,7 @@
         publisher.accepted(this);
         publisher.recordProgress(this, Revision.NONE);
         send(WatchCodec.bytes(new WatchMessage.Accepted(publisher.status())));
-        return phase == Phase.WATCHING;   // a connection that can't take more may end within the call
+        return phase == Phase.WATCHING;   // the connection may close within send() if it can't take more data
     }
 
     private void watch(Interest interest) {
@@ -130,12 +132,14 @@
             throw new BadInput("a watch of more than " + MAX_SERVICES + " services");
         }
         String service = publisher.sharedName(interest.service());
-        HeldVersion held = interest.have().equals(Revision.NONE) ? HeldVersion.NOTHING : new HeldVersion(interest.have(), interest.digest());
+        HeldVersion held = interest.have().equals(Revision.NONE) ? HeldVersion.NOTHING
+                : new HeldVersion(interest.have(), interest.digest());
         queue.watch(service, held);
         if (!watchesEverything) {
             publisher.addWatch(this, service);
         }
-        // What is asked for anew is in force in some form that may name servers that are gone.
+        // A service that is requested again has some state applied at the subscriber that may list servers that no
+        // longer exist.
         boolean removesOrDrains = isAlreadyWatched || !held.isNothing()
                 && encoder.change(service, held).map(EncodedChange::removesOrDrains).orElse(false);
         queue.add(service, removesOrDrains);
@@ -165,13 +169,13 @@
         }
     }
 
-    // ---- from the catalogue
+    // ---- events of the catalogue
 
-    /** A service that this subscriber watches has changed. */
+    /** Queues a changed service that this subscriber watches. */
     void changed(String service, boolean removesOrDrains) {
         if (!queue.isWatched(service)) {
             if (!isSubscriptionComplete) {
-                return;   // the subscriber may yet say what it holds of it
+                return;   // a later message of the subscription may list what the subscriber holds of it
             }
             queue.watch(service, HeldVersion.NOTHING);
         }
@@ -182,7 +186,7 @@
         publisher.schedule(this);
     }
 
-    /** Services that could not be told of may be known now. */
+    /** Queues the services whose existence was unknown before and may be known now. */
     void resolve() {
         if (queue.hasUnresolved()) {
             queue.requeueUnresolved();
@@ -190,9 +194,9 @@
         }
     }
 
-    // ---- to the subscriber
+    // ---- messages to the subscriber
 
-    /** Sends what waits, as far as there is room. */
+    /** Sends queued changes as far as the send window and the connection permit. */
     void flush() {
         while (phase == Phase.WATCHING && !queue.isEmpty() && !port.isBlocked()) {
             List<EncodedChange> batch = nextBatch();
@@ -229,13 +233,13 @@
 
     private void markSent(String service, EncodedChange change) {
         if (watchesEverything && change.kind() == EncodedChange.Kind.ABSENT) {
-            queue.unwatch(service);   // guards memory against names that come and go
+            queue.unwatch(service);   // bounds memory use when services are created and removed continually
         } else {
             queue.sent(service, change.held());
         }
     }
 
-    /** Nothing can or need be sent of a service now. */
+    /** Handles a service for which no change can be sent now, or none is needed. */
     private void skipOrPostpone(String service, HeldVersion held) {
         if (encoder.isUnresolved(service, held)) {
             queue.postpone(service);
@@ -252,13 +256,13 @@
         send(WatchCodec.update(number, batch.stream().map(EncodedChange::bytes).toList()));
     }
 
-    /** The publisher itself did nothing for so long: the subscriber is given that time back. */
+    /** Extends the subscriber's timeouts by a stall of the publisher's own process. */
     void excludeStall(Duration stall) {
         openedAt = openedAt.plus(stall);
         window.excludeStall(stall);
     }
 
-    /** What is due by time: called several times in {@link PublisherTerms#bookmarkEvery}. */
+    /** Checks timeouts and sends what is due; called several times per {@link PublisherTerms#bookmarkEvery}. */
     void tick(Instant now, Duration heartbeatInterval) {
         if (phase == Phase.OPENED) {
             if (hasElapsed(openedAt, terms.deadAfter(), now)) {
@@ -280,11 +284,12 @@
     private void heartbeat(Instant now, Duration interval) {
         boolean isSynchronized = isSynchronized();
         boolean isHeartbeatDue = hasElapsed(heartbeatAt, interval, now);
-        boolean isNewBookmarkDue = publisher.revision().isAfter(bookmarkedRevision) && hasElapsed(bookmarkedAt, interval, now);
+        boolean isNewBookmarkDue =
+                publisher.revision().isAfter(bookmarkedRevision) && hasElapsed(bookmarkedAt, interval, now);
         if (isHeartbeatDue && (publisher.isStale() || !isSynchronized)) {
             sendStatus(publisher.statusMessage());
         }
-        // Also while it says nothing new: a subscriber that is gone is found by its acknowledgements.
+        // A bookmark is also sent without a new revision: its missing acknowledgement reveals a dead subscriber.
         if (isSynchronized && (isHeartbeatDue || isNewBookmarkDue)) {
             sendBookmark(now);
         }
@@ -294,7 +299,7 @@
         return !now.isBefore(since.plus(time));
     }
 
-    /** Whether all that the watch concerns, up to the catalogue's revision, has been sent. */
+    /** Whether all changes of the watch up to the catalogue's revision have been sent. */
     private boolean isSynchronized() {
         return isSubscriptionComplete && publisher.isComplete() && queue.isEmpty() && !queue.hasUnresolved();
     }
@@ -308,7 +313,7 @@
         send(publisher.bookmarkMessage());
     }
 
-    /** Tells the publisher's status, as encoded for all subscribers. */
+    /** Sends the publisher's status, encoded once for all subscribers. */
     void sendStatus(byte[] message) {
         if (phase == Phase.WATCHING && !port.isBlocked()) {
             heartbeatAt = publisher.now();
@@ -322,7 +327,7 @@
         port.send(message);
     }
 
-    /** Ends the session from this side. */
+    /** Ends the session and closes the connection. */
     void end(CloseReason reason) {
         closed();
         port.close(reason);
--- a/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
+++ b/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
@@ -9,15 +9,16 @@
 import pathlane.decision.ServerStatus;
 
 /**
- * Works out what brings a subscriber from what it holds of a service to the newest state, and encodes it once for all
- * subscribers that hold the same. What was encoded is kept until the service changes, within a bound of bytes.
+ * Computes the change that takes a subscriber from the version of a service that it holds to the newest one, and encodes
+ * it once for all subscribers that hold the same version. Encoded changes are cached until the service changes, up to a
+ * limit in bytes.
  */
 final class UpdateEncoder {
 
-    /** The snapshots of a fleet of 26,000 endpoints take about 1 MiB, the deltas of a busy second much less. */
+    /** The snapshots of a deployment with 26,000 endpoints take about 1 MiB, the deltas of a busy second much less. */
     static final long MAX_CACHED_BYTES = 16 << 20;
 
-    /** What was encoded of one service at its present revision, by what the subscribers hold. */
+    /** The encoded changes of one service to its current revision, by the version that the subscribers hold. */
     private static final class Encoded {
         private EncodedChange snapshot;
         private final Map<HeldVersion, EncodedChange> deltas = new HashMap<>();
@@ -27,7 +28,7 @@
     private final Catalogue catalogue;
     private final PublisherMetrics metrics;
     private final long maxCachedBytes;
-    /** By service, the least recently used first. */
+    /** By service, in order of last use, least recently used first. */
     private final Map<String, Encoded> cache = new LinkedHashMap<>(16, 0.75f, true);
     private long cachedBytes;
 
@@ -37,7 +38,7 @@
         this.maxCachedBytes = maxCachedBytes;
     }
 
-    /** A service has changed: what was encoded of it is of the past. */
+    /** Drops the cached changes of a service that has changed. */
     void invalidate(String service) {
         Encoded encoded = cache.remove(service);
         if (encoded != null) {
@@ -45,7 +46,7 @@
         }
     }
 
-    /** What a subscriber that holds this must be sent; empty where it holds the newest state of the service, or a newer. */
+    /** The change to send to a subscriber that holds this version; empty if it holds the newest version or a later one. */
     Optional<EncodedChange> change(String service, HeldVersion held) {
         CatalogueEntry entry = catalogue.entry(service);
         if (entry == null) {
@@ -57,7 +58,7 @@
         return Optional.of(held.isNothing() ? snapshot(entry, held) : difference(entry, held));
     }
 
-    /** Whether the catalogue lacks a service without it being known yet that it is absent at the revision held. */
+    /** Whether a service is missing from the catalogue but not yet known to be absent at the revision held. */
     boolean isUnresolved(String service, HeldVersion held) {
         return catalogue.entry(service) == null
                 && (!catalogue.isComplete() || held.revision().isAfter(catalogue.absentSince(service)));
@@ -83,7 +84,7 @@
         return held.isNothing() ? encoded.snapshot : asRemoving(encoded.snapshot);
     }
 
-    /** In place of some other content, a snapshot may take anything away. */
+    /** The snapshot marked as removing endpoints: replacing other content may remove any of them. */
     private static EncodedChange asRemoving(EncodedChange snapshot) {
         return new EncodedChange(snapshot.kind(), snapshot.bytes(), snapshot.held(), true);
     }
@@ -105,7 +106,9 @@
         return change;
     }
 
-    /** The content is held already, only under an earlier revision, as after the source has started anew. */
+    /**
+     * An empty delta: the subscriber holds the same content under an earlier revision, as after a restart of the source.
+     */
     private static ServiceChange.Delta sameContent(CatalogueEntry entry, HeldVersion held) {
         return new ServiceChange.Delta(entry.service(), held.revision(), entry.revision(), entry.digest(), List.of(),
                 List.of(), Optional.empty());
@@ -131,7 +134,7 @@
         }
     }
 
-    /** Bytes of encoded changes that are kept. */
+    /** Bytes of the cached changes. */
     long cachedBytes() {
         return cachedBytes;
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchAdmission.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchAdmission.java
@@ -6,35 +6,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Admits watches at a rate by a token bucket. Who is refused is given a time to come back; these times follow one another at
- * the same rate, so that those who were refused together don't come back together.
+ * Limits the rate of accepted watches by a token bucket. Rejected subscribers receive retry delays spaced at the same
+ * rate, so that subscribers rejected together do not retry together.
  */
 final class WatchAdmission {
 
-    /** The longest time that anybody is told to wait: by then the state of things is another. */
+    /** The longest retry delay before jitter; the load may have changed by then, so longer delays would be of no use. */
     static final Duration MAX_WAIT = Duration.ofSeconds(30);
-    /** Times to come back are drawn out by up to this share, so that the order among the refused is a new one. */
+    /** Retry delays are extended by up to this share, which shuffles the order of the rejected subscribers. */
     private static final double JITTER = 0.25;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final double nanosPerWatch;
     private final double maxNanos;
     private final RandomGenerator random;
-    /** The bucket's content as time: a watch takes the time in which one token comes. */
+    /** The bucket's content, expressed as time: a watch consumes the time in which one token is added. */
     private double availableNanos;
     private Instant filledAt;
-    /** When the next of those who are refused may come back. */
+    /** When the next rejected subscriber may retry. */
     private Instant nextRetryAt;
 
     /**
-     * A full bucket.
+     * Starts with a full bucket.
      *
-     * @param perSecond watches a second, above 0
+     * @param perSecond watches per second, above 0
      * @param burst watches at once, at least 1
      */
     WatchAdmission(double perSecond, int burst, Instant now, RandomGenerator random) {
         if (!(perSecond > 0) || burst < 1) {
-            throw new IllegalArgumentException("admission of " + perSecond + " watches a second, " + burst + " at once");
+            throw new IllegalArgumentException(
+                    "invalid admission rate of " + perSecond + " watches a second, " + burst + " at once");
         }
         this.nanosPerWatch = NANOS_PER_SECOND / perSecond;
         this.maxNanos = nanosPerWatch * burst;
@@ -44,7 +45,7 @@
         this.nextRetryAt = now;
     }
 
-    /** Admits a watch, where the result is empty, or says after what time to come back. */
+    /** Admits a watch and returns empty, or returns the retry delay. */
     Optional<Duration> admit(Instant now) {
         availableNanos = Math.min(maxNanos, availableNanos + Duration.between(filledAt, now).toNanos());
         filledAt = now;
@@ -55,7 +56,7 @@
         return Optional.of(nextRetryDelay(now));
     }
 
-    /** The time to come back of a watch that is refused, in its turn after those that were refused before. */
+    /** The retry delay of a rejected watch, scheduled after those rejected before. */
     Duration nextRetryDelay(Instant now) {
         Instant earliest = nextRetryAt.isAfter(now) ? nextRetryAt : now;
         nextRetryAt = earliest.plusNanos((long) nanosPerWatch);
--- a/discovery/src/main/java/pathlane/discovery/WatchClient.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchClient.java
@@ -15,18 +15,19 @@
 import pathlane.wire.BadInput;
 
 /**
- * A watch: keeps the services that its user names in step with the source's catalogue, by one publisher at a time out of
- * several. Without any, the last state stays in force. On the loop's thread.
+ * A watch client: synchronizes the services that its user watches with the source's catalogue, using one of several
+ * publishers at a time. While none is connected, the last state stays in use. Not thread-safe: used on the event loop's
+ * thread.
  *
- * <p>A client whose publisher is not its preferred one, or can't be relied on, looks for a better one from time to time. It
- * brings up a second connection, and closes the first once the watch is accepted there.
+ * <p>A client whose publisher is not its preferred one, or is not reliable, periodically tries a better one. It opens a
+ * second connection, and closes the first one when the watch is accepted on the second.
  */
 public final class WatchClient {
 
     private static final Logger LOG = System.getLogger("discovery");
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
-    /** Some 100 KiB of names at the longest, which leaves room for others' messages on the way. */
+    /** About 100 KiB of names at most, so that a message does not delay others on the connection for long. */
     private static final int INTERESTS_PER_MESSAGE = 1_000;
 
     private final WatchTerms terms;
@@ -39,9 +40,9 @@
     private final WatchedServices services;
     private final Connections connections = new Connections();
     private boolean isRunning;
-    /** The connection whose content is applied, from its dial on. */
+    /** The connection whose changes are applied, from the connection attempt on. */
     private Optional<WatchSession> current = Optional.empty();
-    /** The connection to a better publisher, until the watch is accepted there. */
+    /** The connection to a better publisher, until the watch is accepted on it. */
     private Optional<WatchSession> candidate = Optional.empty();
     private Optional<PublisherStatus> status = Optional.empty();
     private Optional<Scheduler.Timer> reconnectTimer = Optional.empty();
@@ -50,7 +51,7 @@
     private Optional<ProgressReport> report = Optional.empty();
     private Optional<ProgressReport> sentReport = Optional.empty();
 
-    /** Dials nothing yet. */
+    /** Does not connect before {@link #start}. */
     public WatchClient(WatchTerms terms, Connector connector, AuthenticatedLink.Context common, Scheduler scheduler,
             RandomGenerator random, WatchListener listener) {
         this.terms = terms;
@@ -62,7 +63,7 @@
         this.services = new WatchedServices(listener, tally);
     }
 
-    /** Begins to look for a publisher. */
+    /** Starts connecting to a publisher. */
     public void start() {
         if (!isRunning) {
             isRunning = true;
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Ends all connections; the last state stays, and nothing more is told. */
+    /** Closes all connections. The last state is kept, and the listener is not called any more. */
     public void stop() {
         isRunning = false;
         cancelTimers();
@@ -95,35 +96,35 @@
         }
     }
 
-    /** Takes a service out of the watch; its state is forgotten. */
+    /** Removes a service from the watch and drops its state. */
     public void unwatch(String service) {
         if (services.unwatch(service)) {
             sendToAll(new WatchMessage.Subscribe(services.isEverything(), true, List.of(), List.of(service)));
         }
     }
 
-    /** Watches all services, those to come among them. */
+    /** Watches all services, including those added later. */
     public void watchEverything() {
         services.watchEverything();
         sendToAll(new WatchMessage.Subscribe(true, true, services.interests(), List.of()));
     }
 
-    /** The state in force of a watched service; empty where none was received, or there is no such service. */
+    /** The current state of a watched service; empty if none was received or the service does not exist. */
     public Optional<ServiceState> state(String service) {
         return services.state(service);
     }
 
-    /** Everything that the watch concerns up to this revision is in force. */
+    /** The revision up to which all changes of the watch are applied. */
     public Revision inForce() {
         return services.inForce();
     }
 
-    /** What the publisher says of itself, while the watch is accepted there. */
+    /** The publisher's status; empty unless the watch is accepted. */
     public Optional<PublisherStatus> status() {
         return status;
     }
 
-    /** The publisher's name, while the watch is accepted there. */
+    /** The publisher's name; empty unless the watch is accepted. */
     public Optional<String> publisher() {
         return current.filter(WatchSession::isAccepted).map(session -> session.publisher().name());
     }
@@ -132,7 +133,7 @@
         return tally.total();
     }
 
-    /** How far the subscribers below a relay are: sent on when it has changed, once a second at most. */
+    /** Reports the progress of a relay's subscribers: sent when it has changed, at most once a second. */
     public void report(ProgressReport fresh) {
         report = Optional.of(fresh);
         if (reportTimer.isEmpty()) {
@@ -199,16 +200,16 @@
                     List.of()));
             from = to;
         } while (from < held.size());
-        // At once, so that a relay is never counted as a controller.
+        // Sent immediately, so that a relay is never counted as a controller.
         report.ifPresent(known -> session.send(new WatchMessage.Progress(known)));
     }
 
     private void accepted(WatchSession session, PublisherStatus fresh) {
         if (session.isAccepted()) {
-            throw new BadInput("a watch that is accepted twice");
+            throw new BadInput("the publisher accepted the watch twice");
         }
         if (services.isOutdated(fresh.revision())) {
-            session.end(CloseReason.OVERTAKEN);   // it never heard that the source has begun anew
+            session.end(CloseReason.OVERTAKEN);   // the publisher has not received the source's new epoch
             return;
         }
         if (isCandidate(session)) {
@@ -259,7 +260,7 @@
         connect();
     }
 
-    // ---- going to a better publisher
+    // ---- moving to a better publisher
 
     private static boolean isReliable(PublisherStatus status) {
         return status.complete() && status.staleFor().isZero();
@@ -296,7 +297,7 @@
     private void tryBetterPublisher() {
         moveTimer = Optional.empty();
         if (publisher().isEmpty()) {
-            return;   // planned again once a publisher has accepted
+            return;   // scheduled again when a publisher accepts the watch
         }
         boolean isReliable = status.filter(WatchClient::isReliable).isPresent();
         candidate = selector.better(publisher().get(), isReliable, scheduler.now()).map(this::open);
@@ -305,7 +306,7 @@
         }
     }
 
-    // ---- what the publisher tells
+    // ---- messages of the publisher
 
     private void process(WatchSession session, WatchMessage.Response response) {
         if (response instanceof WatchMessage.Update update) {
@@ -326,13 +327,13 @@
         boolean isComplete = status.filter(PublisherStatus::complete).isPresent();
         switch (services.apply(change, isComplete)) {
             case REQUEST_SNAPSHOT -> requestSnapshots(List.of(change.service()));
-            case UNUSABLE_PUBLISHER -> throw new BadInput("a snapshot of '" + change.service()
-                    + "' that differs from its digest");
+            case UNUSABLE_PUBLISHER -> throw new BadInput("the snapshot of '" + change.service()
+                    + "' does not match its digest");
             case DONE -> {}
         }
     }
 
-    /** What the connections tell; those that were given up concern nobody. */
+    /** Handles events of connections; those of connections no longer in use are ignored. */
     private final class Connections implements WatchSession.Owner {
 
         @Override
@@ -354,7 +355,7 @@
             } else if (response instanceof WatchMessage.Refused one) {
                 refused(session, one.comeBackAfter());
             } else if (!session.isAccepted()) {
-                throw new BadInput("content of a publisher that has not accepted the watch");
+                throw new BadInput("the publisher sent content before it accepted the watch");
             } else {
                 process(session, response);
             }
--- a/discovery/src/main/java/pathlane/discovery/WatchCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchCodec.java
@@ -22,8 +22,9 @@
 import pathlane.wire.BadInput;
 
 /**
- * The watch's messages as MessagePack: a message's kind, then its fields in the order of its record, lists with their length
- * first. A {@link ServiceChange} is written apart from its update, so that it is encoded once for all subscribers.
+ * Encodes and decodes the watch's messages as MessagePack: a message's kind, then its fields in the order of its record;
+ * lists are preceded by their length. A {@link ServiceChange} is encoded separately from its update, so that it is encoded
+ * once for all subscribers.
  */
 public final class WatchCodec {
 
@@ -36,7 +37,7 @@
     private static final int BOOKMARK = 7;
     private static final int STATUS = 8;
 
-    /** Guards sums of times against overflow. */
+    /** Prevents overflow in sums of durations. */
     private static final Duration MAX_DURATION = Duration.ofDays(3_650);
 
     private WatchCodec() {}
@@ -46,12 +47,12 @@
         return packed(packer -> write(packer, message));
     }
 
-    /** Encodes a change by itself, for {@link #update}. */
+    /** Encodes a single change, for {@link #update}. */
     public static byte[] bytes(ServiceChange change) {
         return packed(packer -> ServiceChangeCodec.write(packer, change));
     }
 
-    /** The {@link Update} of changes that are encoded already. */
+    /** Encodes an {@link Update} of changes already encoded. */
     public static byte[] update(long batch, List<byte[]> changes) {
         return packed(packer -> {
             packer.packInt(UPDATE).packLong(batch).packArrayHeader(changes.size());
@@ -64,17 +65,17 @@
     /**
      * Decodes a message.
      *
-     * @throws BadInput where it is none, or has more behind it
+     * @throws BadInput if it is malformed or followed by more bytes
      */
     public static WatchMessage message(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             WatchMessage message = read(unpacker);
             if (unpacker.hasNext()) {
-                throw new BadInput("more behind a message of the watch");
+                throw new BadInput("trailing bytes after a watch message");
             }
             return message;
         } catch (IOException | MessagePackException | DateTimeException | ArithmeticException e) {
-            throw new BadInput("not a message of the watch: " + e.getMessage());
+            throw new BadInput("malformed watch message: " + e.getMessage());
         }
     }
 
@@ -87,7 +88,7 @@
             writer.write(packer);
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new UncheckedIOException(e);   // a buffer in memory has none
+            throw new UncheckedIOException(e);   // can't happen: the buffer is in memory
         }
     }
 
@@ -130,7 +131,7 @@
                     WatchFields.list(unpacker, ServiceChangeCodec::read));
             case BOOKMARK -> new Bookmark(WatchFields.revision(unpacker));
             case STATUS -> new Status(status(unpacker));
-            default -> throw new BadInput("a message of kind " + kind);
+            default -> throw new BadInput("unknown kind of message: " + kind);
         };
     }
 
--- a/discovery/src/main/java/pathlane/discovery/WatchCounters.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchCounters.java
@@ -1,22 +1,22 @@
 package pathlane.discovery;
 
 /**
- * What a watch client has counted since it was made.
+ * The counters of a watch client since its creation.
  *
- * @param connections publishers that accepted the watch
- * @param bytesReceived payloads of messages, without framing
+ * @param connections connections on which the watch was accepted
+ * @param bytesReceived message payloads, without framing
  * @param messagesReceived messages of all kinds
- * @param snapshots services that were received whole
- * @param deltas services of which a change was received
- * @param bookmarks revisions of the catalogue that were received without content
- * @param refused watches that a publisher did not take
- * @param gaps changes that did not follow, or led to another content than their sender's
- * @param withheld changes of an incomplete publisher that were not believed
+ * @param snapshots snapshots received
+ * @param deltas deltas received
+ * @param bookmarks bookmarks received
+ * @param refused watches rejected by a publisher
+ * @param gaps changes that did not follow the state held, or whose result did not match the sender's digest
+ * @param withheld changes of an incomplete publisher that were not applied
  */
 public record WatchCounters(long connections, long bytesReceived, long messagesReceived, long snapshots, long deltas,
         long bookmarks, long refused, long gaps, long withheld) {
 
-    /** The counters while they are counted. */
+    /** The mutable counters. */
     static final class Tally {
         long connections;
         long bytesReceived;
--- a/discovery/src/main/java/pathlane/discovery/WatchFields.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchFields.java
@@ -9,12 +9,12 @@
 import org.msgpack.core.MessageUnpacker;
 import pathlane.wire.BadInput;
 
-/** The fields that several of the watch's messages share, each with its limits. */
+/** Encodes and decodes the fields shared by several watch messages, and checks their limits. */
 final class WatchFields {
 
-    /** Guards memory against lengths that no fleet has. */
+    /** Limits memory use; longer lists than any deployment has are rejected. */
     private static final int MAX_ITEMS = 1 << 20;
-    /** As in the opening of a connection. */
+    /** The same limit as in the handshake of a connection. */
     private static final int MAX_SUBSCRIBER_NAME_BYTES = 255;
 
     private WatchFields() {}
@@ -40,7 +40,10 @@
         return list(unpacker, MAX_ITEMS, reader);
     }
 
-    /** The list grows as its items are read: a length alone takes no memory. */
+    /**
+     * Reads a list of at most {@code maxItems} items. It grows as items are read, so that a large announced length alone
+     * allocates no memory.
+     */
     static <T> List<T> list(MessageUnpacker unpacker, int maxItems, ItemReader<T> reader) throws IOException {
         int size = unpacker.unpackArrayHeader();
         if (size > maxItems) {
@@ -61,16 +64,16 @@
         return new Revision(count(unpacker), count(unpacker));
     }
 
-    /** A number that is not negative. */
+    /** Reads a non-negative number. */
     static long count(MessageUnpacker unpacker) throws IOException {
         return count(unpacker, Long.MAX_VALUE);
     }
 
-    /** A number from 0 to a bound. */
+    /** Reads a number from 0 to a maximum. */
     static long count(MessageUnpacker unpacker, long max) throws IOException {
         long count = unpacker.unpackLong();
         if (count < 0 || count > max) {
-            throw new BadInput("the number " + count);
+            throw new BadInput("number out of range: " + count);
         }
         return count;
     }
@@ -79,7 +82,7 @@
         return text(unpacker, CatalogueLimits.LONGEST_NAME);
     }
 
-    /** A subscriber's name. */
+    /** Reads a subscriber's name. */
     static String name(MessageUnpacker unpacker) throws IOException {
         return text(unpacker, MAX_SUBSCRIBER_NAME_BYTES);
     }
@@ -88,7 +91,7 @@
         String text = unpacker.unpackString();
         int length = text.getBytes(StandardCharsets.UTF_8).length;
         if (length == 0 || length > maxBytes) {
-            throw new BadInput("a name of " + length + " bytes");
+            throw new BadInput("invalid name of " + length + " bytes");
         }
         return text;
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchListener.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchListener.java
@@ -1,20 +1,20 @@
 package pathlane.discovery;
 
-/** What a watch client tells its user. On the loop's thread; the user has applied a change once the call returns. */
+/** Receives the events of a watch client, on the event loop's thread. A change counts as applied when the call returns. */
 public interface WatchListener {
 
-    /** A watched service has a new state in force. The change says what differs from the state before. */
+    /** A watched service has a new state. The change describes the difference from the previous state. */
     void changed(ServiceState state, ServiceChange change);
 
-    /** The catalogue has no such service, or no longer; its endpoints are gone. */
+    /** The service does not exist, or was removed together with its endpoints. */
     void absent(String service, Revision revision);
 
-    /** What the current publisher says of itself; unconnected clients keep the last state in force. */
+    /** The current publisher's status. While the client is disconnected, the last state stays in use. */
     void status(PublisherStatus status);
 
-    /** Everything that the watch concerns up to this revision is in force now. */
+    /** All changes of the watch up to this revision are applied now. */
     default void inForce(Revision revision) {}
 
-    /** The connection to the publisher that had accepted the watch is lost; the last state stays in force. */
+    /** The connection to the publisher that had accepted the watch was lost; the last state stays in use. */
     default void disconnected() {}
 }
--- a/discovery/src/main/java/pathlane/discovery/WatchSession.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchSession.java
@@ -10,18 +10,22 @@
 import pathlane.group.AuthenticatedLink;
 import pathlane.wire.BadInput;
 
-/** One connection of a watch client to a publisher, from the dial to its end. */
+/** One connection of a watch client to a publisher, from the connection attempt to its end. */
 final class WatchSession implements AuthenticatedLink.Listener {
 
-    /** What the client is told of its connections. */
+    /** Receives the events of the client's connections. */
     interface Owner {
-        /** The publisher has shown that it has the key. */
+        /** The publisher has proved that it holds the shared key. */
         void connected(WatchSession session);
 
-        /** @throws BadInput where it can't be used; the connection then ends */
+        /**
+         * Handles a message of the publisher.
+         *
+         * @throws BadInput if the message is invalid; the connection is then closed
+         */
         void received(WatchSession session, Response response);
 
-        /** It has ended, or never came up; called once, and last. */
+        /** The connection was closed or could not be established; called exactly once, as the last call. */
         void ended(WatchSession session, CloseReason end);
     }
 
@@ -69,7 +73,7 @@
         isAccepted = true;
     }
 
-    /** Whether the publisher took the watch not now. */
+    /** Whether the publisher rejected the watch temporarily. */
     boolean wasRefused() {
         return isRefused;
     }
@@ -82,7 +86,7 @@
         link.send(WatchCodec.bytes(request));
     }
 
-    /** Ends it; the owner hears of it within this call, however long the connection takes to close. */
+    /** Closes the connection; the owner is notified within this call, however long closing takes. */
     void end(CloseReason reason) {
         link.close(reason);
         closed(reason);
@@ -95,7 +99,7 @@
         owner.connected(this);
     }
 
-    /** What was held up by an own stall may have come long since: that time does not count. */
+    /** The lag of this process does not count: messages may have arrived during a stall without having been read yet. */
     private void checkSilence() {
         Duration silent = Duration.between(lastReceived, scheduler.now()).minus(scheduler.lag());
         Duration left = silenceTimeout.minus(silent);
@@ -112,7 +116,7 @@
         tally.messagesReceived++;
         tally.bytesReceived += payload.length;
         if (!(WatchCodec.message(payload) instanceof Response response)) {
-            throw new BadInput("a subscriber's message from a publisher");
+            throw new BadInput("a publisher sent a message of a subscriber");
         }
         owner.received(this, response);
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchedServices.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchedServices.java
@@ -8,17 +8,17 @@
 import pathlane.discovery.WatchMessage.Interest;
 
 /**
- * The replicas of a watch, and up to which revision everything that it concerns is in force. What is missing or not believed
- * of one service holds that revision back, and nothing else.
+ * The replicas of the watched services, and the revision up to which all changes of the watch are applied. A service whose
+ * content is missing or withheld holds back that revision, but does not affect other services.
  */
 final class WatchedServices {
 
-    /** What a change asks of the client. */
+    /** The action that the client must take after a change. */
     enum Outcome { DONE, REQUEST_SNAPSHOT, UNUSABLE_PUBLISHER }
 
     private static final class Watched {
         final ServiceReplica replica;
-        /** Whether the service was asked for whole, and has not come since. */
+        /** Whether a snapshot was requested and has not arrived yet. */
         boolean isSnapshotAwaited;
         boolean isWithheld;
 
@@ -43,17 +43,17 @@
         this.tally = tally;
     }
 
-    /** Adds a service; false where it is watched already. */
+    /** Adds a service; false if it is watched already. */
     boolean watch(String service) {
         return services.putIfAbsent(service, new Watched(new ServiceReplica(service))) == null;
     }
 
-    /** Ends the watch of a service; false where it was not watched. */
+    /** Removes a service from the watch; false if it was not watched. */
     boolean unwatch(String service) {
         return !isEverything && services.remove(service) != null;
     }
 
-    /** All services are watched from now on. */
+    /** Watches all services from now on. */
     void watchEverything() {
         isEverything = true;
     }
@@ -71,19 +71,19 @@
     }
 
     /**
-     * Whether a publisher at this revision has only content of an earlier start of the source than some that is in force.
-     * Asked when it accepts the watch: later it may send services of the new start before it holds all of them.
+     * Whether a publisher at this revision holds only content of an earlier epoch than some content applied here. Checked
+     * when the publisher accepts the watch: later it may send services of the new epoch before it has all of them.
      */
     boolean isOutdated(Revision publisherRevision) {
         return publisherRevision.epoch() < epoch;
     }
 
-    /** What is held of each service, to be told to a publisher. */
+    /** The versions held of all services, to be sent to a publisher. */
     List<Interest> interests() {
         return services.values().stream().map(watched -> watched.replica).map(ServiceReplica::interest).toList();
     }
 
-    /** Another publisher has been told what is held, and sends what is missing: nothing of the former's is awaited. */
+    /** Resets pending requests: another publisher has received the versions held and sends what is missing. */
     void resumed() {
         services.values().forEach(watched -> {
             watched.isSnapshotAwaited = false;
@@ -91,7 +91,7 @@
         });
     }
 
-    /** Services whose content was not believed, and can be asked for again since the publisher is complete by now. */
+    /** Marks the services whose changes were withheld as requested, and returns them: the publisher is complete now. */
     List<String> takeWithheld() {
         List<String> names = new ArrayList<>();
         services.values().stream().filter(watched -> watched.isWithheld).forEach(watched -> {
@@ -119,7 +119,7 @@
             tally.withheld++;
             watched.isWithheld = true;
         } else if (!(change instanceof ServiceChange.Delta)) {
-            watched.isSnapshotAwaited = false;   // the publisher is not ahead of what is in force
+            watched.isSnapshotAwaited = false;   // the publisher has nothing newer than the state applied
         }
         return Outcome.DONE;
     }
@@ -132,7 +132,10 @@
         }
     }
 
-    /** A service that comes up while everything is watched did not exist at the revision in force. */
+    /**
+     * Finds the replica to apply a change to. While everything is watched, an unknown service did not exist at the
+     * revision applied.
+     */
     private Optional<Watched> findTarget(String service) {
         if (isEverything) {
             return Optional.of(services.computeIfAbsent(service, name -> new Watched(new ServiceReplica(name, inForce))));
@@ -151,7 +154,7 @@
     private Outcome handleGap(Watched watched, ServiceChange change, boolean isPublisherComplete) {
         tally.gaps++;
         if (change instanceof ServiceChange.Snapshot) {
-            return Outcome.UNUSABLE_PUBLISHER;   // asking again would bring the same
+            return Outcome.UNUSABLE_PUBLISHER;   // another request would return the same snapshot
         }
         if (watched.isSnapshotAwaited || watched.isWithheld && !isPublisherComplete) {
             return Outcome.DONE;
@@ -160,7 +163,7 @@
         return Outcome.REQUEST_SNAPSHOT;
     }
 
-    /** Everything up to this revision was sent by a complete publisher. */
+    /** Handles a bookmark of a complete publisher: all changes up to this revision were sent. */
     void bookmark(Revision revision) {
         if (!revision.isAfter(inForce) || services.values().stream().anyMatch(Watched::isBehind)) {
             return;
@@ -168,7 +171,7 @@
         inForce = revision;
         epoch = Math.max(epoch, revision.epoch());
         if (isEverything) {
-            // What is absent at the revision in force needs no replica of its own any more.
+            // Services absent at the applied revision need no replica any more.
             services.values().removeIf(watched -> watched.replica.state().isEmpty()
                     && !watched.replica.revision().isAfter(revision));
         }
--- a/discovery/src/main/java/pathlane/discovery/package-info.java
+++ b/discovery/src/main/java/pathlane/discovery/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Discovery by scoped watches: a catalogue of services under growing revisions, publishers that fan its changes out, relays
- * between them, and the client that a call controller holds. State machines fed typed messages and time; this package knows
- * no socket, no file, no thread and no clock, and nothing of calls.
+ * Service discovery by scoped watches: a catalogue of services with monotonically increasing revisions, publishers that
+ * distribute its changes, relays between them, and the client that a call controller runs. The classes are state machines
+ * driven by typed messages and time; the package does no I/O, starts no threads, reads no clock and does not depend on the
+ * handling of calls.
  */
 package pathlane.discovery;
--- a/discovery/src/test/java/pathlane/discovery/Samples.java
+++ b/discovery/src/test/java/pathlane/discovery/Samples.java
@@ -49,7 +49,8 @@
     /** The delta that removes endpoints from a state. */
     static ServiceChange.Delta removing(ServiceState before, Revision revision, Long... ids) {
         List<Long> removed = Arrays.asList(ids);
-        List<ServerEndpoint> after = before.endpoints().stream().filter(endpoint -> !removed.contains(endpoint.id())).toList();
+        List<ServerEndpoint> after =
+                before.endpoints().stream().filter(endpoint -> !removed.contains(endpoint.id())).toList();
         return new ServiceChange.Delta(SERVICE, before.revision(), revision, ServiceDigest.of(after, ""), List.of(),
                 removed, Optional.empty());
     }
