--- a/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
@@ -11,7 +11,7 @@
 
 /**
  * One service's state at a subscriber. A change is applied only if the result is exactly the content that its sender
- * holds; otherwise the state is left unchanged, and the result tells the caller what to do.
+ * holds; otherwise the state is left unchanged, and the result names the required action.
  */
 public final class ServiceReplica {
 
--- a/discovery/src/main/java/pathlane/discovery/WatchAdmission.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchAdmission.java
@@ -11,7 +11,7 @@
  */
 final class WatchAdmission {
 
-    /** The longest retry delay before jitter; the load may have changed by then, so longer delays would be of no use. */
+    /** The longest retry delay before jitter: the load is likely to have changed by then. */
     static final Duration MAX_WAIT = Duration.ofSeconds(30);
     /** Retry delays are extended by up to this share, which shuffles the order of the rejected subscribers. */
     private static final double JITTER = 0.25;
--- a/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
+++ b/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
@@ -25,15 +25,15 @@
 
 class CatalogueTest {
 
-    private static Catalogue begun(int historyChanges) {
+    private static Catalogue startedCatalogue(int historyChanges) {
         Catalogue catalogue = new Catalogue(historyChanges);
         catalogue.begin(1);
         return catalogue;
     }
 
     @Test
-    void eachChangeHasTheNextRevisionAndNoDifferenceHasNone() {
-        Catalogue catalogue = begun(10);
+    void eachChangeGetsTheNextRevisionUnlessNothingDiffers() {
+        Catalogue catalogue = startedCatalogue(10);
         assertEquals(new Revision(1, 1), catalogue.replace("a", endpoints(1, 2), "x"));
         assertEquals(new Revision(1, 1), catalogue.replace("a", endpoints(1, 2), "x"));
         assertEquals(new Revision(1, 2), catalogue.update("a", List.of(), List.of(2L), Optional.empty()));
@@ -47,7 +47,7 @@
 
     @Test
     void anEndpointThatIsGoneIsRemoved() {
-        Catalogue catalogue = begun(10);
+        Catalogue catalogue = startedCatalogue(10);
         catalogue.replace("a", endpoints(1, 2), "");
         catalogue.update("a", List.of(endpoint(1, ServerStatus.GONE)), List.of(), Optional.empty());
         assertEquals(endpoints(2, 2), catalogue.state("a").orElseThrow().endpoints());
@@ -56,7 +56,7 @@
     @Test
     void theDigestIsThatOfTheContentAfterAnyChanges() {
         Random random = new Random(3);
-        Catalogue catalogue = begun(10);
+        Catalogue catalogue = startedCatalogue(10);
         Map<Long, ServerEndpoint> content = new HashMap<>();
         for (int i = 0; i < 500; i++) {
             ServerEndpoint endpoint = endpoint(random.nextInt(20), ServerStatus.values()[random.nextInt(2)]);
@@ -92,8 +92,8 @@
     }
 
     @Test
-    void theHistoryMakesOneDeltaOfAllChangesSinceARevision() {
-        Catalogue catalogue = begun(100);
+    void theHistoryMergesAllChangesSinceARevisionIntoOneDelta() {
+        Catalogue catalogue = startedCatalogue(100);
         Revision from = catalogue.replace("a", endpoints(1, 3), "x");
         catalogue.update("a", List.of(endpoint(4), endpoint(5)), List.of(1L), Optional.empty());
         catalogue.replace("b", endpoints(1, 3), "");
@@ -110,8 +110,8 @@
     }
 
     @Test
-    void theHistoryIsBoundedInChangesAndInWhatTheyTouch() {
-        Catalogue catalogue = begun(10);
+    void theHistoryIsBoundedInChangesAndChangedEndpoints() {
+        Catalogue catalogue = startedCatalogue(10);
         Revision from = catalogue.replace("a", endpoints(1, 3), "");
         for (int i = 0; i < 5; i++) {
             catalogue.update("a", List.of(endpoint(10 + i)), List.of(), Optional.empty());
@@ -126,8 +126,8 @@
     }
 
     @Test
-    void aServiceThatCameAgainHasNoHistoryFromBefore() {
-        Catalogue catalogue = begun(100);
+    void aServiceAddedAgainHasNoEarlierHistory() {
+        Catalogue catalogue = startedCatalogue(100);
         Revision from = catalogue.replace("a", endpoints(1, 3), "");
         catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
         catalogue.remove("a");
@@ -136,8 +136,8 @@
     }
 
     @Test
-    void aRelaysCatalogueFollowsItsUpstreamAndPassesOverWhatIsOld() {
-        Catalogue source = begun(100);
+    void aRelaysCatalogueFollowsItsUpstreamAndIgnoresOldChanges() {
+        Catalogue source = startedCatalogue(100);
         Catalogue relay = new Catalogue(100);
         List<Revision> advanced = new ArrayList<>();
         relay.addListener(new CatalogueListener() {
@@ -171,8 +171,8 @@
     }
 
     @Test
-    void aSnapshotAtARelayIsPassedOnAsWhatItChanged() {
-        Catalogue source = begun(1);
+    void aRelayForwardsASnapshotAsADelta() {
+        Catalogue source = startedCatalogue(1);
         Catalogue relay = new Catalogue(100);
         Revision from = source.replace("a", endpoints(1, 3), "");
         ServiceState first = source.state("a").orElseThrow();
@@ -185,8 +185,8 @@
     }
 
     @Test
-    void whatNoSubscriberCouldReadIsRefusedBeforeAnythingChanges() {
-        Catalogue catalogue = begun(10);
+    void invalidContentIsRejectedWithoutAnyChange() {
+        Catalogue catalogue = startedCatalogue(10);
         ServerEndpoint weightless =
                 new ServerEndpoint(1, endpoint(1).address(), ServerStatus.RUNNING, 0, Double.NaN, Instant.EPOCH);
         assertThrows(IllegalArgumentException.class, () -> catalogue.replace("", List.of(), ""));
--- a/discovery/src/test/java/pathlane/discovery/ProgressTest.java
+++ b/discovery/src/test/java/pathlane/discovery/ProgressTest.java
@@ -15,7 +15,9 @@
 import pathlane.discovery.PublisherHarness.Subscriber;
 import pathlane.discovery.WatchMessage.Acknowledge;
 
-/** How far controllers are, as it is added up, reported within bounds, and read at the root. */
+/**
+ * Tests that progress reports are aggregated within their bounds and that the source measures when a change is applied.
+ */
 class ProgressTest {
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -30,7 +32,7 @@
     }
 
     @Test
-    void aReportIsBoundedAndNeverSaysThatAControllerIsFurtherThanItIs() {
+    void aReportIsBoundedAndNeverOverstatesAControllersRevision() {
         ProgressTable table = new ProgressTable();
         PublisherHarness harness = new PublisherHarness();
         for (int i = 0; i < 40; i++) {
@@ -39,15 +41,15 @@
         }
         ProgressReport report = table.report(revision(29));
         assertEquals(ProgressReport.MAX_LEVELS, report.levels().size());
-        assertEquals(new ProgressReport.Level(revision(0), 1), report.levels().get(0), "the lowest is exact");
+        assertEquals(new ProgressReport.Level(revision(0), 1), report.levels().get(0), "the lowest level is exact");
         assertEquals(40, report.levels().stream().mapToLong(ProgressReport.Level::controllers).sum());
-        assertEquals(new ProgressReport.Level(revision(29), 11), report.levels().get(15), "large levels stay apart");
+        assertEquals(new ProgressReport.Level(revision(29), 11), report.levels().get(15), "large levels are not merged");
         assertEquals(List.of("c0", "c1", "c2", "c3", "c4", "c5", "c6", "c7"),
                 report.slowest().stream().map(ProgressReport.SlowController::name).toList());
     }
 
     @Test
-    void aRevisionIsInForceEverywhereOnceTheSlowestHasIt() {
+    void aRevisionIsInForceEverywhereWhenTheSlowestControllerHasAppliedIt() {
         InForceTracker tracker = new InForceTracker();
         tracker.note(revision(1), START);
         tracker.note(revision(2), START.plusMillis(100));
@@ -62,7 +64,7 @@
     }
 
     @Test
-    void aTrackerIsBoundedAndCountsNoTimeWithoutControllers() {
+    void theTrackerIsBoundedAndMeasuresNothingWithoutControllers() {
         InForceTracker tracker = new InForceTracker();
         for (int i = 0; i < 20_000; i++) {
             tracker.note(revision(i), START);
--- a/discovery/src/test/java/pathlane/discovery/PublisherAdmissionTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherAdmissionTest.java
@@ -14,7 +14,7 @@
 class PublisherAdmissionTest {
 
     @Test
-    void watchesBeyondTheRateAreRefusedWithTimesApart() {
+    void watchesBeyondTheRateAreRejectedWithSpacedRetryDelays() {
         PublisherHarness harness = PublisherHarness.complete("a");
         for (int i = 0; i < 3; i++) {
             harness.subscriber("c" + i).watch("a").disconnect();
@@ -24,14 +24,14 @@
         Duration first = fourth.all(Refused.class).get(0).comeBackAfter();
         Duration second = fifth.all(Refused.class).get(0).comeBackAfter();
         assertTrue(first.toMillis() >= 100 && second.toMillis() >= 200 && second.toMillis() <= 250, first + " " + second);
-        assertEquals(CloseReason.LIMIT_REACHED, fourth.end);
+        assertEquals(CloseReason.LIMIT_REACHED, fourth.closeReason);
         harness.time.pass(first);
         assertEquals(1, harness.subscriber("c4").watch("a").all(Accepted.class).size());
         assertEquals(2, harness.publisher.counters().refused());
     }
 
     @Test
-    void subscribersBeyondTheLimitAreRefusedForLonger() {
+    void subscribersBeyondTheLimitAreRejectedWithALongerRetryDelay() {
         PublisherHarness harness = PublisherHarness.complete("a");
         for (int i = 0; i < 3; i++) {
             harness.subscriber("c" + i).watch("a").acknowledging();
@@ -43,17 +43,17 @@
     }
 
     @Test
-    void whoAcknowledgesNothingInTimeIsDisconnected() {
+    void subscribersThatDoNotAcknowledgeInTimeAreDisconnected() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber silent = harness.subscriber("c1").watch("a");
         Subscriber alive = harness.subscriber("c2").watch("a").acknowledging();
-        Subscriber unspoken = harness.subscriber("c3");
+        Subscriber withoutSubscription = harness.subscriber("c3");
         harness.time.pass(Duration.ofMillis(4_900));
-        assertNull(silent.end);
+        assertNull(silent.closeReason);
         harness.time.pass(Duration.ofMillis(300));
-        assertEquals(CloseReason.SILENT, silent.end);
-        assertEquals(CloseReason.UNFINISHED, unspoken.end);
-        assertNull(alive.end);
+        assertEquals(CloseReason.SILENT, silent.closeReason);
+        assertEquals(CloseReason.UNFINISHED, withoutSubscription.closeReason);
+        assertNull(alive.closeReason);
         assertEquals(1, harness.publisher.counters().unresponsive());
         alive.disconnect();
         harness.time.pass(Duration.ofSeconds(1));
@@ -61,18 +61,18 @@
     }
 
     @Test
-    void thePublishersOwnStallCountsAgainstNoSubscriber() {
+    void aStallOfThePublisherIsExcludedFromSubscriberTimeouts() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c1").watch("a");
-        Subscriber unspoken = harness.subscriber("c2");
+        Subscriber withoutSubscription = harness.subscriber("c2");
         harness.time.pass(Duration.ofSeconds(1));
         harness.stall(Duration.ofSeconds(20));
         harness.time.pass(Duration.ofMillis(50));
-        assertNull(subscriber.end, "what it has acknowledged meanwhile is read only now");
-        assertNull(unspoken.end);
+        assertNull(subscriber.closeReason, "acknowledgements that arrived during the stall are read only now");
+        assertNull(withoutSubscription.closeReason);
         subscriber.acknowledging();
         harness.time.pass(Duration.ofSeconds(4));
-        assertNull(subscriber.end);
-        assertEquals(CloseReason.UNFINISHED, unspoken.end);
+        assertNull(subscriber.closeReason);
+        assertEquals(CloseReason.UNFINISHED, withoutSubscription.closeReason);
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
@@ -12,7 +12,7 @@
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.standin.VirtualTime;
 
-/** A publisher above a source's catalogue in virtual time, and subscribers that keep what they are sent. */
+/** A publisher of a source's catalogue in virtual time, with subscribers that record what they receive. */
 final class PublisherHarness {
 
     static final PublisherTerms TERMS = new PublisherTerms(3, 10, 3, 4_000, 1_500, 100, Duration.ofSeconds(1),
@@ -20,17 +20,17 @@
 
     final VirtualTime time = new VirtualTime();
     final Catalogue catalogue = new Catalogue(TERMS.historyChanges());
-    final Publisher publisher = new Publisher(catalogue, TERMS, new PublishersTime(), new Random(1));
+    final Publisher publisher = new Publisher(catalogue, TERMS, new StallableScheduler(), new Random(1));
     private Instant stalledUntil = Instant.MIN;
 
-    /** The publisher's process does nothing for so long, and then what was due meanwhile. */
+    /** Stalls the publisher's process for this time; timers due meanwhile run afterwards. */
     void stall(Duration span) {
         stalledUntil = time.now().plus(span);
         time.pass(span);
     }
 
-    /** Time as the publisher's process sees it. */
-    private final class PublishersTime implements Scheduler {
+    /** The publisher's scheduler, which delays timers during a stall. */
+    private final class StallableScheduler implements Scheduler {
         @Override
         public Instant now() {
             return time.now();
@@ -53,7 +53,7 @@
         }
     }
 
-    /** A complete catalogue of services with these names, of three endpoints each. */
+    /** A publisher with a complete catalogue of these services, with three endpoints each. */
     static PublisherHarness complete(String... services) {
         PublisherHarness harness = new PublisherHarness();
         harness.catalogue.begin(1);
@@ -68,7 +68,7 @@
         return new Subscriber(name);
     }
 
-    /** Lets the end of the turn come. */
+    /** Runs the tasks scheduled for the end of this event loop turn. */
     void endTurn() {
         time.pass(Duration.ZERO);
     }
@@ -78,38 +78,39 @@
         return new Interest(service, state.revision(), state.digest());
     }
 
-    static Interest nothingOf(String service) {
+    static Interest interestWithoutState(String service) {
         return new Interest(service, Revision.NONE, 0);
     }
 
-    /** A connection to the publisher, from the subscriber's end. */
+    /** The subscriber's end of a connection to the publisher. */
     final class Subscriber implements SubscriberPort {
         private final String name;
         private final Publisher.Session session;
         final List<WatchMessage> messages = new ArrayList<>();
         final List<byte[]> bytes = new ArrayList<>();
         boolean acknowledges;
-        boolean stuck;
+        boolean isBlocked;
         boolean closesWithinSend;
-        CloseReason end;
+        CloseReason closeReason;
 
         private Subscriber(String name) {
             this.name = name;
             this.session = publisher.open(this);
         }
 
-        /** Subscribes to services of which nothing is held, and lets the turn end. */
+        /** Subscribes to services without any state held, and ends the turn. */
         Subscriber watch(String... services) {
-            return subscribe(false, Arrays.stream(services).map(PublisherHarness::nothingOf).toArray(Interest[]::new));
+            return subscribe(false,
+                    Arrays.stream(services).map(PublisherHarness::interestWithoutState).toArray(Interest[]::new));
         }
 
         Subscriber subscribe(boolean everything, Interest... interests) {
-            say(new Subscribe(everything, true, List.of(interests), List.of()));
+            sendToPublisher(new Subscribe(everything, true, List.of(interests), List.of()));
             endTurn();
             return this;
         }
 
-        /** Acknowledges all that came and all that will come. */
+        /** Acknowledges all earlier and later messages. */
         Subscriber acknowledging() {
             acknowledges = true;
             messages.forEach(this::acknowledge);
@@ -117,7 +118,7 @@
             return this;
         }
 
-        void say(WatchMessage message) {
+        void sendToPublisher(WatchMessage message) {
             session.received(WatchCodec.bytes(message));
         }
 
@@ -131,9 +132,10 @@
 
         private void acknowledge(WatchMessage message) {
             if (message instanceof WatchMessage.Update update) {
-                time.after(Duration.ZERO, () -> say(new WatchMessage.Acknowledge(update.batch(), Revision.NONE)));
+                time.after(Duration.ZERO,
+                        () -> sendToPublisher(new WatchMessage.Acknowledge(update.batch(), Revision.NONE)));
             } else if (message instanceof WatchMessage.Bookmark bookmark) {
-                time.after(Duration.ZERO, () -> say(new WatchMessage.Acknowledge(0, bookmark.revision())));
+                time.after(Duration.ZERO, () -> sendToPublisher(new WatchMessage.Acknowledge(0, bookmark.revision())));
             }
         }
 
@@ -141,12 +143,12 @@
             return messages.stream().filter(kind::isInstance).map(kind::cast).toList();
         }
 
-        /** All changes that came, in their order. */
+        /** All changes received, in order. */
         List<ServiceChange> changes() {
             return all(WatchMessage.Update.class).stream().flatMap(update -> update.changes().stream()).toList();
         }
 
-        /** Forgets what came so far. */
+        /** Clears the recorded messages. */
         void clear() {
             messages.clear();
             bytes.clear();
@@ -170,12 +172,12 @@
 
         @Override
         public boolean isBlocked() {
-            return stuck;
+            return isBlocked;
         }
 
         @Override
         public void close(CloseReason reason) {
-            end = reason;
+            closeReason = reason;
             session.closed();
         }
     }
--- a/discovery/src/test/java/pathlane/discovery/PublisherLinkTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherLinkTest.java
@@ -13,7 +13,7 @@
 import pathlane.core.CloseReason;
 import pathlane.group.AuthenticatedLink;
 
-/** A source behind signed frames, and the frames of a subscriber. */
+/** Tests a source's connection, with a subscriber that sends signed frames. */
 class PublisherLinkTest {
 
     private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 9000);
@@ -22,7 +22,7 @@
     private final Source source = new Source(1, PublisherHarness.TERMS, network.common("source"), network.time,
             new Random(1));
     private final List<WatchMessage> received = new ArrayList<>();
-    private CloseReason end;
+    private CloseReason closeReason;
     private final AuthenticatedLink client =
             new AuthenticatedLink(network.common("c1"), true, new AuthenticatedLink.Listener() {
                 @Override
@@ -37,7 +37,7 @@
 
                 @Override
                 public void closed(CloseReason reason) {
-                    end = reason;
+                    closeReason = reason;
                 }
             });
 
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aSubscriberIsServedUnderTheNameThatItsConnectionShows() {
+    void aSubscriberIsServedUnderItsAuthenticatedName() {
         source.catalogue().replace("a", Samples.endpoints(1, 3), "");
         source.catalogue().complete();
         connect();
@@ -60,12 +60,12 @@
     }
 
     @Test
-    void whatIsNoMessageOfTheWatchEndsTheConnectionAndItsSession() {
+    void aMalformedMessageClosesTheConnectionAndItsSession() {
         connect();
         assertEquals(1, source.publisher().counters().subscribers());
         client.send(new byte[] {99});
         network.pass(Duration.ofMillis(100));
-        assertEquals(CloseReason.CLOSED_BY_PEER, end);
+        assertEquals(CloseReason.CLOSED_BY_PEER, closeReason);
         assertEquals(0, source.publisher().counters().subscribers());
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/PublisherSelectorTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherSelectorTest.java
@@ -23,8 +23,8 @@
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     private static final Duration BACKOFF = Duration.ofMillis(200);
-    private static final Duration MOST = Duration.ofSeconds(10);
-    private static final Duration RETURN = Duration.ofSeconds(60);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(10);
+    private static final Duration RETURN_WITHIN = Duration.ofSeconds(60);
     private static final int PER_ZONE = 4;
 
     /** Four publishers in each of two zones of one region, and four in another region. */
@@ -35,8 +35,10 @@
             publishers.add(address("near" + i, "b", "east"));
             publishers.add(address("own" + i, "a", "east"));
         }
-        return new PublisherSelector(new WatchTerms(client, "a", "east", publishers, BACKOFF, MOST, Duration.ofSeconds(3),
-                RETURN), new SplittableRandom(client.hashCode()));
+        return new PublisherSelector(
+                new WatchTerms(client, "a", "east", publishers, BACKOFF, MAX_BACKOFF, Duration.ofSeconds(3),
+                        RETURN_WITHIN),
+                new SplittableRandom(client.hashCode()));
     }
 
     private static PublisherAddress address(String name, String zone, String region) {
@@ -56,7 +58,7 @@
     }
 
     @Test
-    void clientsSpreadOverAZoneAndOverTheRestOfItWhenOneIsLost() {
+    void clientsSpreadEvenlyOverAZoneAlsoWhenAPublisherIsLost() {
         Map<String, Integer> first = new HashMap<>();
         Map<String, Integer> second = new HashMap<>();
         for (int i = 0; i < 4_000; i++) {
@@ -72,7 +74,7 @@
     }
 
     @Test
-    void aPublisherThatFailsIsLeftAloneForATimeThatDoublesAndAnotherIsDialledAfterAShortOne() {
+    void aFailedPublisherBacksOffExponentiallyWhileAnotherIsTriedSoon() {
         PublisherSelector selector = selector("client");
         String preferred = name(selector.next(START));
         Duration before = Duration.ZERO;
@@ -81,15 +83,15 @@
             Wait wait = assertInstanceOf(Wait.class, selector.next(START));
             assertTrue(wait.delay().compareTo(BACKOFF.dividedBy(2)) < 0, wait::toString);
             assertNotEquals(preferred, name(selector.next(START.plus(wait.delay()))));
-            Duration most = Duration.ofMillis(Math.min(MOST.toMillis(), BACKOFF.toMillis() << failures));
-            assertEquals(preferred, name(selector.next(START.plus(most))));
-            Duration out = timeOut(selector, preferred);
-            assertTrue(out.compareTo(before) > 0 || out.compareTo(MOST.dividedBy(2)) >= 0, out::toString);
-            before = most.dividedBy(2).minusMillis(1);
+            Duration maxBackoff = Duration.ofMillis(Math.min(MAX_BACKOFF.toMillis(), BACKOFF.toMillis() << failures));
+            assertEquals(preferred, name(selector.next(START.plus(maxBackoff))));
+            Duration backoff = timeUntilSelected(selector, preferred);
+            assertTrue(backoff.compareTo(before) > 0 || backoff.compareTo(MAX_BACKOFF.dividedBy(2)) >= 0, backoff::toString);
+            before = maxBackoff.dividedBy(2).minusMillis(1);
         }
     }
 
-    private static Duration timeOut(PublisherSelector selector, String publisher) {
+    private static Duration timeUntilSelected(PublisherSelector selector, String publisher) {
         Duration after = BACKOFF.dividedBy(2);
         while (!name(selector.next(START.plus(after))).equals(publisher)) {
             after = after.plusMillis(1);
@@ -98,7 +100,7 @@
     }
 
     @Test
-    void aRefusedClientStaysInItsZoneWhereItMayComeBackSoon() {
+    void aRejectedClientStaysInItsZoneIfTheRetryDelayIsShort() {
         PublisherSelector selector = selector("client");
         for (PublisherAddress own : selector.order().subList(0, PER_ZONE)) {
             selector.refused(own.name(), Duration.ofSeconds(1), START);
@@ -110,7 +112,7 @@
     }
 
     @Test
-    void aRefusedClientGoesFurtherWhereItWouldWaitLong() {
+    void aRejectedClientLeavesItsZoneIfTheRetryDelayIsLong() {
         PublisherSelector selector = selector("client");
         for (PublisherAddress own : selector.order().subList(0, PER_ZONE)) {
             selector.refused(own.name(), Duration.ofSeconds(20), START);
@@ -130,10 +132,10 @@
     }
 
     @Test
-    void clientsGoBackAtTimesSpreadOverTheWholeSpan() {
+    void returnDelaysAreSpreadEvenlyOverTheInterval() {
         int[] tenths = new int[10];
         for (int i = 0; i < 1_000; i++) {
-            tenths[(int) (selector("client" + i).returnDelay().toMillis() * 10 / RETURN.toMillis())]++;
+            tenths[(int) (selector("client" + i).returnDelay().toMillis() * 10 / RETURN_WITHIN.toMillis())]++;
         }
         for (int count : tenths) {
             assertTrue(count > 60 && count < 140, () -> List.of(tenths).toString());
--- a/discovery/src/test/java/pathlane/discovery/PublisherTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pathlane.discovery.PublisherHarness.nothingOf;
+import static pathlane.discovery.PublisherHarness.interestWithoutState;
 import static pathlane.discovery.Samples.endpoint;
 import static pathlane.discovery.Samples.endpoints;
 
@@ -33,7 +33,7 @@
     private static final String BIG = "x".repeat(1_000);
 
     @Test
-    void aWatchIsAcceptedThenServedThenBookmarked() {
+    void aWatchReceivesAcceptanceThenContentThenABookmark() {
         PublisherHarness harness = PublisherHarness.complete("a", "b");
         Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
         harness.time.pass(Duration.ofMillis(200));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aChangeReachesWhoWatchesItsServiceAndNobodyElse() {
+    void aChangeReachesOnlyTheSubscribersThatWatchItsService() {
         PublisherHarness harness = PublisherHarness.complete("a", "b");
         Subscriber one = harness.subscriber("c1").watch("a").acknowledging();
         Subscriber other = harness.subscriber("c2").watch("b").acknowledging();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void snapshotsAndDeltasAreEncodedOnceForAllWhoHoldTheSame() {
+    void snapshotsAndDeltasAreEncodedOnceForAllSubscribersWithTheSameVersion() {
         PublisherHarness harness = PublisherHarness.complete("a");
         for (int i = 0; i < 3; i++) {
             harness.subscriber("c" + i).watch("a").acknowledging();
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void removalsAndDrainsLeaveAheadOfAllElse() {
+    void removalsAndDrainsAreSentFirst() {
         PublisherHarness harness = PublisherHarness.complete("a", "b", "c", "d");
         Subscriber subscriber = harness.subscriber("c").watch("a", "b", "c", "d").acknowledging();
         subscriber.clear();
@@ -102,25 +102,25 @@
     }
 
     @Test
-    void aResumedWatchIsToldOfRemovalsFirst() {
+    void aResumedWatchReceivesRemovalsFirst() {
         PublisherHarness harness = PublisherHarness.complete("a", "b", "c");
         Interest a = harness.held("a");
         Interest c = harness.held("c");
         harness.catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
         harness.catalogue.update("c", List.of(), List.of(1L), Optional.empty());
-        Subscriber subscriber = harness.subscriber("c").subscribe(false, a, nothingOf("b"), c);
+        Subscriber subscriber = harness.subscriber("c").subscribe(false, a, interestWithoutState("b"), c);
         assertEquals(List.of("c", "a", "b"), subscriber.changes().stream().map(ServiceChange::service).toList());
     }
 
     @Test
-    void whatIsUnderWayIsBoundedAndWhatComesMeanwhileIsCoalesced() {
+    void unacknowledgedBytesAreBoundedAndFurtherChangesAreCoalesced() {
         PublisherHarness harness = PublisherHarness.complete();
         for (int i = 0; i < 10; i++) {
             harness.catalogue.replace("s" + i, endpoints(1, 2), BIG);
         }
         Subscriber slow = harness.subscriber("c").subscribe(true);
         int sent = slow.changes().size();
-        assertEquals(3, sent, "of 1 KB each, with 4,000 bytes at most under way");
+        assertEquals(3, sent, "of 1 KB each, with at most 4,000 bytes unacknowledged");
         for (int i = 0; i < 50; i++) {
             harness.catalogue.update("s0", List.of(), List.of(), Optional.of(BIG + i));
             harness.endTurn();
@@ -128,7 +128,7 @@
         assertEquals(sent, slow.changes().size());
         assertEquals(49, harness.publisher.counters().coalesced());
         harness.time.pass(Duration.ofMillis(1_500));
-        assertEquals(List.of(), slow.all(Bookmark.class), "not all has been sent");
+        assertEquals(List.of(), slow.all(Bookmark.class), "some changes have not been sent yet");
         slow.acknowledging();
         harness.time.pass(Duration.ofMillis(500));
         assertEquals(11, slow.changes().size());
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void aChangeLargerThanTheWindowLeavesAlone() {
+    void aChangeLargerThanTheWindowIsSentAlone() {
         PublisherHarness harness = PublisherHarness.complete("a");
         harness.catalogue.replace("b", endpoints(1, 2), "y".repeat(10_000));
         Subscriber subscriber = harness.subscriber("c").watch("a", "b");
@@ -147,25 +147,25 @@
     }
 
     @Test
-    void nothingIsSentWhileTheConnectionIsStuck() {
+    void nothingIsSentWhileTheConnectionIsBlocked() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
         subscriber.clear();
-        subscriber.stuck = true;
+        subscriber.isBlocked = true;
         harness.catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
         harness.time.pass(Duration.ofSeconds(2));
         assertEquals(List.of(), subscriber.messages);
-        subscriber.stuck = false;
+        subscriber.isBlocked = false;
         harness.time.pass(Duration.ofMillis(200));
         assertEquals(1, subscriber.changes().size());
-        subscriber.stuck = true;
+        subscriber.isBlocked = true;
         subscriber.clear();
         harness.time.pass(Duration.ofSeconds(2));
         assertEquals(List.of(), subscriber.messages, "no bookmarks either");
     }
 
     @Test
-    void whoHoldsTheContentAlreadyIsSentNoneOfIt() {
+    void contentAlreadyHeldIsNotSentAgain() {
         PublisherHarness former = PublisherHarness.complete("a");
         Interest held = former.held("a");
         PublisherHarness harness = new PublisherHarness();
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void anotherDigestAtTheSameRevisionIsMendedByASnapshot() {
+    void aDifferentDigestAtTheSameRevisionIsRepairedByASnapshot() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Interest held = harness.held("a");
         Subscriber subscriber = harness.subscriber("c").subscribe(false, new Interest("a", held.have(), held.digest() + 1));
@@ -189,14 +189,14 @@
     }
 
     @Test
-    void whoIsAheadOfThePublisherIsSentNothingOlder() {
+    void aSubscriberAheadOfThePublisherReceivesNothingOlder() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Interest ahead = new Interest("a", new Revision(1, 9), 5);
         Interest aheadOfNothing = new Interest("b", new Revision(1, 9), 5);
         Subscriber subscriber = harness.subscriber("c").subscribe(false, ahead, aheadOfNothing).acknowledging();
         harness.time.pass(Duration.ofSeconds(2));
         assertEquals(List.of(), subscriber.changes());
-        assertEquals(List.of(), subscriber.all(Bookmark.class), "a bookmark would say that there is no b");
+        assertEquals(List.of(), subscriber.all(Bookmark.class), "a bookmark would imply that service b does not exist");
         harness.catalogue.advance(new Revision(1, 10));
         harness.time.pass(Duration.ofSeconds(1));
         assertEquals(List.of(new Absent("b", new Revision(1, 10))), subscriber.changes());
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void anIncompletePublisherSaysOfNothingThatItIsAbsent() {
+    void anIncompletePublisherReportsNoServiceAsAbsent() {
         PublisherHarness harness = new PublisherHarness();
         harness.catalogue.begin(1);
         Subscriber subscriber = harness.subscriber("c").watch("a", "b").acknowledging();
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void aServiceThatGoesAndComesAgainIsToldOfAsAbsentThenWhole() {
+    void aServiceRemovedAndAddedAgainIsSentAsAbsentThenAsSnapshot() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
         subscriber.clear();
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void subscribersAreToldThatTheSourceIsLostAndForHowLong() {
+    void subscribersAreNotifiedThatTheSourceIsLostAndForHowLong() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
         harness.publisher.setStaleSince(Optional.of(harness.time.now()));
@@ -252,36 +252,36 @@
     }
 
     @Test
-    void aWatchInPartsIsServedWithoutWhatALaterPartHolds() {
+    void aSubscriptionInSeveralMessagesIsNotSentWhatALaterMessageHolds() {
         PublisherHarness harness = PublisherHarness.complete("a", "b");
         Interest held = harness.held("b");
         Subscriber relay = harness.subscriber("r");
-        relay.say(new Subscribe(true, false, List.of(harness.held("a")), List.of()));
+        relay.sendToPublisher(new Subscribe(true, false, List.of(harness.held("a")), List.of()));
         harness.catalogue.update("b", List.of(endpoint(4)), List.of(), Optional.empty());
         harness.endTurn();
         assertEquals(List.of(), relay.changes());
-        relay.say(new Subscribe(true, true, List.of(held), List.of()));
+        relay.sendToPublisher(new Subscribe(true, true, List.of(held), List.of()));
         harness.endTurn();
         assertEquals(1, relay.changes().size());
         assertInstanceOf(Delta.class, relay.changes().get(0));
     }
 
     @Test
-    void anEndedWatchHearsNothingMoreAndOneAskedForAnewHearsAll() {
+    void anEndedWatchReceivesNothingMoreAndARequestedServiceIsSentCompletely() {
         PublisherHarness harness = PublisherHarness.complete("a", "b", "c");
         Subscriber subscriber = harness.subscriber("c").watch("a", "b", "c").acknowledging();
         subscriber.clear();
         harness.catalogue.update("c", List.of(endpoint(4)), List.of(), Optional.empty());
-        subscriber.say(new Subscribe(false, true, List.of(nothingOf("b")), List.of("a")));
+        subscriber.sendToPublisher(new Subscribe(false, true, List.of(interestWithoutState("b")), List.of("a")));
         harness.catalogue.update("a", List.of(), List.of(1L), Optional.empty());
         harness.endTurn();
         assertEquals(List.of("b", "c"), subscriber.changes().stream().map(ServiceChange::service).toList(),
-                "what is asked for anew comes first: it may name servers that are gone");
+                "a service requested again comes first: its old state may list removed servers");
         assertEquals(new Snapshot(harness.catalogue.state("b").orElseThrow()), subscriber.changes().get(0));
         subscriber.disconnect();
         harness.catalogue.update("c", List.of(endpoint(5)), List.of(), Optional.empty());
         harness.catalogue.update("c", List.of(endpoint(6)), List.of(), Optional.empty());
-        assertEquals(0, harness.publisher.counters().coalesced(), "nothing is queued for a session that has ended");
+        assertEquals(0, harness.publisher.counters().coalesced(), "nothing is queued for a closed session");
     }
 
     @Test
@@ -289,12 +289,12 @@
         PublisherHarness harness = PublisherHarness.complete("a");
         Revision behind = new Revision(1, 0);
         Subscriber controller = harness.subscriber("c").watch("a");
-        controller.say(new Acknowledge(1, harness.catalogue.revision()));
+        controller.sendToPublisher(new Acknowledge(1, harness.catalogue.revision()));
         Subscriber relay = harness.subscriber("r").subscribe(true);
-        relay.say(new Progress(new ProgressReport(List.of(new ProgressReport.Level(behind, 1),
+        relay.sendToPublisher(new Progress(new ProgressReport(List.of(new ProgressReport.Level(behind, 1),
                 new ProgressReport.Level(harness.catalogue.revision(), 7)),
                 List.of(new ProgressReport.SlowController("c9", behind)))));
-        relay.say(new Acknowledge(1, harness.catalogue.revision()));
+        relay.sendToPublisher(new Acknowledge(1, harness.catalogue.revision()));
         assertEquals(new ProgressReport(List.of(new ProgressReport.Level(behind, 1),
                 new ProgressReport.Level(harness.catalogue.revision(), 8)),
                 List.of(new ProgressReport.SlowController("c9", behind))), harness.publisher.progress());
@@ -304,31 +304,31 @@
     }
 
     @Test
-    void whatBreaksTheProtocolIsBadInput() {
+    void protocolViolationsAreBadInput() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c");
-        assertThrows(BadInput.class, () -> subscriber.say(new Acknowledge(0, Revision.NONE)));
+        assertThrows(BadInput.class, () -> subscriber.sendToPublisher(new Acknowledge(0, Revision.NONE)));
         subscriber.watch("a");
-        assertThrows(BadInput.class, () -> subscriber.say(new Acknowledge(2, Revision.NONE)));
-        assertThrows(BadInput.class, () -> subscriber.say(new Bookmark(Revision.NONE)));
+        assertThrows(BadInput.class, () -> subscriber.sendToPublisher(new Acknowledge(2, Revision.NONE)));
+        assertThrows(BadInput.class, () -> subscriber.sendToPublisher(new Bookmark(Revision.NONE)));
     }
 
     @Test
-    void aConnectionThatEndsWithinASendLeavesNothingBehind() {
+    void aConnectionClosedDuringSendLeavesNoState() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c");
         subscriber.closesWithinSend = true;
         subscriber.watch("a");
         harness.catalogue.remove("a");
         harness.endTurn();
-        assertEquals(1, subscriber.messages.size(), "the acceptance, and nothing after its end");
+        assertEquals(1, subscriber.messages.size(), "the acceptance, and nothing after the connection was closed");
         assertEquals(0, harness.publisher.counters().subscribers());
         assertEquals(0, harness.publisher.counters().coalesced());
         assertEquals(List.of(), harness.publisher.progress().levels());
     }
 
     @Test
-    void namesThatComeAndGoTakeNoMemoryOfWhoWatchesEverything() {
+    void removedServicesAreNotRetainedForSubscribersThatWatchEverything() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber relay = harness.subscriber("r").subscribe(true).acknowledging();
         for (int i = 0; i < 10; i++) {
--- a/discovery/src/test/java/pathlane/discovery/RelayTest.java
+++ b/discovery/src/test/java/pathlane/discovery/RelayTest.java
@@ -15,7 +15,7 @@
 import pathlane.core.CloseReason;
 import pathlane.discovery.WatchTerms.PublisherAddress;
 
-/** A source, two relays one above the other, and a controller's client below them, over signed links in virtual time. */
+/** Tests a chain of a source, two relays and a controller's client, over signed connections in virtual time. */
 class RelayTest {
 
     private static final InetSocketAddress SOURCE = new InetSocketAddress("127.0.0.1", 1);
@@ -28,19 +28,19 @@
     private Source source = source(1);
     private final Relay upper = relay("upper", SOURCE);
     private final Relay lower = relay("lower", UPPER);
-    private final List<String> told = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final WatchClient client = new WatchClient(terms("client", LOWER), network, network.common("client"),
-            network.time, random.split(), new Told());
+            network.time, random.split(), new RecordingListener());
 
-    private final class Told implements WatchListener {
+    private final class RecordingListener implements WatchListener {
         @Override
         public void changed(ServiceState state, ServiceChange change) {
-            told.add(change.getClass().getSimpleName() + " " + state.revision() + " " + state.endpoints().size());
+            events.add(change.getClass().getSimpleName() + " " + state.revision() + " " + state.endpoints().size());
         }
 
         @Override
         public void absent(String service, Revision revision) {
-            told.add("Absent " + revision);
+            events.add("Absent " + revision);
         }
 
         @Override
@@ -64,7 +64,7 @@
     }
 
     @BeforeEach
-    void startsFromTheTop() {
+    void startSourceRelaysAndClient() {
         source.catalogue().replace(Samples.SERVICE, Samples.endpoints(1, 10), "");
         source.catalogue().replace("other", Samples.endpoints(11, 20), "");
         source.catalogue().complete();
@@ -83,11 +83,11 @@
 
     @Test
     void aChangeReachesAControllerThroughTwoRelaysAsADeltaAndIsReportedBackToTheRoot() {
-        assertEquals(List.of("Snapshot 1.1 10"), told);
+        assertEquals(List.of("Snapshot 1.1 10"), events);
         assertTrue(lower.catalogue().isComplete());
         Revision removed = remove(3);
         network.pass(TICK);
-        assertEquals("Delta " + removed + " 9", told.get(1));
+        assertEquals("Delta " + removed + " 9", events.get(1));
         network.pass(Duration.ofSeconds(5));
         assertEquals(removed, client.inForce());
         assertEquals(List.of(new ProgressReport.Level(removed, 1)), source.publisher().progress().levels());
@@ -95,23 +95,23 @@
     }
 
     @Test
-    void aServiceThatTheCatalogueLacksIsToldAbsentAndAppearsOnceItIsThere() {
+    void aMissingServiceIsReportedAbsentAndSentWhenItIsAdded() {
         client.watch("late");
         network.pass(TICK);
-        assertEquals("Absent 1.2", told.get(1));
+        assertEquals("Absent 1.2", events.get(1));
         Revision added = source.catalogue().replace("late", Samples.endpoints(30, 31), "");
         network.pass(TICK);
-        assertEquals("Snapshot " + added + " 2", told.get(2));
+        assertEquals("Snapshot " + added + " 2", events.get(2));
         client.unwatch("late");
         source.catalogue().remove("late");
         network.pass(Duration.ofSeconds(3));
-        assertEquals(3, told.size());
+        assertEquals(3, events.size());
         assertEquals(Optional.empty(), lower.catalogue().state("late"));
         assertEquals(source.catalogue().revision(), client.inForce());
     }
 
     @Test
-    void aRelayWithoutItsSourceServesOnAndSaysHowOldItsContentIs() {
+    void aRelayWithoutItsSourceContinuesToServeAndReportsStaleness() {
         network.stopListening(SOURCE);
         source.publisher().close(CloseReason.SHUTDOWN);
         network.pass(Duration.ofSeconds(20));
@@ -125,17 +125,17 @@
     }
 
     @Test
-    void aSourceThatStartsAnewIsFollowedWithoutContentWhereNothingDiffers() {
+    void aRestartedSourceIsFollowedWithoutResendingUnchangedContent() {
         source.publisher().close(CloseReason.SHUTDOWN);
         Source former = source;
         source = source(2);
         source.catalogue().replace(Samples.SERVICE, Samples.endpoints(1, 10), "");
         source.catalogue().complete();
         network.pass(Duration.ofSeconds(5));
-        assertEquals(List.of("Snapshot 1.1 10", "Delta 2.1 10"), told);
+        assertEquals(List.of("Snapshot 1.1 10", "Delta 2.1 10"), events);
         assertEquals(new Revision(2, 1), client.inForce());
         assertEquals(Optional.empty(), lower.catalogue().state("other"));
-        network.listen(SOURCE, former::accept);   // the old process was stopped, and goes on
+        network.listen(SOURCE, former::accept);   // the old process was suspended and resumes
         source.publisher().close(CloseReason.SHUTDOWN);
         network.pass(Duration.ofSeconds(10));
         assertEquals(Optional.empty(), upper.upstream().publisher());
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void aRelayThatStartsEmptyIsNotUsedBeforeItHasEverything() {
+    void anEmptyRelayIsNotUsedBeforeItIsComplete() {
         network.stopListening(SOURCE);
         source.publisher().close(CloseReason.SHUTDOWN);
         lower.stop();
@@ -157,6 +157,6 @@
         Revision removed = remove(3);
         network.pass(Duration.ofSeconds(10));
         assertEquals(removed, client.inForce());
-        assertEquals("Delta " + removed + " 9", told.get(told.size() - 1).replace("Snapshot", "Delta"));
+        assertEquals("Delta " + removed + " 9", events.get(events.size() - 1).replace("Snapshot", "Delta"));
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/Samples.java
+++ b/discovery/src/test/java/pathlane/discovery/Samples.java
@@ -10,7 +10,7 @@
 import pathlane.core.ServerEndpoint;
 import pathlane.decision.ServerStatus;
 
-/** Content of services for tests. */
+/** Sample content of services for tests. */
 final class Samples {
 
     static final String SERVICE = "billing";
@@ -25,7 +25,7 @@
         return endpoint(id, ServerStatus.RUNNING);
     }
 
-    /** The ids from one to another, both among them. */
+    /** Endpoints with the ids of a range, both ends included. */
     static List<ServerEndpoint> endpoints(long from, long to) {
         return LongStream.rangeClosed(from, to).mapToObj(Samples::endpoint).toList();
     }
--- a/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
+++ b/discovery/src/test/java/pathlane/discovery/ScriptedPublisher.java
@@ -10,7 +10,7 @@
 import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Protocol;
 
-/** A publisher that says what a test has it say, and keeps what it heard. */
+/** A publisher that sends what a test specifies and records what it receives. */
 final class ScriptedPublisher implements AuthenticatedLink.Listener {
 
     final List<Subscribe> subscribed = new ArrayList<>();
@@ -19,10 +19,11 @@
     private final VirtualNetwork network;
     private final String name;
     private AuthenticatedLink link;
-    private int open;
-    private boolean isWelcomed;
-    /** What it answers to the first message of each connection; null for nothing. */
-    WatchMessage.Response welcome = new WatchMessage.Accepted(new PublisherStatus(true, new Revision(1, 1), Duration.ZERO));
+    private int openConnections;
+    private boolean isFirstResponseSent;
+    /** The response to the first message of each connection; null for none. */
+    WatchMessage.Response firstResponse =
+            new WatchMessage.Accepted(new PublisherStatus(true, new Revision(1, 1), Duration.ZERO));
 
     ScriptedPublisher(VirtualNetwork network, String name, int port) {
         this.network = network;
@@ -34,17 +35,17 @@
     private Protocol accept() {
         AuthenticatedLink accepted = new AuthenticatedLink(network.common(name), false, this);
         link = accepted;
-        open++;
-        isWelcomed = false;
+        openConnections++;
+        isFirstResponseSent = false;
         return accepted;
     }
 
     boolean isConnected() {
-        return open > 0;
+        return openConnections > 0;
     }
 
-    void accepts(boolean complete, Revision revision, Duration staleFor) {
-        welcome = new WatchMessage.Accepted(new PublisherStatus(complete, revision, staleFor));
+    void respondWithAcceptance(boolean complete, Revision revision, Duration staleFor) {
+        firstResponse = new WatchMessage.Accepted(new PublisherStatus(complete, revision, staleFor));
     }
 
     void send(WatchMessage message) {
@@ -53,7 +54,7 @@
     }
 
     void sendIfConnected(WatchMessage message) {
-        if (isWelcomed && isConnected()) {
+        if (isFirstResponseSent && isConnected()) {
             send(message);
         }
     }
@@ -62,14 +63,14 @@
         send(new WatchMessage.Update(batch, List.of(changes)));
     }
 
-    void dies() {
+    void stop() {
         network.stopListening(address);
         if (link != null) {
             link.close(CloseReason.SHUTDOWN);
         }
     }
 
-    void returns() {
+    void restart() {
         network.listen(address, this::accept);
     }
 
@@ -81,9 +82,9 @@
         WatchMessage message = WatchCodec.message(payload);
         if (message instanceof Subscribe subscribe) {
             subscribed.add(subscribe);
-            if (welcome != null && !isWelcomed) {
-                isWelcomed = true;
-                link.send(WatchCodec.bytes(welcome));
+            if (firstResponse != null && !isFirstResponseSent) {
+                isFirstResponseSent = true;
+                link.send(WatchCodec.bytes(firstResponse));
             }
         } else if (message instanceof Acknowledge acknowledge) {
             acknowledged.add(acknowledge);
@@ -92,6 +93,6 @@
 
     @Override
     public void closed(CloseReason end) {
-        open--;
+        openConnections--;
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/ServiceReplicaTest.java
+++ b/discovery/src/test/java/pathlane/discovery/ServiceReplicaTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aDeltaThatFollowsChangesExactlyWhatItSays() {
+    void aMatchingDeltaChangesExactlyItsParts() {
         holdTen();
         ServerEndpoint draining = Samples.endpoint(4, ServerStatus.DRAINING);
         List<ServerEndpoint> after = List.of(Samples.endpoint(1), draining, Samples.endpoint(5), Samples.endpoint(11));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whatIsNoNewerIsIgnoredAlsoFromAnEarlierEpoch() {
+    void changesThatAreNotNewerAreIgnoredAlsoFromAnEarlierEpoch() {
         replica.apply(Samples.snapshot(new Revision(2, 1), Samples.endpoints(1, 3)), true);
         assertInstanceOf(Ignored.class, replica.apply(Samples.snapshot(new Revision(1, 99), List.of()), true));
         assertInstanceOf(Ignored.class, replica.apply(new ServiceChange.Absent(Samples.SERVICE, new Revision(2, 1)), true));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void anIncompletePublisherCanNotTakeAwayMostOfAService() {
+    void anIncompletePublisherCanNotRemoveMostOfAService() {
         holdTen();
         assertInstanceOf(Withheld.class, replica.apply(Samples.snapshot(SECOND, Samples.endpoints(1, 4)), false));
         assertInstanceOf(Withheld.class, replica.apply(new ServiceChange.Absent(Samples.SERVICE, SECOND), false));
--- a/discovery/src/test/java/pathlane/discovery/UpdateEncoderTest.java
+++ b/discovery/src/test/java/pathlane/discovery/UpdateEncoderTest.java
@@ -9,7 +9,7 @@
 class UpdateEncoderTest {
 
     @Test
-    void whatWasEncodedIsKeptWithinABoundTheLatestUsedLongest() {
+    void theCacheIsBoundedAndEvictsTheLeastRecentlyUsed() {
         Catalogue catalogue = new Catalogue(10);
         PublisherMetrics metrics = new PublisherMetrics();
         UpdateEncoder encoder = new UpdateEncoder(catalogue, metrics, 3_500);
@@ -20,7 +20,7 @@
             encoder.change("s0", HeldVersion.NOTHING);
             assertTrue(encoder.cachedBytes() <= 3_500, encoder.cachedBytes() + " bytes");
         }
-        assertEquals(10, metrics.snapshotsEncoded, "s0 is used all the time and stays");
+        assertEquals(10, metrics.snapshotsEncoded, "s0 is used continually and stays cached");
         encoder.change("s1", HeldVersion.NOTHING);
         assertEquals(11, metrics.snapshotsEncoded);
         for (int i = 0; i < 10; i++) {
--- a/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
+++ b/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
@@ -17,7 +17,7 @@
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
 
-/** Connections in one process and in virtual time; bytes take a millisecond. Listeners can be taken away and put back. */
+/** In-process connections in virtual time with a latency of one millisecond. Listeners can be removed and added again. */
 final class VirtualNetwork implements Connector {
 
     private static final Duration LATENCY = Duration.ofMillis(1);
--- a/discovery/src/test/java/pathlane/discovery/WatchAdmissionTest.java
+++ b/discovery/src/test/java/pathlane/discovery/WatchAdmissionTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aHerdThatComesBackWhenToldIsAdmittedAtNearlyTheRateWithFewTries() {
+    void clientsThatRetryAfterTheirDelayAreAdmittedNearlyAtTheRateWithFewAttempts() {
         WatchAdmission admission = new WatchAdmission(200, 100, START, new Random(1));
         PriorityQueue<Instant> arrivals = new PriorityQueue<>();
         for (int i = 0; i < 2_000; i++) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void nobodyIsToldToWaitForMuchLongerThanTheLongestTime() {
+    void retryDelaysExceedTheMaximumOnlyByTheJitter() {
         WatchAdmission admission = new WatchAdmission(1, 1, START, new Random(1));
         List<Duration> waits = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
--- a/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
+++ b/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
@@ -56,26 +56,26 @@
             new Bookmark(REVISION), new Status(STATUS));
 
     @Test
-    void everyMessageComesBackAsItWas() {
+    void everyMessageSurvivesEncodingAndDecoding() {
         for (WatchMessage message : MESSAGES) {
             assertEquals(message, WatchCodec.message(WatchCodec.bytes(message)));
         }
     }
 
     @Test
-    void changesEncodedApartMakeTheSameUpdate() {
+    void separatelyEncodedChangesMakeTheSameUpdate() {
         assertArrayEquals(WatchCodec.bytes(new Update(9, List.of(SNAPSHOT, DELTA))),
                 WatchCodec.update(9, List.of(WatchCodec.bytes(SNAPSHOT), WatchCodec.bytes(DELTA))));
     }
 
     @Test
-    void whatIsCutShortOrChangedIsBadInputOrSomeOtherMessageAndNothingElse() {
+    void truncatedOrCorruptedBytesAreBadInputOrAnotherMessage() {
         Random random = new Random(7);
         for (WatchMessage message : MESSAGES) {
             byte[] bytes = WatchCodec.bytes(message);
             for (int length = 0; length < bytes.length; length++) {
-                byte[] cut = Arrays.copyOf(bytes, length);
-                assertThrows(BadInput.class, () -> WatchCodec.message(cut));
+                byte[] truncated = Arrays.copyOf(bytes, length);
+                assertThrows(BadInput.class, () -> WatchCodec.message(truncated));
             }
             assertThrows(BadInput.class, () -> WatchCodec.message(Arrays.copyOf(bytes, bytes.length + 1)));
             for (int i = 0; i < 2_000; i++) {
@@ -90,25 +90,25 @@
         try {
             WatchCodec.message(bytes);
         } catch (BadInput e) {
-            // as it should be; any other exception fails the test
+            // expected; any other exception fails the test
         }
     }
 
     @Test
-    void whatIsBeyondItsLimitsIsBadInput() {
-        assertRefused(new Subscribe(false, true, List.of(), List.of("")));
-        assertRefused(new Subscribe(false, true, List.of(), List.of("x".repeat(65))));
-        assertRefused(new Acknowledge(-1, REVISION));
-        assertRefused(new Bookmark(new Revision(-1, 0)));
-        assertRefused(new Refused(Duration.ofDays(4_000)));
-        assertRefused(new Progress(new ProgressReport(
+    void fieldsBeyondTheirLimitsAreBadInput() {
+        assertBadInput(new Subscribe(false, true, List.of(), List.of("")));
+        assertBadInput(new Subscribe(false, true, List.of(), List.of("x".repeat(65))));
+        assertBadInput(new Acknowledge(-1, REVISION));
+        assertBadInput(new Bookmark(new Revision(-1, 0)));
+        assertBadInput(new Refused(Duration.ofDays(4_000)));
+        assertBadInput(new Progress(new ProgressReport(
                 Collections.nCopies(17, new ProgressReport.Level(REVISION, 1)), List.of())));
-        assertRefused(new Progress(new ProgressReport(List.of(new ProgressReport.Level(REVISION, 1L << 31)), List.of())));
-        assertRefused(new Update(1, List.of(new Delta("a", REVISION, REVISION, 0, List.of(new ServerEndpoint(1,
+        assertBadInput(new Progress(new ProgressReport(List.of(new ProgressReport.Level(REVISION, 1L << 31)), List.of())));
+        assertBadInput(new Update(1, List.of(new Delta("a", REVISION, REVISION, 0, List.of(new ServerEndpoint(1,
                 endpoint(1).address(), ServerStatus.RUNNING, 0, Double.NaN, Instant.EPOCH)), List.of(), Optional.empty()))));
     }
 
-    private static void assertRefused(WatchMessage message) {
+    private static void assertBadInput(WatchMessage message) {
         byte[] bytes = WatchCodec.bytes(message);
         assertThrows(BadInput.class, () -> WatchCodec.message(bytes));
     }
