--- a/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueLimits.java
@@ -26,7 +26,7 @@
         require(nameBytes > 0 && nameBytes <= LONGEST_NAME, "invalid service name of " + nameBytes + " bytes");
         int length = configuration.map(String::length).orElse(0);
         require(length <= LONGEST_CONFIGURATION, "invalid configuration of " + length + " characters");
-        require(size <= MOST_ENDPOINTS, size + " endpoints in a service");
+        require(size <= MOST_ENDPOINTS, size + " endpoints");
         upserted.forEach(CatalogueLimits::check);
     }
 
--- a/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
@@ -156,7 +156,7 @@
         return switch (number) {
             case RUNNING -> ServerStatus.RUNNING;
             case DRAINING -> ServerStatus.DRAINING;
-            default -> throw new BadInput("unknown endpoint status " + number);
+            default -> throw new BadInput("unknown endpoint state " + number);
         };
     }
 
--- a/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceReplica.java
@@ -115,7 +115,8 @@
 
     private Result applyDelta(ServiceChange.Delta delta) {
         if (state.isEmpty() || !delta.from().equals(revision)) {
-            return new NeedsSnapshot("a delta from revision " + delta.from() + " but revision " + revision + " is applied");
+            return new NeedsSnapshot(
+                    "a delta from revision " + delta.from() + ", but revision " + revision + " is in force");
         }
         ServiceState held = state.get();
         List<ServerEndpoint> endpoints = merge(held.endpoints(), delta.upserted(), delta.removed());
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -78,7 +78,7 @@
             isRelay = true;
             publisher.recordProgress(this, progress.report());
         } else {
-            throw new BadInput("a subscriber sent a message of a publisher");
+            throw new BadInput("received a publisher's message from a subscriber");
         }
     }
 
--- a/discovery/src/main/java/pathlane/discovery/WatchSession.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchSession.java
@@ -116,7 +116,7 @@
         tally.messagesReceived++;
         tally.bytesReceived += payload.length;
         if (!(WatchCodec.message(payload) instanceof Response response)) {
-            throw new BadInput("a publisher sent a message of a subscriber");
+            throw new BadInput("received a subscriber's message from a publisher");
         }
         owner.received(this, response);
     }
--- a/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
+++ b/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
@@ -163,11 +163,11 @@
         relay.advance(second.revision());
         relay.advance(first.revision());
         assertEquals(List.of(second.revision()), advanced);
-        Revision gone = source.remove("a");
-        relay.applyAbsent("a", gone);
+        Revision removedAt = source.remove("a");
+        relay.applyAbsent("a", removedAt);
         relay.apply(second, new Snapshot(second));
         assertEquals(Optional.empty(), relay.state("a"));
-        assertEquals(gone, relay.absentSince("a"));
+        assertEquals(removedAt, relay.absentSince("a"));
     }
 
     @Test
--- a/discovery/src/test/java/pathlane/discovery/PublisherTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -229,11 +229,11 @@
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
         subscriber.clear();
-        Revision gone = harness.catalogue.remove("a");
+        Revision removedAt = harness.catalogue.remove("a");
         harness.endTurn();
         harness.catalogue.replace("a", endpoints(1, 3), "");
         harness.endTurn();
-        assertEquals(List.of(new Absent("a", gone), new Snapshot(harness.catalogue.state("a").orElseThrow())),
+        assertEquals(List.of(new Absent("a", removedAt), new Snapshot(harness.catalogue.state("a").orElseThrow())),
                 subscriber.changes());
     }
 
