--- a/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
+++ b/discovery/src/main/java/pathlane/discovery/CatalogueEntry.java
@@ -9,15 +9,18 @@
 import pathlane.core.ServerEndpoint;
 import pathlane.decision.ServerStatus;
 
-/** One service of a {@link Catalogue}, changed in place so that a change of one endpoint costs that endpoint. */
+/**
+ * One service of a {@link Catalogue}. It is changed in place, so that the cost of a change is proportional to the
+ * endpoints changed.
+ */
 final class CatalogueEntry {
 
     /**
-     * What a difference touched.
+     * The parts of a service that differ after a change.
      *
-     * @param takesAway whether an endpoint is gone, or has begun to drain
+     * @param removesOrDrains whether an endpoint was removed or started draining
      */
-    record Difference(Set<Long> endpoints, boolean configuration, boolean takesAway) {
+    record Difference(Set<Long> endpoints, boolean configuration, boolean removesOrDrains) {
         boolean isEmpty() {
             return endpoints.isEmpty() && !configuration;
         }
@@ -27,8 +30,8 @@
     private final Map<Long, ServerEndpoint> endpoints = new TreeMap<>();
     private String configuration = "";
     private long digest = ServiceDigest.of(List.of(), "");
-    private Held held = Held.NOTHING;
-    /** Made when it is asked for, and kept until the next change. */
+    private HeldVersion held = HeldVersion.NOTHING;
+    /** Computed on demand and cached until the next change. */
     private ServiceState state;
 
     CatalogueEntry(String service) {
@@ -43,8 +46,8 @@
         return held.revision();
     }
 
-    /** What a subscriber holds that has been sent the whole of this; one object for all of them. */
-    Held held() {
+    /** The version that a subscriber holds after receiving this entry completely; one object shared by all subscribers. */
+    HeldVersion held() {
         return held;
     }
 
@@ -56,7 +59,7 @@
         return configuration;
     }
 
-    /** How many endpoints there would be after a change. */
+    /** The number of endpoints after a change. */
     int sizeAfter(List<ServerEndpoint> upserted, List<Long> removed) {
         Set<Long> added = new HashSet<>();
         for (ServerEndpoint endpoint : upserted) {
@@ -77,29 +80,29 @@
         return new ArrayList<>(endpoints.keySet());
     }
 
-    /** Puts a change in; an endpoint that is upserted as gone counts as removed. */
+    /** Applies a change; an upserted endpoint with status GONE is removed. */
     Difference change(List<ServerEndpoint> upserted, List<Long> removed, String newConfiguration) {
         Set<Long> touched = new HashSet<>();
-        boolean takesAway = false;
+        boolean removesOrDrains = false;
         for (ServerEndpoint endpoint : upserted) {
             if (endpoint.status() == ServerStatus.GONE) {
-                takesAway |= remove(endpoint.id(), touched);
+                removesOrDrains |= remove(endpoint.id(), touched);
             } else {
-                takesAway |= upsert(endpoint, touched);
+                removesOrDrains |= upsert(endpoint, touched);
             }
         }
         for (long id : removed) {
-            takesAway |= remove(id, touched);
+            removesOrDrains |= remove(id, touched);
         }
         boolean configured = !newConfiguration.equals(configuration);
         if (configured) {
             digest = ServiceDigest.withConfiguration(digest, configuration, newConfiguration);
             configuration = newConfiguration;
         }
-        return new Difference(touched, configured, takesAway);
+        return new Difference(touched, configured, removesOrDrains);
     }
 
-    /** Whether the endpoint begins to drain with this. */
+    /** Adds or replaces an endpoint. Returns whether it starts draining. */
     private boolean upsert(ServerEndpoint endpoint, Set<Long> touched) {
         ServerEndpoint former = endpoints.put(endpoint.id(), endpoint);
         if (endpoint.equals(former)) {
@@ -123,9 +126,9 @@
         return true;
     }
 
-    /** The content is that of this revision now. */
+    /** Sets the revision of the current content. */
     void setRevision(Revision revision) {
-        held = new Held(revision, digest);
+        held = new HeldVersion(revision, digest);
         state = null;
     }
 
--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -11,28 +11,28 @@
 import pathlane.core.Scheduler;
 
 /**
- * Sends the changes of a catalogue to the subscribers that watch them, each at its own pace, and adds up how far the
- * controllers below are. A change costs the sessions that watch it; a bookmark is encoded once for all sessions. On the
- * loop's thread.
+ * Sends the changes of a catalogue to the subscribers that watch them, each at its own pace, and aggregates which
+ * revisions the controllers below have applied. The cost of a change is proportional to the number of sessions that watch
+ * the service; a bookmark is encoded once for all sessions. Not thread-safe: used on the event loop's thread.
  */
 public final class Publisher {
 
-    /** Ticks in {@link PublisherTerms#bookmarkEvery}; a bookmark may leave earlier by one of them. */
-    private static final int TICKS = 10;
-    /** What a subscriber that finds no room is told to wait, to which up to half is added. */
-    private static final Duration FULL_WAIT = Duration.ofSeconds(10);
+    /** Ticks per {@link PublisherTerms#bookmarkEvery}; a bookmark may be sent up to one tick early. */
+    private static final int TICKS_PER_BOOKMARK = 10;
+    /** The retry delay for subscribers beyond the limit; a jitter of up to half of it is added. */
+    private static final Duration FULL_RETRY_AFTER = Duration.ofSeconds(10);
 
     /** The publisher's side of one connection. */
     public interface Session {
 
         /**
-         * A message came.
+         * Handles a message of the subscriber.
          *
-         * @throws BadInput where it is none, or breaks the protocol; the connection is to be ended
+         * @throws BadInput if the message is malformed or violates the protocol; the caller must close the connection
          */
         void received(byte[] message);
 
-        /** The connection has ended; called once, and last. */
+        /** Handles the end of the connection; called exactly once, as the last call. */
         void closed();
     }
 
@@ -43,14 +43,14 @@
     private final PublisherMetrics metrics = new PublisherMetrics();
     private final UpdateEncoder encoder;
     private final WatchAdmission admission;
-    private final Duration tickEvery;
+    private final Duration tickInterval;
     private final SubscriberIndex index = new SubscriberIndex();
     private final ProgressTable progress = new ProgressTable();
-    /** All that are open, with those that have not been accepted yet. */
+    /** All open sessions, including those not yet accepted. */
     private final Set<SubscriberSession> sessions = new LinkedHashSet<>();
     private final Set<SubscriberSession> accepted = new LinkedHashSet<>();
     private final Set<SubscriberSession> unresolved = new LinkedHashSet<>();
-    /** Sessions that have something to send at the end of this turn. */
+    /** Sessions that are flushed at the end of this event loop turn. */
     private Set<SubscriberSession> scheduled = new LinkedHashSet<>();
     private boolean isTicking;
     private Instant tickDueAt = Instant.MIN;
@@ -65,13 +65,13 @@
         this.terms = terms;
         this.scheduler = scheduler;
         this.random = random;
-        this.encoder = new UpdateEncoder(catalogue, metrics, UpdateEncoder.MOST_CACHED_BYTES);
+        this.encoder = new UpdateEncoder(catalogue, metrics, UpdateEncoder.MAX_CACHED_BYTES);
         this.admission = new WatchAdmission(terms.watchesPerSecond(), terms.watchBurst(), scheduler.now(), random);
-        this.tickEvery = terms.bookmarkEvery().dividedBy(TICKS);
-        catalogue.addListener(new Changes());
+        this.tickInterval = terms.bookmarkEvery().dividedBy(TICKS_PER_BOOKMARK);
+        catalogue.addListener(new ChangeDispatcher());
     }
 
-    /** A connection has come up; what it says goes to the session. */
+    /** Opens a session for a new connection; the connection's messages must be passed to it. */
     public Session open(SubscriberPort port) {
         SubscriberSession session = new SubscriberSession(this, encoder, metrics, terms, port, scheduler.now());
         sessions.add(session);
@@ -82,20 +82,23 @@
         return session;
     }
 
-    /** Ends all connections. */
-    public void close(CloseReason why) {
-        List.copyOf(sessions).forEach(session -> session.end(why));
+    /** Closes all connections. */
+    public void close(CloseReason reason) {
+        List.copyOf(sessions).forEach(session -> session.end(reason));
     }
 
-    /** At a relay: since when it has lost its way to the source, or that it has one. Subscribers are told. */
+    /**
+     * Sets since when a relay has been disconnected from the source, empty while it is connected. Subscribers are notified
+     * of a change.
+     */
     public void setStaleSince(Optional<Instant> lostAt) {
         if (!staleSince.equals(lostAt)) {
             staleSince = lostAt;
-            tellStatus();
+            sendStatusToAll();
         }
     }
 
-    /** How far the connected controllers and those below the connected relays are. */
+    /** The revisions applied by the connected controllers and by those below the connected relays. */
     public ProgressReport progress() {
         return progress.report(catalogue.revision());
     }
@@ -104,32 +107,33 @@
         return metrics.counters(accepted.size());
     }
 
-    /** What the publisher says of itself now. */
+    /** The publisher's current status. */
     public PublisherStatus status() {
         Duration staleFor = staleSince.map(since -> Duration.between(since, scheduler.now())).orElse(Duration.ZERO);
         return new PublisherStatus(catalogue.isComplete(), catalogue.revision(),
                 staleFor.isNegative() ? Duration.ZERO : staleFor);
     }
 
-    private void tellStatus() {
+    private void sendStatusToAll() {
         byte[] message = statusMessage();
         List.copyOf(accepted).forEach(session -> session.sendStatus(message));
     }
 
     private void scheduleTick() {
-        tickDueAt = scheduler.now().plus(tickEvery);
-        scheduler.after(tickEvery, this::tick);
+        tickDueAt = scheduler.now().plus(tickInterval);
+        scheduler.after(tickInterval, this::tick);
     }
 
     private void tick() {
         Instant now = scheduler.now();
         Duration late = Duration.between(tickDueAt, now);
-        if (late.compareTo(tickEvery) > 0) {
-            // Acknowledgements that came during an own stall have yet to be read: that time counts against nobody.
+        if (late.compareTo(tickInterval) > 0) {
+            // Acknowledgements that arrived during a stall of this process are not read yet: the stall does not count as
+            // the subscribers' silence.
             sessions.forEach(session -> session.excludeStall(late));
         }
-        Duration heartbeatEvery = terms.bookmarkEvery().minus(tickEvery);
-        List.copyOf(sessions).forEach(session -> session.tick(now, heartbeatEvery));
+        Duration heartbeatInterval = terms.bookmarkEvery().minus(tickInterval);
+        List.copyOf(sessions).forEach(session -> session.tick(now, heartbeatInterval));
         isTicking = !sessions.isEmpty();
         if (isTicking) {
             scheduleTick();
@@ -142,11 +146,11 @@
         due.forEach(SubscriberSession::flush);
     }
 
-    private final class Changes implements CatalogueListener {
+    private final class ChangeDispatcher implements CatalogueListener {
         @Override
-        public void changed(String service, Revision revision, boolean takesAway) {
+        public void changed(String service, Revision revision, boolean removesOrDrains) {
             encoder.invalidate(service);
-            index.forEach(service, session -> session.changed(service, takesAway));
+            index.forEach(service, session -> session.changed(service, removesOrDrains));
         }
 
         @Override
@@ -159,7 +163,7 @@
         @Override
         public void completed() {
             resolve();
-            tellStatus();
+            sendStatusToAll();
         }
 
         private void resolve() {
@@ -169,26 +173,28 @@
         }
     }
 
-    // ---- for sessions
+    // ---- used by the sessions
 
     Instant now() {
         return scheduler.now();
     }
 
-    /** Takes one more watch, where the result is empty, or says after what time to come back. */
+    /** Admits one more watch and returns empty, or returns the retry delay. */
     Optional<Duration> admit() {
         if (accepted.size() >= terms.subscribers()) {
-            return Optional.of(FULL_WAIT.plusMillis(random.nextLong(FULL_WAIT.toMillis() / 2)));
+            return Optional.of(FULL_RETRY_AFTER.plusMillis(random.nextLong(FULL_RETRY_AFTER.toMillis() / 2)));
         }
         return admission.admit(scheduler.now());
     }
 
     void accepted(SubscriberSession session) {
         accepted.add(session);
-        progress.begin(session, session.name());
+        progress.register(session, session.name());
     }
 
-    /** Has a session send at the end of this turn, so that changes of one turn leave together. */
+    /**
+     * Schedules a session's flush for the end of this event loop turn, so that the changes of one turn are sent together.
+     */
     void schedule(SubscriberSession session) {
         if (scheduled.isEmpty()) {
             scheduler.after(Duration.ZERO, this::flush);
@@ -196,21 +202,21 @@
         scheduled.add(session);
     }
 
-    void watches(SubscriberSession session, String service) {
+    void addWatch(SubscriberSession session, String service) {
         index.add(service, session);
     }
 
-    void unwatches(SubscriberSession session, String service) {
+    void removeWatch(SubscriberSession session, String service) {
         index.remove(service, session);
     }
 
-    /** A session watches everything from now on, in place of single services. */
-    void watchesEverything(SubscriberSession session, Iterable<String> services) {
+    /** Switches a session from single services to the complete catalogue. */
+    void watchEverything(SubscriberSession session, Iterable<String> services) {
         services.forEach(service -> index.remove(service, session));
         index.addEverything(session);
     }
 
-    void isUnresolved(SubscriberSession session) {
+    void addUnresolved(SubscriberSession session) {
         unresolved.add(session);
     }
 
@@ -236,12 +242,12 @@
         return catalogue.services();
     }
 
-    /** Services whose removal the revision of a bookmark does not cover yet. */
+    /** Services that were removed after the catalogue's revision, which a bookmark does not cover yet. */
     List<String> removedSinceRevision() {
         return catalogue.removedSinceRevision();
     }
 
-    /** The catalogue's own copy of a name, so that each subscriber does not keep one. */
+    /** The catalogue's own instance of a name, so that subscribers share it and do not each keep a copy. */
     String sharedName(String service) {
         CatalogueEntry entry = catalogue.entry(service);
         return entry == null ? service : entry.service();
@@ -259,7 +265,7 @@
         return staleSince.isPresent();
     }
 
-    /** A bookmark at the catalogue's revision, encoded once. */
+    /** A bookmark at the catalogue's revision, encoded once per revision. */
     byte[] bookmarkMessage() {
         if (bookmarkMessage.length == 0 || !encodedBookmark.equals(catalogue.revision())) {
             encodedBookmark = catalogue.revision();
@@ -268,7 +274,7 @@
         return bookmarkMessage;
     }
 
-    /** The status as of now, encoded once for all who are told it at the same time. */
+    /** The current status, encoded once for all subscribers that receive it at the same time. */
     byte[] statusMessage() {
         PublisherStatus status = status();
         if (!status.equals(encodedStatus)) {
--- a/discovery/src/main/java/pathlane/discovery/Relay.java
+++ b/discovery/src/main/java/pathlane/discovery/Relay.java
@@ -11,14 +11,15 @@
 import pathlane.transport.Protocol;
 
 /**
- * One watch of everything upstream for many watches downstream. Without its upstream it goes on serving what it holds, and
- * says how old that is. On the loop's thread.
+ * Maintains one upstream watch of the complete catalogue and serves many downstream watches from it. While disconnected
+ * from its upstream, it continues to serve the content held and reports how stale it is. Not thread-safe: used on the
+ * event loop's thread.
  */
 public final class Relay {
 
-    private static final Duration REPORT_EVERY = Duration.ofSeconds(1);
-    /** Two words on how old the content is that differ by no more mean the same moment. */
-    private static final Duration SAME_MOMENT = Duration.ofSeconds(2);
+    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
+    /** Start times of staleness that differ by less than this are treated as equal. */
+    private static final Duration STALE_SINCE_TOLERANCE = Duration.ofSeconds(2);
 
     private final AuthenticatedLink.Context common;
     private final Scheduler scheduler;
@@ -26,68 +27,68 @@
     private final Publisher publisher;
     private final WatchClient upstream;
     private Optional<Instant> staleSince = Optional.empty();
-    private Optional<Scheduler.Timer> nextReport = Optional.empty();
+    private Optional<Scheduler.Timer> reportTimer = Optional.empty();
 
-    /** Dials nothing yet. */
-    public Relay(WatchTerms upstream, PublisherTerms terms, AuthenticatedLink.Context common, Connector dialer,
+    /** Does not connect before {@link #start}. */
+    public Relay(WatchTerms upstream, PublisherTerms terms, AuthenticatedLink.Context common, Connector connector,
             Scheduler scheduler,
             RandomGenerator random) {
         this.common = common;
         this.scheduler = scheduler;
         this.catalogue = new Catalogue(terms.historyChanges());
         this.publisher = new Publisher(catalogue, terms, scheduler, random);
-        this.upstream = new WatchClient(upstream, dialer, common, scheduler, random, new Upstream());
+        this.upstream = new WatchClient(upstream, connector, common, scheduler, random, new Upstream());
     }
 
-    /** Begins to look for an upstream. */
+    /** Starts connecting to an upstream. */
     public void start() {
         upstream.watchEverything();
         report();
         upstream.start();
     }
 
-    /** Ends all connections, upstream and downstream. */
+    /** Closes all connections, upstream and downstream. */
     public void stop() {
-        nextReport.ifPresent(Scheduler.Timer::cancel);
+        reportTimer.ifPresent(Scheduler.Timer::cancel);
         upstream.stop();
         publisher.close(CloseReason.SHUTDOWN);
     }
 
-    /** The state machine of a connection that a subscriber has opened. */
+    /** The state machine of an accepted subscriber connection. */
     public Protocol accept() {
         return PublisherLink.accept(publisher, common);
     }
 
-    /** The downstream side. */
+    /** The publisher that serves the downstream watches. */
     public Publisher publisher() {
         return publisher;
     }
 
-    /** The upstream side. */
+    /** The client that watches the upstream. */
     public WatchClient upstream() {
         return upstream;
     }
 
-    /** What is held of the upstream's catalogue. */
+    /** The content received from the upstream. */
     public Catalogue catalogue() {
         return catalogue;
     }
 
     private void report() {
         upstream.report(publisher.progress());
-        nextReport = Optional.of(scheduler.after(REPORT_EVERY, this::report));
+        reportTimer = Optional.of(scheduler.after(REPORT_INTERVAL, this::report));
     }
 
     private void setStaleSince(Optional<Instant> lostAt) {
         boolean isSame = staleSince.isPresent() && lostAt.isPresent()
-                && Duration.between(staleSince.get(), lostAt.get()).abs().compareTo(SAME_MOMENT) < 0;
+                && Duration.between(staleSince.get(), lostAt.get()).abs().compareTo(STALE_SINCE_TOLERANCE) < 0;
         if (!isSame) {
             staleSince = lostAt;
             publisher.setStaleSince(lostAt);
         }
     }
 
-    /** Feeds the catalogue. */
+    /** Applies the upstream's changes to the catalogue. */
     private final class Upstream implements WatchListener {
 
         @Override
@@ -103,7 +104,7 @@
         @Override
         public void inForce(Revision revision) {
             catalogue.advance(revision);
-            catalogue.complete();   // a bookmark of a complete upstream follows all that it has
+            catalogue.complete();   // a bookmark of a complete upstream is sent after all of its content
         }
 
         @Override
--- a/discovery/src/main/java/pathlane/discovery/SendWindow.java
+++ b/discovery/src/main/java/pathlane/discovery/SendWindow.java
@@ -6,85 +6,87 @@
 import java.util.Deque;
 import pathlane.wire.BadInput;
 
-/** What is under way to one subscriber and not acknowledged: bounded in bytes, and in time. */
+/** The messages sent to one subscriber and not yet acknowledged: limited in bytes and in time. */
 final class SendWindow {
 
     private record Batch(long number, int bytes) {}
 
-    private final int mostBytes;
-    private final Duration deadAfter;
-    private final Deque<Batch> batches = new ArrayDeque<>();
+    private final int maxBytes;
+    private final Duration acknowledgeTimeout;
+    private final Deque<Batch> pendingBatches = new ArrayDeque<>();
     private long lastBatch;
-    private int bytes;
-    private boolean bookmarkUnderWay;
-    /** The last acknowledgement, or when something was sent after nothing had been under way. */
+    private int pendingBytes;
+    private boolean isBookmarkPending;
+    /** When the last acknowledgement arrived, or when a message was sent while none was unacknowledged. */
     private Instant progressAt = Instant.MIN;
 
-    SendWindow(int mostBytes, Duration deadAfter) {
-        this.mostBytes = mostBytes;
-        this.deadAfter = deadAfter;
+    SendWindow(int maxBytes, Duration acknowledgeTimeout) {
+        this.maxBytes = maxBytes;
+        this.acknowledgeTimeout = acknowledgeTimeout;
     }
 
-    /** Whether so many bytes may be sent. One change always may while nothing is under way, however large it is. */
-    boolean hasRoom(int more) {
-        return bytes == 0 || bytes + more <= mostBytes;
+    /**
+     * Whether an update of this size may be sent. While no update is unacknowledged, one change of any size may be sent.
+     */
+    boolean hasRoom(int size) {
+        return pendingBytes == 0 || pendingBytes + size <= maxBytes;
     }
 
-    /** Bytes of the next update if it takes all the room there is. */
-    int room() {
-        return Math.max(0, mostBytes - bytes);
+    /** Bytes left in the window for the next update. */
+    int availableBytes() {
+        return Math.max(0, maxBytes - pendingBytes);
     }
 
-    /** The number of the update that is about to be sent. */
+    /** Records an update that is about to be sent, and returns its number. */
     long sentUpdate(int size, Instant now) {
-        begin(now);
+        startTimeoutIfIdle(now);
         lastBatch++;
-        batches.add(new Batch(lastBatch, size));
-        bytes += size;
+        pendingBatches.add(new Batch(lastBatch, size));
+        pendingBytes += size;
         return lastBatch;
     }
 
     void sentBookmark(Instant now) {
-        begin(now);
-        bookmarkUnderWay = true;
+        startTimeoutIfIdle(now);
+        isBookmarkPending = true;
     }
 
-    private void begin(Instant now) {
-        if (!isUnderWay()) {
+    private void startTimeoutIfIdle(Instant now) {
+        if (!isAwaitingAcknowledgement()) {
             progressAt = now;
         }
     }
 
-    private boolean isUnderWay() {
-        return !batches.isEmpty() || bookmarkUnderWay;
+    private boolean isAwaitingAcknowledgement() {
+        return !pendingBatches.isEmpty() || isBookmarkPending;
     }
 
     /**
-     * The subscriber has acknowledged a batch and all before it, or a bookmark.
+     * Handles the acknowledgement of a bookmark, or of an update and all updates before it.
      *
      * @param batch the number of the update, 0 for a bookmark
-     * @throws BadInput where no such batch was sent
+     * @throws BadInput if no such update was sent
      */
     void acknowledged(long batch, Instant now) {
         if (batch > lastBatch) {
-            throw new BadInput("batch " + batch + " is acknowledged, and " + lastBatch + " was the last one sent");
+            throw new BadInput("batch " + batch + " was acknowledged, but " + lastBatch + " was the last one sent");
         }
         progressAt = now;
         if (batch == 0) {
-            bookmarkUnderWay = false;
+            isBookmarkPending = false;
         }
-        while (!batches.isEmpty() && batches.peek().number() <= batch) {
-            bytes -= batches.remove().bytes();
+        while (!pendingBatches.isEmpty() && pendingBatches.peek().number() <= batch) {
+            pendingBytes -= pendingBatches.remove().bytes();
         }
     }
 
-    /** The time of an own stall does not count. */
+    /** Extends the timeout by a stall of this process. */
     void excludeStall(Duration stall) {
         progressAt = progressAt.plus(stall);
     }
 
-    /** Whether something is under way and nothing was acknowledged for too long. */
-    boolean isDead(Instant now) {
-        return isUnderWay() && Duration.between(progressAt, now).compareTo(deadAfter) >= 0;
+    /** Whether messages are unacknowledged and no acknowledgement arrived within the timeout. */
+    boolean isTimedOut(Instant now) {
+        return isAwaitingAcknowledgement() && Duration.between(progressAt, now).compareTo(acknowledgeTimeout) >= 0;
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -14,18 +14,20 @@
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.wire.BadInput;
 
-/** A publisher's side of one connection: the subscriber's watch, what is sent to it, and how far it is. */
+/**
+ * The publisher's side of one connection: the subscriber's watch, the changes sent to it and the revision it has applied.
+ */
 final class SubscriberSession implements Publisher.Session {
 
-    /** Guards memory against a watch of more services than a fleet has. */
-    private static final int MOST_SERVICES = 1 << 16;
+    /** Limits memory use: a watch of more services than any deployment has is rejected. */
+    private static final int MAX_SERVICES = 1 << 16;
 
     private enum Phase {
-        /** Nothing was asked for yet. */
+        /** No subscription was received yet. */
         OPENED,
         /** The watch is accepted. */
         WATCHING,
-        /** Refused, or ended: nothing more is sent, and what comes is passed over. */
+        /** Rejected or closed: nothing more is sent, and received messages are ignored. */
         ENDED
     }
 
@@ -38,11 +40,11 @@
     private final SubscriberQueue queue = new SubscriberQueue();
     private final SendWindow window;
     private Phase phase = Phase.OPENED;
-    private boolean everything;
-    /** Whether the last message of a subscription has come: services that it does not name are not held. */
-    private boolean isSubscriptionWhole;
+    private boolean watchesEverything;
+    /** Whether the last message of a subscription was received: the subscriber holds no service that it did not list. */
+    private boolean isSubscriptionComplete;
     private boolean isRelay;
-    private Revision bookmarked = Revision.NONE;
+    private Revision bookmarkedRevision = Revision.NONE;
     private Instant bookmarkedAt = Instant.MIN;
     /** When the last bookmark or status was sent. */
     private Instant heartbeatAt = Instant.MIN;
@@ -58,7 +60,7 @@
         this.window = new SendWindow(terms.unacknowledgedBytes(), terms.deadAfter());
     }
 
-    // ---- from the subscriber
+    // ---- messages from the subscriber
 
     @Override
     public void received(byte[] bytes) {
@@ -69,14 +71,14 @@
         if (message instanceof Subscribe subscribe) {
             subscribe(subscribe);
         } else if (phase == Phase.OPENED) {
-            throw new BadInput("a watch that does not begin with a subscription");
+            throw new BadInput("the first message of a watch must be a subscription");
         } else if (message instanceof Acknowledge acknowledge) {
             acknowledged(acknowledge);
         } else if (message instanceof Progress progress) {
             isRelay = true;
             publisher.recordProgress(this, progress.report());
         } else {
-            throw new BadInput("a publisher's message from a subscriber");
+            throw new BadInput("received a publisher's message from a subscriber");
         }
     }
 
@@ -89,29 +91,29 @@
     }
 
     private void subscribe(Subscribe message) {
-        if (phase == Phase.OPENED && !isAdmitted()) {
+        if (phase == Phase.OPENED && !admit()) {
             return;
         }
-        if (message.everything() && !everything) {
-            everything = true;
-            publisher.watchesEverything(this, queue.services());
+        if (message.everything() && !watchesEverything) {
+            watchesEverything = true;
+            publisher.watchEverything(this, queue.services());
         }
         message.ended().forEach(this::unwatch);
         message.interests().forEach(this::watch);
-        isSubscriptionWhole = message.last();
-        if (everything && isSubscriptionWhole) {
-            publisher.services().forEach(this::watchFound);
-            // Guards a new relay against calling a service absent at a revision at which it was there.
-            publisher.removedSinceRevision().forEach(this::watchFound);
+        isSubscriptionComplete = message.last();
+        if (watchesEverything && isSubscriptionComplete) {
+            publisher.services().forEach(this::watchIfAbsent);
+            // Keeps a new relay from reporting a service as absent at a revision at which it existed.
+            publisher.removedSinceRevision().forEach(this::watchIfAbsent);
         }
         publisher.schedule(this);
     }
 
-    private boolean isAdmitted() {
-        Optional<Duration> comeBackAfter = publisher.admit();
-        if (comeBackAfter.isPresent()) {
+    private boolean admit() {
+        Optional<Duration> retryAfter = publisher.admit();
+        if (retryAfter.isPresent()) {
             metrics.refused++;
-            send(WatchCodec.bytes(new Refused(comeBackAfter.get())));
+            send(WatchCodec.bytes(new Refused(retryAfter.get())));
             end(CloseReason.LIMIT_REACHED);
             return false;
         }
@@ -121,37 +123,39 @@
         publisher.accepted(this);
         publisher.recordProgress(this, Revision.NONE);
         send(WatchCodec.bytes(new WatchMessage.Accepted(publisher.status())));
-        return phase == Phase.WATCHING;   // a connection that can't take more may end within the call
+        return phase == Phase.WATCHING;   // the connection may close within send() if it can't take more data
     }
 
     private void watch(Interest interest) {
-        boolean isAnew = queue.isWatched(interest.service());
-        if (!isAnew && queue.size() >= MOST_SERVICES) {
-            throw new BadInput("a watch of more than " + MOST_SERVICES + " services");
+        boolean isAlreadyWatched = queue.isWatched(interest.service());
+        if (!isAlreadyWatched && queue.size() >= MAX_SERVICES) {
+            throw new BadInput("a watch of more than " + MAX_SERVICES + " services");
         }
         String service = publisher.sharedName(interest.service());
-        Held held = interest.have().equals(Revision.NONE) ? Held.NOTHING : new Held(interest.have(), interest.digest());
+        HeldVersion held = interest.have().equals(Revision.NONE) ? HeldVersion.NOTHING
+                : new HeldVersion(interest.have(), interest.digest());
         queue.watch(service, held);
-        if (!everything) {
-            publisher.watches(this, service);
+        if (!watchesEverything) {
+            publisher.addWatch(this, service);
         }
-        // What is asked for anew is in force in some form that may name servers that are gone.
-        boolean takesAway = isAnew || !held.isNothing()
-                && encoder.change(service, held).map(EncodedChange::takesAway).orElse(false);
-        queue.add(service, takesAway);
+        // A service that is requested again has some state applied at the subscriber that may list servers that no
+        // longer exist.
+        boolean removesOrDrains = isAlreadyWatched || !held.isNothing()
+                && encoder.change(service, held).map(EncodedChange::removesOrDrains).orElse(false);
+        queue.add(service, removesOrDrains);
     }
 
-    private void watchFound(String service) {
+    private void watchIfAbsent(String service) {
         if (!queue.isWatched(service)) {
-            queue.watch(service, Held.NOTHING);
+            queue.watch(service, HeldVersion.NOTHING);
             queue.add(service, false);
         }
     }
 
     private void unwatch(String service) {
-        if (!everything) {
+        if (!watchesEverything) {
             queue.unwatch(service);
-            publisher.unwatches(this, service);
+            publisher.removeWatch(this, service);
         }
     }
 
@@ -165,24 +169,24 @@
         }
     }
 
-    // ---- from the catalogue
+    // ---- events of the catalogue
 
-    /** A service that this subscriber watches has changed. */
-    void changed(String service, boolean takesAway) {
+    /** Queues a changed service that this subscriber watches. */
+    void changed(String service, boolean removesOrDrains) {
         if (!queue.isWatched(service)) {
-            if (!isSubscriptionWhole) {
-                return;   // the subscriber may yet say what it holds of it
+            if (!isSubscriptionComplete) {
+                return;   // a later message of the subscription may list what the subscriber holds of it
             }
-            queue.watch(service, Held.NOTHING);
+            queue.watch(service, HeldVersion.NOTHING);
         }
-        boolean isUrgent = takesAway && !queue.held(service).isNothing();
+        boolean isUrgent = removesOrDrains && !queue.held(service).isNothing();
         if (queue.add(service, isUrgent)) {
             metrics.coalesced++;
         }
         publisher.schedule(this);
     }
 
-    /** Services that could not be told of may be known now. */
+    /** Queues the services whose existence was unknown before and may be known now. */
     void resolve() {
         if (queue.hasUnresolved()) {
             queue.requeueUnresolved();
@@ -190,11 +194,11 @@
         }
     }
 
-    // ---- to the subscriber
+    // ---- messages to the subscriber
 
-    /** Sends what waits, as far as there is room. */
+    /** Sends queued changes as far as the send window and the connection permit. */
     void flush() {
-        while (phase == Phase.WATCHING && !queue.isEmpty() && !port.isStuck()) {
+        while (phase == Phase.WATCHING && !queue.isEmpty() && !port.isBlocked()) {
             List<EncodedChange> batch = nextBatch();
             if (batch.isEmpty()) {
                 return;
@@ -208,38 +212,38 @@
         int size = 0;
         while (!queue.isEmpty()) {
             String service = queue.next();
-            Held held = queue.held(service);
+            HeldVersion held = queue.held(service);
             Optional<EncodedChange> change = encoder.change(service, held);
             if (change.isEmpty()) {
-                settle(service, held);
+                skipOrPostpone(service, held);
                 continue;
             }
-            int larger = size + change.get().size();
-            boolean fits = batch.isEmpty() ? window.hasRoom(larger)
-                    : larger <= Math.min(terms.updateBytes(), window.room());
+            int newSize = size + change.get().size();
+            boolean fits = batch.isEmpty() ? window.hasRoom(newSize)
+                    : newSize <= Math.min(terms.updateBytes(), window.availableBytes());
             if (!fits) {
                 break;
             }
-            size = larger;
+            size = newSize;
             batch.add(change.get());
-            taken(service, change.get());
+            markSent(service, change.get());
         }
         return batch;
     }
 
-    private void taken(String service, EncodedChange change) {
-        if (everything && change.kind() == EncodedChange.Kind.ABSENT) {
-            queue.unwatch(service);   // guards memory against names that come and go
+    private void markSent(String service, EncodedChange change) {
+        if (watchesEverything && change.kind() == EncodedChange.Kind.ABSENT) {
+            queue.unwatch(service);   // bounds memory use when services are created and removed continually
         } else {
             queue.sent(service, change.held());
         }
     }
 
-    /** Nothing can or need be sent of a service now. */
-    private void settle(String service, Held held) {
+    /** Handles a service for which no change can be sent now, or none is needed. */
+    private void skipOrPostpone(String service, HeldVersion held) {
         if (encoder.isUnresolved(service, held)) {
             queue.postpone(service);
-            publisher.isUnresolved(this);
+            publisher.addUnresolved(this);
         } else {
             queue.sent(service, held);
         }
@@ -252,55 +256,56 @@
         send(WatchCodec.update(number, batch.stream().map(EncodedChange::bytes).toList()));
     }
 
-    /** The publisher itself did nothing for so long: the subscriber is given that time back. */
+    /** Extends the subscriber's timeouts by a stall of the publisher's own process. */
     void excludeStall(Duration stall) {
         openedAt = openedAt.plus(stall);
         window.excludeStall(stall);
     }
 
-    /** What is due by time: called several times in {@link PublisherTerms#bookmarkEvery}. */
-    void tick(Instant now, Duration heartbeatEvery) {
+    /** Checks timeouts and sends what is due; called several times per {@link PublisherTerms#bookmarkEvery}. */
+    void tick(Instant now, Duration heartbeatInterval) {
         if (phase == Phase.OPENED) {
-            if (isOver(openedAt, terms.deadAfter(), now)) {
+            if (hasElapsed(openedAt, terms.deadAfter(), now)) {
                 end(CloseReason.UNFINISHED);
             }
             return;
         }
-        if (window.isDead(now)) {
+        if (window.isTimedOut(now)) {
             metrics.unresponsive++;
             end(CloseReason.SILENT);
             return;
         }
         flush();
-        if (phase == Phase.WATCHING && !port.isStuck()) {
-            heartbeat(now, heartbeatEvery);
+        if (phase == Phase.WATCHING && !port.isBlocked()) {
+            heartbeat(now, heartbeatInterval);
         }
     }
 
-    private void heartbeat(Instant now, Duration every) {
+    private void heartbeat(Instant now, Duration interval) {
         boolean isSynchronized = isSynchronized();
-        boolean isSilent = isOver(heartbeatAt, every, now);
-        boolean isNews = publisher.revision().isAfter(bookmarked) && isOver(bookmarkedAt, every, now);
-        if (isSilent && (publisher.isStale() || !isSynchronized)) {
+        boolean isHeartbeatDue = hasElapsed(heartbeatAt, interval, now);
+        boolean isNewBookmarkDue =
+                publisher.revision().isAfter(bookmarkedRevision) && hasElapsed(bookmarkedAt, interval, now);
+        if (isHeartbeatDue && (publisher.isStale() || !isSynchronized)) {
             sendStatus(publisher.statusMessage());
         }
-        // Also while it says nothing new: a subscriber that is gone is found by its acknowledgements.
-        if (isSynchronized && (isSilent || isNews)) {
+        // A bookmark is also sent without a new revision: its missing acknowledgement reveals a dead subscriber.
+        if (isSynchronized && (isHeartbeatDue || isNewBookmarkDue)) {
             sendBookmark(now);
         }
     }
 
-    private static boolean isOver(Instant since, Duration time, Instant now) {
+    private static boolean hasElapsed(Instant since, Duration time, Instant now) {
         return !now.isBefore(since.plus(time));
     }
 
-    /** Whether all that the watch concerns, up to the catalogue's revision, has been sent. */
+    /** Whether all changes of the watch up to the catalogue's revision have been sent. */
     private boolean isSynchronized() {
-        return isSubscriptionWhole && publisher.isComplete() && queue.isEmpty() && !queue.hasUnresolved();
+        return isSubscriptionComplete && publisher.isComplete() && queue.isEmpty() && !queue.hasUnresolved();
     }
 
     private void sendBookmark(Instant now) {
-        bookmarked = publisher.revision();
+        bookmarkedRevision = publisher.revision();
         bookmarkedAt = now;
         heartbeatAt = now;
         window.sentBookmark(now);
@@ -308,9 +313,9 @@
         send(publisher.bookmarkMessage());
     }
 
-    /** Tells the publisher's status, as encoded for all subscribers. */
+    /** Sends the publisher's status, encoded once for all subscribers. */
     void sendStatus(byte[] message) {
-        if (phase == Phase.WATCHING && !port.isStuck()) {
+        if (phase == Phase.WATCHING && !port.isBlocked()) {
             heartbeatAt = publisher.now();
             send(message);
         }
@@ -322,10 +327,10 @@
         port.send(message);
     }
 
-    /** Ends the session from this side. */
-    void end(CloseReason why) {
+    /** Ends the session and closes the connection. */
+    void end(CloseReason reason) {
         closed();
-        port.close(why);
+        port.close(reason);
     }
 
     /** The subscriber's name. */
--- a/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
+++ b/discovery/src/main/java/pathlane/discovery/UpdateEncoder.java
@@ -9,35 +9,36 @@
 import pathlane.decision.ServerStatus;
 
 /**
- * Works out what brings a subscriber from what it holds of a service to the newest state, and encodes it once for all
- * subscribers that hold the same. What was encoded is kept until the service changes, within a bound of bytes.
+ * Computes the change that takes a subscriber from the version of a service that it holds to the newest one, and encodes
+ * it once for all subscribers that hold the same version. Encoded changes are cached until the service changes, up to a
+ * limit in bytes.
  */
 final class UpdateEncoder {
 
-    /** The snapshots of a fleet of 26,000 endpoints take about 1 MiB, the deltas of a busy second much less. */
-    static final long MOST_CACHED_BYTES = 16 << 20;
+    /** The snapshots of a deployment with 26,000 endpoints take about 1 MiB, the deltas of a busy second much less. */
+    static final long MAX_CACHED_BYTES = 16 << 20;
 
-    /** What was encoded of one service at its present revision, by what the subscribers hold. */
+    /** The encoded changes of one service to its current revision, by the version that the subscribers hold. */
     private static final class Encoded {
         private EncodedChange snapshot;
-        private final Map<Held, EncodedChange> deltas = new HashMap<>();
+        private final Map<HeldVersion, EncodedChange> deltas = new HashMap<>();
         private long bytes;
     }
 
     private final Catalogue catalogue;
     private final PublisherMetrics metrics;
-    private final long mostCachedBytes;
-    /** By service, the least recently used first. */
+    private final long maxCachedBytes;
+    /** By service, in order of last use, least recently used first. */
     private final Map<String, Encoded> cache = new LinkedHashMap<>(16, 0.75f, true);
     private long cachedBytes;
 
-    UpdateEncoder(Catalogue catalogue, PublisherMetrics metrics, long mostCachedBytes) {
+    UpdateEncoder(Catalogue catalogue, PublisherMetrics metrics, long maxCachedBytes) {
         this.catalogue = catalogue;
         this.metrics = metrics;
-        this.mostCachedBytes = mostCachedBytes;
+        this.maxCachedBytes = maxCachedBytes;
     }
 
-    /** A service has changed: what was encoded of it is of the past. */
+    /** Drops the cached changes of a service that has changed. */
     void invalidate(String service) {
         Encoded encoded = cache.remove(service);
         if (encoded != null) {
@@ -45,8 +46,8 @@
         }
     }
 
-    /** What a subscriber that holds this must be sent; empty where it holds the newest state of the service, or a newer. */
-    Optional<EncodedChange> change(String service, Held held) {
+    /** The change to send to a subscriber that holds this version; empty if it holds the newest version or a later one. */
+    Optional<EncodedChange> change(String service, HeldVersion held) {
         CatalogueEntry entry = catalogue.entry(service);
         if (entry == null) {
             return absent(service, held);
@@ -57,42 +58,42 @@
         return Optional.of(held.isNothing() ? snapshot(entry, held) : difference(entry, held));
     }
 
-    /** Whether the catalogue lacks a service without it being known yet that it is absent at the revision held. */
-    boolean isUnresolved(String service, Held held) {
+    /** Whether a service is missing from the catalogue but not yet known to be absent at the revision held. */
+    boolean isUnresolved(String service, HeldVersion held) {
         return catalogue.entry(service) == null
                 && (!catalogue.isComplete() || held.revision().isAfter(catalogue.absentSince(service)));
     }
 
-    private Optional<EncodedChange> absent(String service, Held held) {
+    private Optional<EncodedChange> absent(String service, HeldVersion held) {
         if (isUnresolved(service, held)) {
             return Optional.empty();
         }
         ServiceChange absent = new ServiceChange.Absent(service, catalogue.absentSince(service));
-        return Optional.of(new EncodedChange(EncodedChange.Kind.ABSENT, WatchCodec.bytes(absent), Held.NOTHING,
+        return Optional.of(new EncodedChange(EncodedChange.Kind.ABSENT, WatchCodec.bytes(absent), HeldVersion.NOTHING,
                 !held.isNothing()));
     }
 
-    private EncodedChange snapshot(CatalogueEntry entry, Held held) {
+    private EncodedChange snapshot(CatalogueEntry entry, HeldVersion held) {
         Encoded encoded = encoded(entry);
         if (encoded.snapshot == null) {
             byte[] bytes = WatchCodec.bytes(new ServiceChange.Snapshot(entry.state()));
             metrics.snapshotsEncoded++;
             encoded.snapshot = new EncodedChange(EncodedChange.Kind.SNAPSHOT, bytes, entry.held(), false);
-            added(encoded, bytes.length);
+            addCachedBytes(encoded, bytes.length);
         }
-        return held.isNothing() ? encoded.snapshot : takingAway(encoded.snapshot);
+        return held.isNothing() ? encoded.snapshot : asRemoving(encoded.snapshot);
     }
 
-    /** In place of some other content, a snapshot may take anything away. */
-    private static EncodedChange takingAway(EncodedChange snapshot) {
+    /** The snapshot marked as removing endpoints: replacing other content may remove any of them. */
+    private static EncodedChange asRemoving(EncodedChange snapshot) {
         return new EncodedChange(snapshot.kind(), snapshot.bytes(), snapshot.held(), true);
     }
 
-    private EncodedChange difference(CatalogueEntry entry, Held held) {
+    private EncodedChange difference(CatalogueEntry entry, HeldVersion held) {
         Encoded encoded = encoded(entry);
-        EncodedChange known = encoded.deltas.get(held);
-        if (known != null) {
-            return known;
+        EncodedChange cached = encoded.deltas.get(held);
+        if (cached != null) {
+            return cached;
         }
         Optional<ServiceChange.Delta> delta = held.digest() == entry.digest() ? Optional.of(sameContent(entry, held))
                 : catalogue.deltaSince(entry, held.revision());
@@ -101,37 +102,39 @@
         }
         EncodedChange change = encode(delta.get(), entry.held());
         encoded.deltas.put(held, change);
-        added(encoded, change.size());
+        addCachedBytes(encoded, change.size());
         return change;
     }
 
-    /** The content is held already, only under an earlier revision, as after the source has started anew. */
-    private static ServiceChange.Delta sameContent(CatalogueEntry entry, Held held) {
+    /**
+     * An empty delta: the subscriber holds the same content under an earlier revision, as after a restart of the source.
+     */
+    private static ServiceChange.Delta sameContent(CatalogueEntry entry, HeldVersion held) {
         return new ServiceChange.Delta(entry.service(), held.revision(), entry.revision(), entry.digest(), List.of(),
                 List.of(), Optional.empty());
     }
 
-    private EncodedChange encode(ServiceChange.Delta delta, Held result) {
-        boolean takesAway = !delta.removed().isEmpty()
+    private EncodedChange encode(ServiceChange.Delta delta, HeldVersion result) {
+        boolean removesOrDrains = !delta.removed().isEmpty()
                 || delta.upserted().stream().anyMatch(endpoint -> endpoint.status() == ServerStatus.DRAINING);
         metrics.deltasEncoded++;
-        return new EncodedChange(EncodedChange.Kind.DELTA, WatchCodec.bytes(delta), result, takesAway);
+        return new EncodedChange(EncodedChange.Kind.DELTA, WatchCodec.bytes(delta), result, removesOrDrains);
     }
 
     private Encoded encoded(CatalogueEntry entry) {
         return cache.computeIfAbsent(entry.service(), key -> new Encoded());
     }
 
-    private void added(Encoded encoded, int bytes) {
+    private void addCachedBytes(Encoded encoded, int bytes) {
         encoded.bytes += bytes;
         cachedBytes += bytes;
-        for (Iterator<Encoded> oldest = cache.values().iterator(); cachedBytes > mostCachedBytes;) {
+        for (Iterator<Encoded> oldest = cache.values().iterator(); cachedBytes > maxCachedBytes;) {
             cachedBytes -= oldest.next().bytes;
             oldest.remove();
         }
     }
 
-    /** Bytes of encoded changes that are kept. */
+    /** Bytes of the cached changes. */
     long cachedBytes() {
         return cachedBytes;
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchCodec.java
@@ -22,8 +22,9 @@
 import pathlane.wire.BadInput;
 
 /**
- * The watch's messages as MessagePack: a message's kind, then its fields in the order of its record, lists with their length
- * first. A {@link ServiceChange} is written apart from its update, so that it is encoded once for all subscribers.
+ * Encodes and decodes the watch's messages as MessagePack: a message's kind, then its fields in the order of its record;
+ * lists are preceded by their length. A {@link ServiceChange} is encoded separately from its update, so that it is encoded
+ * once for all subscribers.
  */
 public final class WatchCodec {
 
@@ -36,8 +37,8 @@
     private static final int BOOKMARK = 7;
     private static final int STATUS = 8;
 
-    /** Guards sums of times against overflow. */
-    private static final Duration LONGEST_DURATION = Duration.ofDays(3_650);
+    /** Prevents overflow in sums of durations. */
+    private static final Duration MAX_DURATION = Duration.ofDays(3_650);
 
     private WatchCodec() {}
 
@@ -46,12 +47,12 @@
         return packed(packer -> write(packer, message));
     }
 
-    /** Encodes a change by itself, for {@link #update}. */
+    /** Encodes a single change, for {@link #update}. */
     public static byte[] bytes(ServiceChange change) {
         return packed(packer -> ServiceChangeCodec.write(packer, change));
     }
 
-    /** The {@link Update} of changes that are encoded already. */
+    /** Encodes an {@link Update} of changes already encoded. */
     public static byte[] update(long batch, List<byte[]> changes) {
         return packed(packer -> {
             packer.packInt(UPDATE).packLong(batch).packArrayHeader(changes.size());
@@ -64,17 +65,17 @@
     /**
      * Decodes a message.
      *
-     * @throws BadInput where it is none, or has more behind it
+     * @throws BadInput if it is malformed or followed by more bytes
      */
     public static WatchMessage message(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             WatchMessage message = read(unpacker);
             if (unpacker.hasNext()) {
-                throw new BadInput("more behind a message of the watch");
+                throw new BadInput("trailing bytes after a watch message");
             }
             return message;
         } catch (IOException | MessagePackException | DateTimeException | ArithmeticException e) {
-            throw new BadInput("not a message of the watch: " + e.getMessage());
+            throw new BadInput("malformed watch message: " + e.getMessage());
         }
     }
 
@@ -87,7 +88,7 @@
             writer.write(packer);
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new UncheckedIOException(e);   // a buffer in memory has none
+            throw new UncheckedIOException(e);   // can't happen: the buffer is in memory
         }
     }
 
@@ -130,7 +131,7 @@
                     WatchFields.list(unpacker, ServiceChangeCodec::read));
             case BOOKMARK -> new Bookmark(WatchFields.revision(unpacker));
             case STATUS -> new Status(status(unpacker));
-            default -> throw new BadInput("a message of kind " + kind);
+            default -> throw new BadInput("unknown kind of message: " + kind);
         };
     }
 
@@ -166,7 +167,7 @@
     }
 
     private static Duration duration(MessageUnpacker unpacker) throws IOException {
-        return Duration.ofMillis(WatchFields.count(unpacker, LONGEST_DURATION.toMillis()));
+        return Duration.ofMillis(WatchFields.count(unpacker, MAX_DURATION.toMillis()));
     }
 
     private static void write(MessagePacker packer, ProgressReport report) throws IOException {
@@ -181,10 +182,10 @@
     }
 
     private static ProgressReport report(MessageUnpacker unpacker) throws IOException {
-        List<ProgressReport.Level> levels = WatchFields.list(unpacker, ProgressReport.MOST_LEVELS,
+        List<ProgressReport.Level> levels = WatchFields.list(unpacker, ProgressReport.MAX_LEVELS,
                 from -> new ProgressReport.Level(WatchFields.revision(from), WatchFields.count(from, Integer.MAX_VALUE)));
-        List<ProgressReport.Slow> slowest = WatchFields.list(unpacker, ProgressReport.MOST_SLOWEST,
-                from -> new ProgressReport.Slow(WatchFields.name(from), WatchFields.revision(from)));
+        List<ProgressReport.SlowController> slowest = WatchFields.list(unpacker, ProgressReport.MAX_SLOWEST,
+                from -> new ProgressReport.SlowController(WatchFields.name(from), WatchFields.revision(from)));
         return new ProgressReport(levels, slowest);
     }
 }
--- a/discovery/src/main/java/pathlane/discovery/WatchSession.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchSession.java
@@ -10,40 +10,44 @@
 import pathlane.group.AuthenticatedLink;
 import pathlane.wire.BadInput;
 
-/** One connection of a watch client to a publisher, from the dial to its end. */
+/** One connection of a watch client to a publisher, from the connection attempt to its end. */
 final class WatchSession implements AuthenticatedLink.Listener {
 
-    /** What the client is told of its connections. */
+    /** Receives the events of the client's connections. */
     interface Owner {
-        /** The publisher has shown that it has the key. */
+        /** The publisher has proved that it holds the shared key. */
         void connected(WatchSession session);
 
-        /** @throws BadInput where it can't be used; the connection then ends */
+        /**
+         * Handles a message of the publisher.
+         *
+         * @throws BadInput if the message is invalid; the connection is then closed
+         */
         void received(WatchSession session, Response response);
 
-        /** It has ended, or never came up; called once, and last. */
+        /** The connection was closed or could not be established; called exactly once, as the last call. */
         void ended(WatchSession session, CloseReason end);
     }
 
-    private static final Duration LEAST_CHECK = Duration.ofMillis(10);
+    private static final Duration MIN_CHECK_DELAY = Duration.ofMillis(10);
 
     private final PublisherAddress publisher;
     private final Scheduler scheduler;
-    private final Duration silentAfter;
+    private final Duration silenceTimeout;
     private final WatchCounters.Tally tally;
     private final Owner owner;
     private final AuthenticatedLink link;
     private Instant lastReceived;
-    private Scheduler.Timer silence;
-    private boolean accepted;
-    private boolean refused;
-    private boolean ended;
+    private Scheduler.Timer silenceTimer;
+    private boolean isAccepted;
+    private boolean isRefused;
+    private boolean isEnded;
 
-    WatchSession(PublisherAddress publisher, AuthenticatedLink.Context common, Scheduler scheduler, Duration silentAfter,
+    WatchSession(PublisherAddress publisher, AuthenticatedLink.Context common, Scheduler scheduler, Duration silenceTimeout,
             WatchCounters.Tally tally, Owner owner) {
         this.publisher = publisher;
         this.scheduler = scheduler;
-        this.silentAfter = silentAfter;
+        this.silenceTimeout = silenceTimeout;
         this.tally = tally;
         this.owner = owner;
         this.link = new AuthenticatedLink(common, true, this);
@@ -57,53 +61,53 @@
         return link;
     }
 
-    boolean isUp() {
+    boolean isAuthenticated() {
         return link.isAuthenticated();
     }
 
     boolean isAccepted() {
-        return accepted;
+        return isAccepted;
     }
 
     void setAccepted() {
-        accepted = true;
+        isAccepted = true;
     }
 
-    /** Whether the publisher took the watch not now. */
+    /** Whether the publisher rejected the watch temporarily. */
     boolean wasRefused() {
-        return refused;
+        return isRefused;
     }
 
     void setRefused() {
-        refused = true;
+        isRefused = true;
     }
 
     void send(Request request) {
         link.send(WatchCodec.bytes(request));
     }
 
-    /** Ends it; the owner hears of it within this call, however long the connection takes to close. */
-    void end(CloseReason why) {
-        link.close(why);
-        closed(why);
+    /** Closes the connection; the owner is notified within this call, however long closing takes. */
+    void end(CloseReason reason) {
+        link.close(reason);
+        closed(reason);
     }
 
     @Override
-    public void authenticated(AuthenticatedLink up, String name) {
+    public void authenticated(AuthenticatedLink authenticated, String name) {
         lastReceived = scheduler.now();
-        silence = scheduler.after(silentAfter, this::checkSilence);
+        silenceTimer = scheduler.after(silenceTimeout, this::checkSilence);
         owner.connected(this);
     }
 
-    /** What was held up by an own stall may have come long since: that time does not count. */
+    /** The lag of this process does not count: messages may have arrived during a stall without having been read yet. */
     private void checkSilence() {
         Duration silent = Duration.between(lastReceived, scheduler.now()).minus(scheduler.lag());
-        Duration left = silentAfter.minus(silent);
+        Duration left = silenceTimeout.minus(silent);
         if (left.isZero() || left.isNegative()) {
             end(CloseReason.SILENT);
             return;
         }
-        silence = scheduler.after(left.compareTo(LEAST_CHECK) < 0 ? LEAST_CHECK : left, this::checkSilence);
+        silenceTimer = scheduler.after(left.compareTo(MIN_CHECK_DELAY) < 0 ? MIN_CHECK_DELAY : left, this::checkSilence);
     }
 
     @Override
@@ -112,19 +116,19 @@
         tally.messagesReceived++;
         tally.bytesReceived += payload.length;
         if (!(WatchCodec.message(payload) instanceof Response response)) {
-            throw new BadInput("a subscriber's message from a publisher");
+            throw new BadInput("received a subscriber's message from a publisher");
         }
         owner.received(this, response);
     }
 
     @Override
     public void closed(CloseReason end) {
-        if (ended) {
+        if (isEnded) {
             return;
         }
-        ended = true;
-        if (silence != null) {
-            silence.cancel();
+        isEnded = true;
+        if (silenceTimer != null) {
+            silenceTimer.cancel();
         }
         owner.ended(this, end);
     }
