--- a/daemon/src/test/java/pathlane/crossings/CallerGoneTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ClientDisconnectTest.java
@@ -8,91 +8,94 @@
 import pathlane.core.Counters;
 import pathlane.wire.Message;
 
-/** A caller goes while its set-up is on its way: nothing of it reaches a session server any more. */
-class CallerGoneTest {
+/**
+ * A client disconnects or cancels while its call request is being processed: the request must not reach a session server any
+ * more, or a call would be established there that nobody releases.
+ */
+class ClientDisconnectTest {
 
     @Test
-    void aCloseThatWaitsToBeReadWithTheSetUpIsHeardBeforeTheSetUpLeaves() throws Exception {
+    void aCloseThatIsReadTogetherWithTheCallRequestIsHandledBeforeTheRequestIsSent() throws Exception {
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening));
                 Peer server = Peer.at(listening); Peer other = Peer.to(controller.address)) {
-            Peer gone = Peer.to(controller.address);
-            gone.awaitPassed();
-            other.awaitPassed();
-            controller.whileBehind(() -> {
-                gone.send(Peer.setUp(1, 0));
-                gone.close();
+            Peer leaving = Peer.to(controller.address);
+            leaving.awaitTestPassed();
+            other.awaitTestPassed();
+            controller.whileBlocked(() -> {
+                leaving.send(Peer.callRequest(1, 0));
+                leaving.close();
             });
             controller.awaitCount(Counters.Name.GIVEN_UP_BY_CLIENT, 1);
-            other.send(Peer.setUp(2, 0));
+            other.send(Peer.callRequest(2, 0));
             server.next(Message.SET_UP, 2);
         }
     }
 
     @Test
-    void aHalfCloseIsAClose() throws Exception {
+    void aHalfCloseIsHandledAsAClose() throws Exception {
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening));
                 Peer server = Peer.at(listening); Peer other = Peer.to(controller.address);
-                Peer gone = Peer.to(controller.address)) {
-            gone.awaitPassed();
-            other.awaitPassed();
-            controller.whileBehind(() -> {
-                gone.send(Peer.setUp(1, 0));
-                gone.endThisSide();
+                Peer leaving = Peer.to(controller.address)) {
+            leaving.awaitTestPassed();
+            other.awaitTestPassed();
+            controller.whileBlocked(() -> {
+                leaving.send(Peer.callRequest(1, 0));
+                leaving.closeOutput();
             });
-            gone.awaitEnd();
-            other.send(Peer.setUp(2, 0));
+            leaving.awaitEnd();
+            other.send(Peer.callRequest(2, 0));
             server.next(Message.SET_UP, 2);
         }
     }
 
     @Test
-    void aCancellationThatIsReadWithTheSetUpTakesItBack() throws Exception {
+    void aCancellationThatIsReadTogetherWithTheCallRequestStopsIt() throws Exception {
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening));
-                Peer server = Peer.at(listening); Peer caller = Peer.to(controller.address)) {
-            caller.send(Peer.setUp(1, 0), Peer.release(1), Peer.setUp(2, 0));
+                Peer server = Peer.at(listening); Peer client = Peer.to(controller.address)) {
+            client.send(Peer.callRequest(1, 0), Peer.release(1), Peer.callRequest(2, 0));
             server.next(Message.SET_UP, 2);
         }
     }
 
     @Test
-    void aSetUpThatWaitsForADialIsForgotten() throws Exception {
-        BlockingQueue<Runnable> held = new ArrayBlockingQueue<>(8);
+    void aCallRequestThatWaitsForAConnectionAttemptIsDropped() throws Exception {
+        BlockingQueue<Runnable> heldAttempts = new ArrayBlockingQueue<>(8);
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening),
-                        dialer -> (address, timeout, protocol) -> held
-                                .add(() -> dialer.connect(address, timeout, protocol)));
+                        connector -> (address, timeout, protocol) -> heldAttempts
+                                .add(() -> connector.connect(address, timeout, protocol)));
                 Peer other = Peer.to(controller.address)) {
-            Runnable dial = held.poll(20, TimeUnit.SECONDS);
-            Peer gone = Peer.to(controller.address);
-            gone.send(Peer.setUp(1, 0));
+            Runnable attempt = heldAttempts.poll(20, TimeUnit.SECONDS);
+            Peer leaving = Peer.to(controller.address);
+            leaving.send(Peer.callRequest(1, 0));
             controller.awaitCount(Counters.Name.ATTEMPTS, 1);
-            gone.close();
+            leaving.close();
             controller.awaitCount(Counters.Name.GIVEN_UP_BY_CLIENT, 1);
-            dial.run();
+            attempt.run();
             try (Peer server = Peer.at(listening)) {
-                other.send(Peer.setUp(2, 0));
+                other.send(Peer.callRequest(2, 0));
                 server.next(Message.SET_UP, 2);
             }
         }
     }
 
     @Test
-    void aCallerThatGoesInItsReleaseWaitIsNotSentOn() throws Exception {
+    void aCallWhoseClientDisconnectsDuringTheRetryDelayIsNotRetried() throws Exception {
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening));
                 Peer other = Peer.to(controller.address)) {
-            Peer gone = Peer.to(controller.address);
+            Peer leaving = Peer.to(controller.address);
             try (Peer first = Peer.at(listening)) {
-                gone.send(Peer.setUp(1, 0));
+                leaving.send(Peer.callRequest(1, 0));
                 first.next(Message.SET_UP, 1);
             }
             controller.awaitCount(Counters.Name.ATTEMPTS_RESET, 1);
-            gone.close();
+            leaving.close();
             controller.awaitCount(Counters.Name.GIVEN_UP_BY_CLIENT, 1);
-            other.send(Peer.setUp(2, 0));
+            other.send(Peer.callRequest(2, 0));
             try (Peer second = Peer.at(listening)) {
                 second.next(Message.SET_UP, 2);
             }
--- a/daemon/src/test/java/pathlane/crossings/CallerReconnectsTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ClientReconnectTest.java
@@ -5,39 +5,39 @@
 import pathlane.core.Counters;
 import pathlane.wire.Message;
 
-/** A caller's connection closes just as something is written to it. */
-class CallerReconnectsTest {
+/** A client connection closes while a message is written to it: the message must not be lost with the connection. */
+class ClientReconnectTest {
 
     @Test
-    void theEndOfACallIsToldOnAnotherConnectionWhereItNeverLeftOnItsOwn() throws Exception {
+    void aReleaseThatWasNotSentOnTheCallsConnectionIsSentOnAnother() throws Exception {
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening));
                 Peer server = Peer.at(listening); Peer other = Peer.to(controller.address)) {
-            Peer gone = Peer.to(controller.address);
-            other.awaitPassed();
-            gone.send(Peer.setUp(1, 0));
+            Peer leaving = Peer.to(controller.address);
+            other.awaitTestPassed();
+            leaving.send(Peer.callRequest(1, 0));
             server.next(Message.SET_UP, 1);
             server.send(Peer.answer(1));
-            gone.next(Message.ANSWER, 1);
-            controller.whileBehind(() -> {
-                server.send(Peer.release(1));   // read first, and its way to the caller is chosen
-                gone.close();
+            leaving.next(Message.ANSWER, 1);
+            controller.whileBlocked(() -> {
+                server.send(Peer.release(1));   // read first, so it is written to the closing connection
+                leaving.close();
             });
             other.next(Message.RELEASE, 1);
         }
     }
 
     @Test
-    void aCallWhoseAnswerNeverLeftIsReleasedAtItsServer() throws Exception {
+    void aCallWhoseAnswerWasNotSentIsReleasedAtItsServer() throws Exception {
         try (ServerSocket listening = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", listening));
                 Peer server = Peer.at(listening)) {
-            Peer gone = Peer.to(controller.address);
-            gone.send(Peer.setUp(1, 0));
+            Peer leaving = Peer.to(controller.address);
+            leaving.send(Peer.callRequest(1, 0));
             server.next(Message.SET_UP, 1);
-            controller.whileBehind(() -> {
+            controller.whileBlocked(() -> {
                 server.send(Peer.answer(1));
-                gone.close();
+                leaving.close();
             });
             server.next(Message.RELEASE, 1);
             controller.awaitCount(Counters.Name.ESTABLISHED, 1);
--- a/daemon/src/test/java/pathlane/crossings/Controller.java
+++ b/daemon/src/test/java/pathlane/crossings/Controller.java
@@ -17,13 +17,13 @@
 import pathlane.platform.PlatformFront;
 import pathlane.transport.Connector;
 
-/** The program's own loop, sockets and platform front, in this process, so that a test can hold its loop up. */
+/** Runs the program's event loop, sockets and platform front in this process, so that a test can block the event loop. */
 final class Controller implements AutoCloseable {
 
-    private static final long MOST_WAIT_S = 20;
+    private static final long TIMEOUT_S = 20;
 
-    /** Something a test does while the loop is held up. */
-    interface Meanwhile {
+    /** Steps of a test that run while the event loop is blocked. */
+    interface Steps {
         void run() throws IOException;
     }
 
@@ -32,26 +32,26 @@
     final InetSocketAddress address;
 
     Controller(String config) throws Exception {
-        this(config, dialer -> dialer);
+        this(config, connector -> connector);
     }
 
-    /** {@code around} may hold back what is dialled. */
-    Controller(String config, UnaryOperator<Connector> around) throws Exception {
+    /** Creates a controller whose connector is wrapped, for example to delay connection attempts. */
+    Controller(String config, UnaryOperator<Connector> wrapper) throws Exception {
         Network network = new Network(loop);
         NodeConfig parsed = NodeConfig.parse(config);
-        PlatformFront[] made = new PlatformFront[1];
+        PlatformFront[] created = new PlatformFront[1];
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
-            made[0] = new PlatformFront(parsed, around.apply(network), loop, () -> true, Optional::empty);
+            created[0] = new PlatformFront(parsed, wrapper.apply(network), loop, () -> true, Optional::empty);
             done.countDown();
         });
         await(done);
-        front = made[0];
+        front = created[0];
         address = network.listen(parsed.listen(), front::accept, parsed.callers().connections(),
                 parsed.callers().unwritten());
     }
 
-    /** A configuration with servers at these ports, and further members of {@code limits} and {@code ceilings}. */
+    /** Returns a configuration with servers at these ports and further members of {@code limits} and {@code ceilings}. */
     static String config(String limits, String ceilings, ServerSocket... servers) {
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < servers.length; i++) {
@@ -70,34 +70,34 @@
                    "specifics": {"clear-wait-ms": 200}}}""".formatted(limits, hosts, ceilings);
     }
 
-    /** Holds the loop up while something is done: all of it is found by the loop at once, in the order in which it came. */
-    void whileBehind(Meanwhile meanwhile) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+    /** Blocks the event loop while the steps run: it then finds all their input at once, in order of arrival. */
+    void whileBlocked(Steps steps) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         loop.execute(() -> {
-            held.countDown();
-            await(go);
+            blocked.countDown();
+            await(resume);
         });
-        await(held);
+        await(blocked);
         try {
-            meanwhile.run();
+            steps.run();
         } finally {
-            go.countDown();
+            resume.countDown();
         }
     }
 
-    /** Waits until so much has been counted. */
+    /** Waits deadline the counter reaches the value. */
     void awaitCount(Counters.Name name, long count) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_WAIT_S);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (front.controller().counters().value(name) < count) {
-            assertTrue(System.nanoTime() < until, name + " never came to " + count);
+            assertTrue(System.nanoTime() < deadline, name + " did not reach " + count);
             Thread.sleep(Duration.ofMillis(1).toMillis());
         }
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(MOST_WAIT_S, TimeUnit.SECONDS), "waited in vain");
+            assertTrue(latch.await(TIMEOUT_S, TimeUnit.SECONDS), "timed out waiting for the event loop");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
--- a/daemon/src/test/java/pathlane/crossings/DescriptorsTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DescriptorsTest.java
@@ -15,14 +15,17 @@
 import org.junit.jupiter.api.io.TempDir;
 import pathlane.wire.Message;
 
-/** The program with no more descriptors than it asks for at the least, all that callers may have taken up. */
+/**
+ * Runs the program with the minimum number of descriptors while clients use all that they may. Guards against failures with
+ * "Too many open files" when the event bus moves or a server is added, and against accepting no more newBus such a failure.
+ */
 class DescriptorsTest {
 
-    private static final int LEAST = 48;
-    /** More than callers may have of so few. */
-    private static final int CALLERS = 24;
+    private static final int MIN_DESCRIPTORS = 48;
+    /** More connections than clients may have with so few descriptors. */
+    private static final int CLIENTS = 24;
 
-    /** The program is one jar; from the classes under test it holds one descriptor for each jar. */
+    /** The packaged program is one jar; run from test classes it holds one more descriptor for each further jar. */
     private static final int JARS = (int) Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
             .filter(path -> path.endsWith(".jar")).count() - 1;
 
@@ -30,34 +33,34 @@
     Path folder;
 
     @Test
-    void theListIsFollowedElsewhereAndANewServerIsDialledThoughIdleCallersTakeAllTheyMay() throws Exception {
-        try (ServerSocket old = Peer.server(); ServerSocket fresh = Peer.server(); ServerSocket before = Peer.server();
-                ServerSocket after = Peer.server()) {
-            String config = Controller.config("\"sockets\": " + LEAST, "", old)
-                    .replace("\"known\"", "\"bus\": \"127.0.0.1:" + before.getLocalPort() + "\", \"known\"");
+    void theMovedEventBusAndANewServerAreConnectedWhileIdleClientsUseTheirFullShare() throws Exception {
+        try (ServerSocket old = Peer.server(); ServerSocket added = Peer.server(); ServerSocket oldBus = Peer.server();
+                ServerSocket newBus = Peer.server()) {
+            String config = Controller.config("\"sockets\": " + MIN_DESCRIPTORS, "", old)
+                    .replace("\"known\"", "\"bus\": \"127.0.0.1:" + oldBus.getLocalPort() + "\", \"known\"");
             List<Peer> idle = new ArrayList<>();
-            try (Program program = Program.within(LEAST + JARS, folder, config)) {
-                Peer.at(before).close();
-                before.close();   // discovery is down
-                for (int i = 0; i < CALLERS; i++) {
+            try (Program program = Program.withDescriptors(MIN_DESCRIPTORS + JARS, folder, config)) {
+                Peer.at(oldBus).close();
+                oldBus.close();   // the event bus is down
+                for (int i = 0; i < CLIENTS; i++) {
                     idle.add(Peer.to(program.address()));
-                    idle.get(i).awaitPassed();   // the idlest gives way once there are too many
+                    idle.get(i).awaitTestPassed();   // above the limit the longest idle connection is evicted
                 }
                 Files.writeString(folder.resolve("config.json"), config.replace(
-                        "127.0.0.1:" + before.getLocalPort(), "127.0.0.1:" + after.getLocalPort()));
+                        "127.0.0.1:" + oldBus.getLocalPort(), "127.0.0.1:" + newBus.getLocalPort()));
                 program.signal("HUP");
-                try (Peer bus = Peer.at(after); Peer caller = Peer.to(program.address())) {
-                    bus.sendBytes(listing(fresh.getLocalPort()), 0, listing(1).length);
+                try (Peer bus = Peer.at(newBus); Peer client = Peer.to(program.address())) {
+                    bus.sendBytes(serverEvent(added.getLocalPort()), 0, serverEvent(1).length);
                     program.awaitLine("s-00000009");
-                    caller.send(Peer.setUp(1, 9));
-                    try (Peer server = Peer.at(fresh)) {
+                    client.send(Peer.callRequest(1, 9));
+                    try (Peer server = Peer.at(added)) {
                         server.next(Message.SET_UP, 1);
                         server.send(Peer.answer(1));
-                        caller.next(Message.ANSWER, 1);
+                        client.next(Message.ANSWER, 1);
                     }
                 }
-                assertTrue(program.said().stream().noneMatch(line -> line.contains("Too many open files")),
-                        String.join("\n", program.said()));
+                assertTrue(program.logLines().stream().noneMatch(line -> line.contains("Too many open files")),
+                        String.join("\n", program.logLines()));
             } finally {
                 for (Peer one : idle) {
                     one.close();
@@ -67,34 +70,34 @@
     }
 
     @Test
-    void acceptingGoesOnOnceDescriptorsAreFreeAgain() throws Exception {
+    void acceptingResumesOnceDescriptorsAreFreeAgain() throws Exception {
         try (ServerSocket listening = Peer.server()) {
-            // The process may hold fewer than the configuration says: connections are left in the backlog.
+            // The process has fewer descriptors than configured, so connections stay in the backlog.
             String config = Controller.config("\"sockets\": 1024", "", listening);
             List<Peer> many = new ArrayList<>();
-            try (Program program = Program.within(LEAST + JARS, folder, config)) {
-                // Connections come and go first: a class that is needed by then can be loaded, which takes a descriptor.
+            try (Program program = Program.withDescriptors(MIN_DESCRIPTORS + JARS, folder, config)) {
+                // Open and close connections first, so that the classes needed later are loaded: loading takes a descriptor.
                 for (int i = 0; i < 2; i++) {
                     try (Peer first = Peer.to(program.address())) {
-                        first.awaitPassed();
+                        first.awaitTestPassed();
                     }
                 }
-                for (int i = 0; i < 2 * LEAST; i++) {
+                for (int i = 0; i < 2 * MIN_DESCRIPTORS; i++) {
                     many.add(Peer.to(program.address()));
                 }
                 program.awaitLine("no connection can be accepted now");
                 for (Peer one : many) {
                     one.close();
                 }
-                try (Peer caller = Peer.to(program.address())) {
-                    caller.awaitPassed();
+                try (Peer client = Peer.to(program.address())) {
+                    client.awaitTestPassed();
                 }
             }
         }
     }
 
-    /** Event 2: server 9 in cell 9, ready since long ago, and server 1 gone. */
-    private static byte[] listing(int port) throws IOException {
+    /** Returns event 2: server 9 in cell 9, not in slow start, is added and server 1 removed. */
+    private static byte[] serverEvent(int port) throws IOException {
         ByteBuffer frame = ByteBuffer.allocate(4 + 9 + 2 * 27).putInt(9 + 2 * 27).putLong(2).put((byte) 2);
         for (int id : new int[] {9, 1}) {
             frame.putInt(id).put(new byte[] {127, 0, 0, 1}).putShort((short) port).put((byte) (id == 1 ? 2 : 0))
--- a/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
@@ -30,13 +30,13 @@
 import pathlane.wire.Cause;
 import pathlane.wire.Message;
 
-/** The program with {@code --discovery}, a source in this process, and session servers that a test drives. */
+/** Runs the program with {@code --discovery}, a publisher in this process and session servers that the test controls. */
 class DiscoveryTest {
 
     private static final String KEYS = "k1 000102030405060708090a0b0c0d0e0f";
-    private static final long MOST_WAIT_S = 20;
-    private static final int MOST_CONNECTIONS = 16;
-    private static final int MOST_UNWRITTEN = 1 << 20;
+    private static final long TIMEOUT_S = 20;
+    private static final int MAX_CONNECTIONS = 16;
+    private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
 
     @TempDir
     Path folder;
@@ -49,31 +49,31 @@
     private <T> T onLoop(Supplier<T> task) {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> done.complete(task.get()));
-        return done.orTimeout(MOST_WAIT_S, TimeUnit.SECONDS).join();
+        return done.orTimeout(TIMEOUT_S, TimeUnit.SECONDS).join();
     }
 
-    private Revision endpoint(String service, long id, ServerSocket server, ServerStatus mode) {
-        ServerEndpoint line = new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", server.getLocalPort()), mode, 0, 1,
+    private Revision publishEndpoint(String service, long id, ServerSocket server, ServerStatus status) {
+        ServerEndpoint endpoint = new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", server.getLocalPort()), status, 0, 1,
                 Instant.EPOCH);
-        return onLoop(() -> source.catalogue().update(service, List.of(line), List.of(), Optional.empty()));
+        return onLoop(() -> source.catalogue().update(service, List.of(endpoint), List.of(), Optional.empty()));
     }
 
-    /** Waits until the one controller has acknowledged so much. */
-    private void awaitInForce(Revision revision) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_WAIT_S);
+    /** Waits deadline the only subscriber has acknowledged this revision. */
+    private void awaitAcknowledged(Revision revision) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (true) {
             List<ProgressReport.Level> levels = onLoop(() -> source.publisher().progress()).levels();
             if (levels.size() == 1 && !revision.isAfter(levels.get(0).inForce())) {
                 return;
             }
-            assertTrue(System.nanoTime() < until, () -> revision + " never came into force, but " + levels);
+            assertTrue(System.nanoTime() < deadline, () -> revision + " was not acknowledged; progress: " + levels);
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
 
     private Path file() throws Exception {
         InetSocketAddress address = new Network(loop).listen(new InetSocketAddress("127.0.0.1", 0), source::accept,
-                MOST_CONNECTIONS, MOST_UNWRITTEN);
+                MAX_CONNECTIONS, MAX_UNWRITTEN_BYTES);
         Files.writeString(folder.resolve("keys"), KEYS);
         return Files.writeString(folder.resolve("discovery.toml"), """
                 zone = "a"
@@ -89,42 +89,42 @@
     }
 
     @Test
-    void callsGoToTheServersOfTheirOwnServiceAndToNoneThatDrains() throws Exception {
+    void callsGoToRunningServersOfTheirOwnServiceOnly() throws Exception {
         try (ServerSocket one = Peer.server(); ServerSocket two = Peer.server(); ServerSocket mail = Peer.server()) {
-            endpoint("billing", 1, one, ServerStatus.RUNNING);
-            endpoint("mail", 9, mail, ServerStatus.RUNNING);
+            publishEndpoint("billing", 1, one, ServerStatus.RUNNING);
+            publishEndpoint("mail", 9, mail, ServerStatus.RUNNING);
             onLoop(() -> {
                 source.catalogue().complete();
                 return true;
             });
-            try (Program program = Program.discovering(folder, Controller.config("", ""), file());
-                    Peer caller = Peer.to(program.address())) {
+            try (Program program = Program.withDiscovery(folder, Controller.config("", ""), file());
+                    Peer client = Peer.to(program.address())) {
                 program.awaitLine("services are watched at source");
-                caller.send(Peer.setUp(1, 0));
+                client.send(Peer.callRequest(1, 0));
                 Peer first = Peer.at(one);
-                stands(caller, first, 1);
-                awaitInForce(endpoint("billing", 2, two, ServerStatus.RUNNING));
-                awaitInForce(endpoint("billing", 1, one, ServerStatus.DRAINING));
+                establish(client, first, 1);
+                awaitAcknowledged(publishEndpoint("billing", 2, two, ServerStatus.RUNNING));
+                awaitAcknowledged(publishEndpoint("billing", 1, one, ServerStatus.DRAINING));
                 Peer second = Peer.at(two);
                 for (int call = 2; call < 12; call++) {
-                    caller.send(Peer.setUp(call, call % 2 * 2));
-                    stands(caller, second, call);
+                    client.send(Peer.callRequest(call, call % 2 * 2));
+                    establish(client, second, call);
                 }
-                caller.send(Peer.setUp(20, 1));
-                stands(caller, Peer.at(mail), 20);
-                caller.send(Peer.setUp(30, 7));
-                assertEquals(Cause.FAILED, caller.next(Message.RELEASE, 30).cause());
-                first.send(Peer.release(1));   // a call that stood at a server that drains ends as usual
-                caller.next(Message.RELEASE, 1);
+                client.send(Peer.callRequest(20, 1));
+                establish(client, Peer.at(mail), 20);
+                client.send(Peer.callRequest(30, 7));
+                assertEquals(Cause.FAILED, client.next(Message.RELEASE, 30).cause());
+                first.send(Peer.release(1));   // a call established at a draining server ends as usual
+                client.next(Message.RELEASE, 1);
             }
         } finally {
             loop.close();
         }
     }
 
-    private static void stands(Peer caller, Peer server, long call) throws Exception {
+    private static void establish(Peer client, Peer server, long call) throws Exception {
         server.next(Message.SET_UP, call);
         server.send(Peer.answer(call));
-        caller.next(Message.ANSWER, call);
+        client.next(Message.ANSWER, call);
     }
 }
--- a/daemon/src/test/java/pathlane/crossings/DrainTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DrainTest.java
@@ -6,56 +6,56 @@
 import pathlane.core.Counters;
 import pathlane.wire.Message;
 
-/** The list tells that a server drains while a set-up is on its way there. */
+/** The event bus reports that a server drains while a call request is on its way there: it must go to another server. */
 class DrainTest {
 
-    private static final int RECORD = 27;
+    private static final int RECORD_BYTES = 27;
 
     @Test
-    void aSetUpThatWaitedWithTheNewsOfADrainGoesElsewhere() throws Exception {
+    void aCallRequestReadTogetherWithADrainEventGoesToAnotherServer() throws Exception {
         try (ServerSocket one = Peer.server(); ServerSocket two = Peer.server(); ServerSocket bus = Peer.server();
                 Controller controller = new Controller(Controller.config("", "", one, two).replace("\"known\"",
                         "\"bus\": \"127.0.0.1:" + bus.getLocalPort() + "\", \"known\""));
-                Peer drains = Peer.at(one); Peer stays = Peer.at(two); Peer list = Peer.at(bus);
-                Peer caller = Peer.to(controller.address)) {
-            caller.awaitPassed();
-            controller.whileBehind(() -> {
-                caller.send(Peer.setUp(1, 0));
-                byte[] event = draining(2, one.getLocalPort());
-                list.sendBytes(event, 0, event.length);
+                Peer draining = Peer.at(one); Peer running = Peer.at(two); Peer busPeer = Peer.at(bus);
+                Peer client = Peer.to(controller.address)) {
+            client.awaitTestPassed();
+            controller.whileBlocked(() -> {
+                client.send(Peer.callRequest(1, 0));
+                byte[] event = drainEvent(2, one.getLocalPort());
+                busPeer.sendBytes(event, 0, event.length);
             });
-            stays.next(Message.SET_UP, 1);
-            stays.send(Peer.answer(1));
-            caller.next(Message.ANSWER, 1);
+            running.next(Message.SET_UP, 1);
+            running.send(Peer.answer(1));
+            client.next(Message.ANSWER, 1);
             controller.awaitCount(Counters.Name.ESTABLISHED, 1);
-            drains.close();
+            draining.close();
         }
     }
 
     @Test
-    void aSetUpThatWaitsForADialToAServerThatDrainsGoesElsewhere() throws Exception {
+    void aCallRequestThatWaitsForAConnectionToADrainingServerGoesToAnotherServer() throws Exception {
         try (ServerSocket two = Peer.server(); ServerSocket bus = Peer.server(); ServerSocket one = Peer.server()) {
-            // Server 1 takes no more connections in: a dial to it stays under way.
+            // Server 1 accepts no connection: an attempt to it stays pending.
             try (Controller controller = new Controller(Controller.config("", "", one, two).replace("\"known\"",
                     "\"bus\": \"127.0.0.1:" + bus.getLocalPort() + "\", \"known\""),
-                    dialer -> (address, timeout, protocol) -> {
+                    connector -> (address, timeout, protocol) -> {
                         if (address.getPort() != one.getLocalPort()) {
-                            dialer.connect(address, timeout, protocol);
+                            connector.connect(address, timeout, protocol);
                         }
                     });
-                    Peer stays = Peer.at(two); Peer list = Peer.at(bus); Peer caller = Peer.to(controller.address)) {
-                caller.send(Peer.setUp(1, 0));
+                    Peer running = Peer.at(two); Peer busPeer = Peer.at(bus); Peer client = Peer.to(controller.address)) {
+                client.send(Peer.callRequest(1, 0));
                 controller.awaitCount(Counters.Name.ATTEMPTS, 1);
-                byte[] event = draining(2, one.getLocalPort());
-                list.sendBytes(event, 0, event.length);
-                stays.next(Message.SET_UP, 1);
+                byte[] event = drainEvent(2, one.getLocalPort());
+                busPeer.sendBytes(event, 0, event.length);
+                running.next(Message.SET_UP, 1);
             }
         }
     }
 
-    /** An event by which server 1 drains. */
-    private static byte[] draining(long number, int port) {
-        return ByteBuffer.allocate(4 + 9 + RECORD).putInt(9 + RECORD).putLong(number).put((byte) 2).putInt(1)
+    /** Returns an event that sets server 1 to draining. */
+    private static byte[] drainEvent(long number, int port) {
+        return ByteBuffer.allocate(4 + 9 + RECORD_BYTES).putInt(9 + RECORD_BYTES).putLong(number).put((byte) 2).putInt(1)
                 .put(new byte[] {127, 0, 0, 1}).putShort((short) port).put((byte) 1).putShort((short) 0)
                 .putShort((short) 0).putInt(1000).putLong(0).array();
     }
--- a/daemon/src/test/java/pathlane/crossings/Peer.java
+++ b/daemon/src/test/java/pathlane/crossings/Peer.java
@@ -12,10 +12,10 @@
 import java.nio.ByteBuffer;
 import pathlane.wire.Message;
 
-/** The other end of one connection, a caller's or a session server's, that a test drives step by step. */
+/** Remote end of one connection, as a client or a session server, that a test controls step by step. */
 final class Peer implements AutoCloseable {
 
-    private static final int MOST_WAIT_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
 
     private final Socket socket;
     private final DataInputStream in;
@@ -23,18 +23,18 @@
     private Peer(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(MOST_WAIT_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         in = new DataInputStream(socket.getInputStream());
     }
 
-    /** Connects; the other end need not accept it yet. */
+    /** Connects without waiting until the remote end accepts. */
     static Peer to(InetSocketAddress address) throws IOException {
         return new Peer(new Socket(address.getAddress(), address.getPort()));
     }
 
-    /** Waits for the next connection to a server. */
+    /** Accepts the next connection to a server socket. */
     static Peer at(ServerSocket server) throws IOException {
-        server.setSoTimeout(MOST_WAIT_MS);
+        server.setSoTimeout(TIMEOUT_MS);
         return new Peer(server.accept());
     }
 
@@ -42,16 +42,16 @@
         return new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     }
 
-    /** All in one write. */
+    /** Sends all messages in one write. */
     void send(Message... messages) throws IOException {
-        ByteArrayOutputStream together = new ByteArrayOutputStream();
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         for (Message message : messages) {
-            together.writeBytes(message.bytes());
+            buffer.writeBytes(message.bytes());
         }
-        socket.getOutputStream().write(together.toByteArray());
+        socket.getOutputStream().write(buffer.toByteArray());
     }
 
-    /** A part of a message. */
+    /** Sends a part of a message. */
     void sendBytes(byte[] message, int from, int to) throws IOException {
         socket.getOutputStream().write(message, from, to - from);
     }
@@ -62,26 +62,26 @@
         return Message.read(ByteBuffer.wrap(frame));
     }
 
-    /** The next message is of this type and call. */
+    /** Reads the next message and checks its type and call. */
     Message next(int type, long call) throws IOException {
         Message message = next();
         assertEquals(type + " of " + Long.toHexString(call), message.type + " of " + Long.toHexString(message.call));
         return message;
     }
 
-    /** Waits until the other side has ended its side in order; nothing may come before. */
+    /** Waits for an orderly close by the remote side; no data may arrive before it. */
     void awaitEnd() throws IOException {
-        assertEquals(-1, in.read(), "something came before the end");
+        assertEquals(-1, in.read(), "data received before the close");
     }
 
-    /** A test is passed: the connection is up, and read. */
-    void awaitPassed() throws IOException {
+    /** Exchanges a connection test: it passes once the connection is open and the program reads it. */
+    void awaitTestPassed() throws IOException {
         send(new Message(Message.TEST, 0xab).withCause(0));
         next(Message.TEST_RESULT, 0xab);
     }
 
-    /** Ends what it writes; it reads on. */
-    void endThisSide() throws IOException {
+    /** Half-closes the connection: closes the output and keeps reading. */
+    void closeOutput() throws IOException {
         socket.shutdownOutput();
     }
 
@@ -90,7 +90,7 @@
         socket.close();
     }
 
-    static Message setUp(long call, int cell) {
+    static Message callRequest(long call, int cell) {
         return new Message(Message.SET_UP, call).with(Message.CLASS, "plain").with(Message.PATIENCE, "8000")
                 .with(Message.NUMBER, "n" + call).with(Message.FIGURES, "dest:" + cell + ";width:1;via:-1")
                 .with(Message.DESCRIPTION, new byte[] {1, 2});
--- a/daemon/src/test/java/pathlane/crossings/Program.java
+++ b/daemon/src/test/java/pathlane/crossings/Program.java
@@ -15,18 +15,18 @@
 import java.util.concurrent.TimeUnit;
 import pathlane.transport.Addresses;
 
-/** The program in a process of its own, from the classes under test; its log is read line by line. */
+/** Runs the program in a separate process from the classes under test and reads its log line by line. */
 final class Program implements AutoCloseable {
 
-    private static final long MOST_WAIT_S = 30;
-    private static final String SERVES = "serves on /";
+    private static final long TIMEOUT_S = 30;
+    private static final String SERVES_PREFIX = "serves on /";
 
     private final Process process;
     private final BufferedReader log;
-    private final List<String> said = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
     private InetSocketAddress address;
 
-    /** Starts it and waits until it serves. */
+    /** Starts the program and waits until it serves. */
     Program(Path folder, String config) throws IOException {
         this(folder, config, "exec ");
         awaitServes();
@@ -34,22 +34,22 @@
 
     /** Waits until it serves. */
     void awaitServes() throws IOException {
-        String line = awaitLine(SERVES);
-        address = Addresses.parse(line.substring(line.indexOf(SERVES) + SERVES.length()));
+        String line = awaitLine(SERVES_PREFIX);
+        address = Addresses.parse(line.substring(line.indexOf(SERVES_PREFIX) + SERVES_PREFIX.length()));
     }
 
-    /** Starts it with an operator's file of discovery, and waits until it serves. */
-    static Program discovering(Path folder, String config, Path discovery) throws IOException {
+    /** Starts the program with a discovery file and waits until it serves. */
+    static Program withDiscovery(Path folder, String config, Path discovery) throws IOException {
         Program program = new Program(folder, config, "exec ", "--discovery", discovery.toString());
         program.awaitServes();
         return program;
     }
 
-    private Program(Path folder, String config, String before, String... options) throws IOException {
+    private Program(Path folder, String config, String shellPrefix, String... options) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        List<String> command = new ArrayList<>(List.of("sh", "-c", before + "\"$0\" \"$@\"", java, "-XX:+UseSerialGC",
+        List<String> command = new ArrayList<>(List.of("sh", "-c", shellPrefix + "\"$0\" \"$@\"", java, "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Djava.net.preferIPv4Stack=true", "-cp",
                 System.getProperty("java.class.path"), "pathlane.Main", "serve"));
         command.addAll(List.of(options));
@@ -59,13 +59,13 @@
         log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     }
 
-    /** Starts it and waits for nothing. */
-    static Program begun(Path folder, String config) throws IOException {
+    /** Starts the program without waiting. */
+    static Program startWithoutWaiting(Path folder, String config) throws IOException {
         return new Program(folder, config, "exec ");
     }
 
-    /** Starts it with so many descriptors, and waits until it serves. */
-    static Program within(int descriptors, Path folder, String config) throws IOException {
+    /** Starts the program with this descriptor limit and waits until it serves. */
+    static Program withDescriptors(int descriptors, Path folder, String config) throws IOException {
         Program program = new Program(folder, config, "ulimit -n " + descriptors + "; exec ");
         program.awaitServes();
         return program;
@@ -75,32 +75,32 @@
         return address;
     }
 
-    /** Reads the log on to a line with these words. */
-    String awaitLine(String words) throws IOException {
+    /** Reads the log up to the next line that contains this text. */
+    String awaitLine(String text) throws IOException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            said.add(line);
-            if (line.contains(words)) {
+            logLines.add(line);
+            if (line.contains(text)) {
                 return line;
             }
         }
-        throw new AssertionError("the program never said '" + words + "' but " + String.join("\n", said));
+        throw new AssertionError("no log line contains '" + text + "'; log: " + String.join("\n", logLines));
     }
 
     void signal(String name) throws IOException, InterruptedException {
         assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
     }
 
-    /** How it ended. */
+    /** Waits for the process to exit and returns its exit status. */
     int awaitEnd() throws IOException, InterruptedException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            said.add(line);
+            logLines.add(line);
         }
-        assertTrue(process.waitFor(MOST_WAIT_S, TimeUnit.SECONDS), "it did not end");
+        assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the process did not exit");
         return process.exitValue();
     }
 
-    List<String> said() {
-        return said;
+    List<String> logLines() {
+        return logLines;
     }
 
     @Override
--- a/daemon/src/test/java/pathlane/crossings/ReloadTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ReloadTest.java
@@ -7,44 +7,44 @@
 import org.junit.jupiter.api.io.TempDir;
 import pathlane.wire.Message;
 
-/** SIGHUP while calls are open, in a process of its own. */
+/** SIGHUP during open calls, with the program in a separate process: a reload must not disturb the calls. */
 class ReloadTest {
 
-    /** A frame of the list that says nothing new: its length of 9, the number of the last event, kind 0. */
-    private static final byte[] NOTHING_NEW = {0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 1, 0};
+    /** An event bus heartbeat: length 9, number of the last event, kind 0. */
+    private static final byte[] HEARTBEAT = {0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 1, 0};
 
     @TempDir
     Path folder;
 
     @Test
-    void aReloadMovesTheListAloneAndHarmsNoOpenCall() throws Exception {
-        try (ServerSocket listening = Peer.server(); ServerSocket before = Peer.server();
-                ServerSocket after = Peer.server()) {
+    void aReloadMovesTheEventBusOnlyAndDisturbsNoOpenCall() throws Exception {
+        try (ServerSocket listening = Peer.server(); ServerSocket oldBus = Peer.server();
+                ServerSocket newBus = Peer.server()) {
             String config = Controller.config("", "", listening).replace("\"known\"",
-                    "\"bus\": \"127.0.0.1:" + before.getLocalPort() + "\", \"known\"");
-            try (Program program = Program.begun(folder, config); Peer old = Peer.at(before)) {
-                old.sendBytes(NOTHING_NEW, 0, NOTHING_NEW.length);
+                    "\"bus\": \"127.0.0.1:" + oldBus.getLocalPort() + "\", \"known\"");
+            try (Program program = Program.startWithoutWaiting(folder, config); Peer oldPeer = Peer.at(oldBus)) {
+                oldPeer.sendBytes(HEARTBEAT, 0, HEARTBEAT.length);
                 program.awaitServes();
-                try (Peer server = Peer.at(listening); Peer caller = Peer.to(program.address())) {
-                    caller.send(Peer.setUp(1, 0));
+                try (Peer server = Peer.at(listening); Peer client = Peer.to(program.address())) {
+                    client.send(Peer.callRequest(1, 0));
                     server.next(Message.SET_UP, 1);
-                    old.sendBytes(NOTHING_NEW, 0, NOTHING_NEW.length / 2);   // a frame that is half read
+                    oldPeer.sendBytes(HEARTBEAT, 0, HEARTBEAT.length / 2);   // a partly read frame
                     Files.writeString(folder.resolve("config.json"), "{\"name\": \"n1\"");
                     program.signal("HUP");
                     program.awaitLine("the old one stays");
-                    // The class of the open call is gone from the new file, and so is the old address of the list.
+                    // The new file lacks the class of the open call and the old address of the event bus.
                     Files.writeString(folder.resolve("config.json"), config.replace("\"plain\"", "\"other-2\"")
-                            .replace("127.0.0.1:" + before.getLocalPort(), "127.0.0.1:" + after.getLocalPort()));
+                            .replace("127.0.0.1:" + oldBus.getLocalPort(), "127.0.0.1:" + newBus.getLocalPort()));
                     program.signal("HUP");
                     program.awaitLine("configuration read again");
-                    try (Peer list = Peer.at(after)) {
-                        list.sendBytes(NOTHING_NEW, 0, NOTHING_NEW.length);
+                    try (Peer newPeer = Peer.at(newBus)) {
+                        newPeer.sendBytes(HEARTBEAT, 0, HEARTBEAT.length);
                         server.send(Peer.answer(1));
-                        caller.next(Message.ANSWER, 1);
-                        caller.send(Peer.setUp(2, 0));
+                        client.next(Message.ANSWER, 1);
+                        client.send(Peer.callRequest(2, 0));
                         server.next(Message.SET_UP, 2);
                         server.send(Peer.answer(2));
-                        caller.next(Message.ANSWER, 2);
+                        client.next(Message.ANSWER, 2);
                     }
                 }
             }
--- a/daemon/src/test/java/pathlane/crossings/UnwritableTest.java
+++ b/daemon/src/test/java/pathlane/crossings/WriteCancellationTest.java
@@ -20,21 +20,21 @@
 import pathlane.transport.Protocol;
 import pathlane.wire.Message;
 
-/** What is written to a real socket whose other side does not read, and when it leaves. */
-class UnwritableTest {
+/** Writes to a real socket whose remote side does not read: when they are sent, and which can still be cancelled. */
+class WriteCancellationTest {
 
-    private static final int SMALL_BUFFER = 4096;
-    private static final int LONG = 15_000;
-    private static final int MOST_MESSAGES = 2_000;
+    private static final int RECEIVE_BUFFER_BYTES = 4096;
+    private static final int MESSAGE_BYTES = 15_000;
+    private static final int MAX_MESSAGES = 2_000;
 
-    /** Hands on what becomes of the connection. */
-    private static final class Watched implements Protocol {
-        final CompletableFuture<Connection> up = new CompletableFuture<>();
-        final CompletableFuture<CloseReason> end = new CompletableFuture<>();
+    /** Publishes the opening and the closing of a connection as futures. */
+    private static final class ObservedProtocol implements Protocol {
+        final CompletableFuture<Connection> opened = new CompletableFuture<>();
+        final CompletableFuture<CloseReason> closed = new CompletableFuture<>();
 
         @Override
         public void opened(Connection connection) {
-            up.complete(connection);
+            opened.complete(connection);
         }
 
         @Override
@@ -43,8 +43,8 @@
         }
 
         @Override
-        public void closed(CloseReason why) {
-            end.complete(why);
+        public void closed(CloseReason reason) {
+            closed.complete(reason);
         }
     }
 
@@ -57,18 +57,18 @@
     }
 
     @Test
-    void aMessageBehindOneThatCantLeaveIsTakenBack() throws Exception {
+    void aMessageQueuedBehindABlockedOneCanBeCancelled() throws Exception {
         try (ServerSocket listening = Peer.server()) {
-            listening.setReceiveBufferSize(SMALL_BUFFER);
-            Watched watched = dial(listening);
+            listening.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+            ObservedProtocol observed = connect(listening);
             try (Peer peer = Peer.at(listening)) {
                 byte[] wanted = Peer.release(3).bytes();
                 int[] sent = new int[1];
-                assertEquals(Withdrawal.WITHDRAWN, inTurn(watched, connection -> {
+                assertEquals(Withdrawal.WITHDRAWN, onEventLoop(observed, connection -> {
                     while (!connection.isBlocked()) {
                         sent[0]++;
-                        assertTrue(sent[0] < MOST_MESSAGES, "the other side's buffer has no end");
-                        connection.write(new Message(Message.PROGRESS, 1).with(1, new byte[LONG]).bytes());
+                        assertTrue(sent[0] < MAX_MESSAGES, "the connection does not block");
+                        connection.write(new Message(Message.PROGRESS, 1).with(1, new byte[MESSAGE_BYTES]).bytes());
                         connection.flush();
                     }
                     byte[] unwanted = Peer.release(2).bytes();
@@ -81,19 +81,19 @@
                     peer.next(Message.PROGRESS, 1);
                 }
                 peer.next(Message.RELEASE, 3);
-                assertEquals(Withdrawal.LEFT, inTurn(watched, connection -> connection.cancelWrite(wanted)));
+                assertEquals(Withdrawal.LEFT, onEventLoop(observed, connection -> connection.cancelWrite(wanted)));
             }
         }
     }
 
     @Test
-    void aFlushedMessageLeavesWithinTheTurn() throws Exception {
+    void aFlushedMessageIsSentWithinTheEventLoopTurn() throws Exception {
         try (ServerSocket listening = Peer.server()) {
-            Watched watched = dial(listening);
+            ObservedProtocol observed = connect(listening);
             CountDownLatch read = new CountDownLatch(1);
             try (Peer peer = Peer.at(listening)) {
                 CompletableFuture<Boolean> turn = new CompletableFuture<>();
-                Connection connection = watched.up.get(20, TimeUnit.SECONDS);
+                Connection connection = observed.opened.get(20, TimeUnit.SECONDS);
                 loop.execute(() -> {
                     connection.write(Peer.release(1).bytes());
                     connection.flush();
@@ -105,44 +105,44 @@
                 });
                 peer.next(Message.RELEASE, 1);
                 read.countDown();
-                assertTrue(turn.get(20, TimeUnit.SECONDS), "read only after the turn");
+                assertTrue(turn.get(20, TimeUnit.SECONDS), "received only after the event loop turn");
             }
         }
     }
 
     @Test
-    void aConnectionThatIsBrokenOffSendsNothingMore() throws Exception {
+    void anAbortedConnectionSendsNothingMore() throws Exception {
         try (ServerSocket listening = Peer.server()) {
-            Watched watched = dial(listening);
+            ObservedProtocol observed = connect(listening);
             try (Peer peer = Peer.at(listening)) {
-                inTurn(watched, connection -> {
+                onEventLoop(observed, connection -> {
                     connection.write(Peer.release(1).bytes());
                     connection.abort(CloseReason.OVERTAKEN);
                     return null;
                 });
-                assertEquals(CloseReason.OVERTAKEN, watched.end.get(20, TimeUnit.SECONDS));
+                assertEquals(CloseReason.OVERTAKEN, observed.closed.get(20, TimeUnit.SECONDS));
                 peer.awaitEnd();
             }
         }
     }
 
-    private Watched dial(ServerSocket listening) {
-        Watched watched = new Watched();
+    private ObservedProtocol connect(ServerSocket listening) {
+        ObservedProtocol observed = new ObservedProtocol();
         network.connect(new InetSocketAddress(listening.getInetAddress(), listening.getLocalPort()),
-                Duration.ofSeconds(20), watched);
-        return watched;
+                Duration.ofSeconds(20), observed);
+        return observed;
     }
 
     private interface Step<T> {
-        T on(Connection connection);
+        T apply(Connection connection);
     }
 
-    private <T> T inTurn(Watched watched, Step<T> step) throws Exception {
-        Connection connection = watched.up.get(20, TimeUnit.SECONDS);
+    private <T> T onEventLoop(ObservedProtocol observed, Step<T> step) throws Exception {
+        Connection connection = observed.opened.get(20, TimeUnit.SECONDS);
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
             try {
-                done.complete(step.on(connection));
+                done.complete(step.apply(connection));
             } catch (Throwable e) {
                 done.completeExceptionally(e);
             }
--- a/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
+++ b/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
@@ -37,62 +37,62 @@
 import pathlane.transport.Protocol;
 
 /**
- * Plays one exchange file against a front, in virtual time and without a socket. Before each input and each wait, all that
- * the program has written must have been named. The lines of a file:
+ * Plays one exchange file against a front, in virtual time and without sockets. Before each input and each wait, the script
+ * must have consumed everything that the program wrote. The lines of a file:
  * <ul>
- * <li>{@code open NAME}: a caller's connection opens
- * <li>{@code accept|refuse|silent PORT}: what becomes of a dial, whose connection is then named by the port, or by
- * {@code accept PORT NAME}
- * <li>{@code NAME > bytes}: the other side writes
- * <li>{@code NAME < bytes}: the program has written just that next
- * <li>{@code NAME ends END}: the other side ends the connection
- * <li>{@code NAME closed END}: the program has closed it
- * <li>{@code udp-PORT < bytes}: the program has sent just that datagram next
- * <li>{@code NAME reads nothing}: what was not named yet has not left and can be withdrawn
- * <li>{@code NAME reads again}: it leaves now
- * <li>{@code NAME holds nothing}: all that had not left was withdrawn
- * <li>{@code NAME answers watchdogs}: as a Diameter peer that is well
- * <li>{@code no dial PORT}: the program has not dialled it
- * <li>{@code wait MS}: time goes on
- * <li>{@code bus PORT}: the configuration is read again and names this port
- * <li>{@code file PORT}: the configuration's file names this port from now on, or can't be used any more where it is
- * {@code spoilt}, and no signal says so
- * <li>{@code looked N}: the file was read so often
- * <li>{@code adopt CALL SERVER CLIENT bytes}: the program goes on with a call that another controller set up; the bytes are
- * what the record holds beside the ids
- * <li>{@code owed}: it owes its server the end of one, as above
- * <li>{@code lag MS}: what comes next has waited so long for a stall of the program
+ * <li>{@code open NAME}: a client connection opens
+ * <li>{@code accept|refuse|silent PORT}: result of a connection attempt to the port: accepted, refused or timed out; an
+ * accepted connection is named after its port, or by {@code accept PORT NAME}
+ * <li>{@code NAME > bytes}: the remote side writes these bytes
+ * <li>{@code NAME < bytes}: the next write of the program has exactly these bytes
+ * <li>{@code NAME ends REASON}: the remote side closes the connection
+ * <li>{@code NAME closed REASON}: the program has closed the connection for this reason
+ * <li>{@code udp-PORT < bytes}: the next datagram that the program sent to the port has exactly these bytes
+ * <li>{@code NAME reads nothing}: the remote side stops reading; writes not consumed yet are still queued and can be cancelled
+ * <li>{@code NAME reads again}: the remote side reads again and the queued writes leave
+ * <li>{@code NAME holds nothing}: all queued writes were cancelled
+ * <li>{@code NAME answers watchdogs}: the remote side answers Diameter watchdog requests from now on
+ * <li>{@code no dial PORT}: no connection attempt to the port is pending
+ * <li>{@code wait MS}: advances virtual time
+ * <li>{@code bus PORT}: the configuration is reloaded and names this event bus port
+ * <li>{@code file PORT}: the configuration file names this event bus port from now on, or is invalid where the port is
+ * {@code spoilt}; no signal announces the change
+ * <li>{@code looked N}: the configuration file was polled N times so far
+ * <li>{@code adopt CALL SERVER CLIENT bytes}: the program adopts a call that another controller established; the bytes are
+ * the content of the replicated record besides the ids
+ * <li>{@code owed CALL SERVER CLIENT bytes}: the program has to release a call at its server; arguments as above
+ * <li>{@code lag MS}: the following input was delayed this long by a stall of the program
  * </ul>
  */
 final class ExchangeHarness implements Scheduler, Connector, Datagrams {
 
-    private record Due(Instant at, long order, Runnable task) implements Comparable<Due> {
+    private record ScheduledTask(Instant at, long order, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             return at.equals(other.at) ? Long.compare(order, other.order) : at.compareTo(other.at);
         }
     }
 
-    private final class Line implements Connection {
+    private final class FakeConnection implements Connection {
         final Protocol protocol;
         final Deque<byte[]> written = new ArrayDeque<>();
         CloseReason closed;
 
         boolean answersWatchdogs;
-        boolean stuck;
+        boolean blocked;
         Instant lastWritten;
 
-        Line(Protocol protocol) {
+        FakeConnection(Protocol protocol) {
             this.protocol = protocol;
         }
 
         @Override
         public void write(byte[] bytes) {
-            assertTrue(closed == null, "written after its close");
+            assertTrue(closed == null, "write after close");
             HexFormat hex = HexFormat.of();
             if (answersWatchdogs && hex.formatHex(bytes, 4, 8).equals("80000118")) {
                 byte[] answer = Notation.read("[00 280 0 " + hex.formatHex(bytes, 12, 16) + " "
-                        + hex.formatHex(bytes, 16, 20) + " <268 u32:2001>]", kept).bytes();
+                        + hex.formatHex(bytes, 16, 20) + " <268 u32:2001>]", captured).bytes();
                 after(Duration.ZERO, () -> protocol.received(ByteBuffer.wrap(answer)));
                 return;
             }
@@ -101,53 +101,53 @@
         }
 
         @Override
-        public void close(CloseReason why) {
+        public void close(CloseReason reason) {
             if (closed == null) {
-                closed = why;
+                closed = reason;
             }
         }
 
         @Override
         public Withdrawal cancelWrite(byte[] bytes) {
-            return stuck && written.removeIf(one -> one == bytes) ? Withdrawal.WITHDRAWN : Withdrawal.LEFT;
+            return blocked && written.removeIf(one -> one == bytes) ? Withdrawal.WITHDRAWN : Withdrawal.LEFT;
         }
 
         @Override
         public boolean isBlocked() {
-            return stuck;
+            return blocked;
         }
 
         @Override
         public String remote() {
-            return "stage";
+            return "harness";
         }
     }
 
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
-    private final Map<Integer, Deque<Protocol>> dials = new HashMap<>();
-    private final Map<String, Line> lines = new HashMap<>();
-    private final Map<Character, byte[]> kept = new HashMap<>();
-    private final Supplier<Protocol> callers;
-    private final ConnectionLimiter admission;
-    private final Consumer<String> busMoves;
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
+    private final Map<Integer, Deque<Protocol>> connectAttempts = new HashMap<>();
+    private final Map<String, FakeConnection> connections = new HashMap<>();
+    private final Map<Character, byte[]> captured = new HashMap<>();
+    private final Supplier<Protocol> clientAcceptor;
+    private final ConnectionLimiter connectionLimiter;
+    private final Consumer<String> busPortChange;
     private final CallController controller;
     private Instant now = Instant.parse("2026-01-01T00:00:00Z");
     private long order;
     private Duration lag = Duration.ZERO;
-    /** What the configuration's file has changed to, if it has. */
-    private String file;
-    private int looks;
-    private String at = "the start";
+    /** The pending change of the configuration file: its new event bus port; null if there is none. */
+    private String changedBusPort;
+    private int filePolls;
+    private String position = "the start";
 
     ExchangeHarness(boolean diameter, String config) {
         if (diameter) {
             DiameterConfig parsed = DiameterConfig.parse(config);
             DiameterFront front = new DiameterFront(parsed, 7, this, this,
                     new SplittableRandom(7));
-            callers = front::accept;
+            clientAcceptor = front::accept;
             controller = front.controller();
-            admission = new ConnectionLimiter(parsed.callers().connections());
-            busMoves = port -> fail("there is no bus");
+            connectionLimiter = new ConnectionLimiter(parsed.callers().connections());
+            busPortChange = port -> fail("the Diameter front has no event bus");
             if (parsed.graphite() != null) {
                 new GraphiteReporter(parsed.graphite(), front.controller().counters(), this, this).start();
             }
@@ -158,20 +158,20 @@
         } else {
             NodeConfig parsed = NodeConfig.parse(config);
             PlatformFront front = new PlatformFront(parsed, this, this, () -> true, () -> {
-                Optional<String> changed = Optional.ofNullable(file);
-                file = null;
-                looks++;
-                return changed.map(port -> NodeConfig.parse(at(config, port)));
+                Optional<String> changed = Optional.ofNullable(changedBusPort);
+                changedBusPort = null;
+                filePolls++;
+                return changed.map(port -> NodeConfig.parse(withBusPort(config, port)));
             });
-            callers = front::accept;
+            clientAcceptor = front::accept;
             controller = front.controller();
-            admission = new ConnectionLimiter(parsed.callers().connections());
-            busMoves = port -> front.reload(NodeConfig.parse(at(config, port)));
+            connectionLimiter = new ConnectionLimiter(parsed.callers().connections());
+            busPortChange = port -> front.reload(NodeConfig.parse(withBusPort(config, port)));
         }
     }
 
-    /** The configuration with the bus at this port. */
-    private static String at(String config, String port) {
+    /** Returns the configuration with the event bus at this port. */
+    private static String withBusPort(String config, String port) {
         return config.replaceAll("(\"bus\": \".*?:)\\d+", "$1" + port);
     }
 
@@ -179,136 +179,136 @@
         int number = 0;
         for (String raw : script) {
             number++;
-            at = "line " + number + ": " + raw;
+            position = "line " + number + ": " + raw;
             String line = raw.strip();
             if (!line.isEmpty() && !line.startsWith("#")) {
                 step(line.split(" +", 3));
             }
         }
-        at = "the end";
-        nothingUnnamed();
+        position = "the end";
+        assertAllWritesConsumed();
     }
 
-    /** What the core keeps, connections that callers hold, and timers that are set. */
-    int kept() {
-        return controller.retainedEntries() + admission.size() + timers.size();
+    /** Number of entries retained by the core, open client connections and pending timers. */
+    int retainedCount() {
+        return controller.retainedEntries() + connectionLimiter.size() + timers.size();
     }
 
     private void step(String[] words) {
         if (words[0].equals("wait")) {
-            nothingUnnamed();
-            until(now.plusMillis(Long.parseLong(words[1])));
+            assertAllWritesConsumed();
+            advanceTo(now.plusMillis(Long.parseLong(words[1])));
         } else if (words[0].equals("lag")) {
             lag = Duration.ofMillis(Long.parseLong(words[1]));
         } else if (words[0].equals("bus")) {
-            nothingUnnamed();
-            busMoves.accept(words[1]);
+            assertAllWritesConsumed();
+            busPortChange.accept(words[1]);
         } else if (words[0].equals("file")) {
-            file = words[1];
+            changedBusPort = words[1];
         } else if (words[0].equals("adopt") || words[0].equals("owed")) {
-            nothingUnnamed();
-            String[] of = words[2].split(" +", 3);
-            byte[] ending = Notation.read(of[2], kept).bytes();
+            assertAllWritesConsumed();
+            String[] arguments = words[2].split(" +", 3);
+            byte[] release = Notation.read(arguments[2], captured).bytes();
             if (words[0].equals("adopt")) {
-                assertTrue(controller.adopt(words[1], Long.parseLong(of[0]), new Elsewhere(of[1]), ending), at);
+                assertTrue(controller.adopt(words[1], Long.parseLong(arguments[0]), new AdoptedClientPort(arguments[1]), release), position);
             } else {
-                controller.deliverServerRelease(words[1], Long.parseLong(of[0]), ending);
+                controller.deliverServerRelease(words[1], Long.parseLong(arguments[0]), release);
             }
         } else if (words[0].equals("looked")) {
-            assertEquals(Integer.parseInt(words[1]), looks, at);
+            assertEquals(Integer.parseInt(words[1]), filePolls, position);
         } else if (words[0].equals("open")) {
-            nothingUnnamed();
-            Protocol protocol = callers.get();
-            Line line = new Line(protocol);
-            lines.put(words[1], line);
-            if (admission.tryAdmit(protocol, line::close)) {
+            assertAllWritesConsumed();
+            Protocol protocol = clientAcceptor.get();
+            FakeConnection line = new FakeConnection(protocol);
+            connections.put(words[1], line);
+            if (connectionLimiter.tryAdmit(protocol, line::close)) {
                 protocol.opened(line);
             } else {
                 line.closed = CloseReason.LIMIT_REACHED;
             }
         } else if (words[0].equals("no")) {
-            assertTrue(dials.getOrDefault(Integer.parseInt(words[2]), new ArrayDeque<>()).isEmpty(),
-                    () -> "a dial at " + at);
+            assertTrue(connectAttempts.getOrDefault(Integer.parseInt(words[2]), new ArrayDeque<>()).isEmpty(),
+                    () -> "unexpected connection attempt at " + position);
         } else if (words[0].equals("accept") || words[0].equals("refuse") || words[0].equals("silent")) {
-            nothingUnnamed();
-            Protocol dialled = dials.getOrDefault(Integer.parseInt(words[1]), new ArrayDeque<>()).poll();
-            assertTrue(dialled != null, () -> "no dial at " + at);
+            assertAllWritesConsumed();
+            Protocol attempt = connectAttempts.getOrDefault(Integer.parseInt(words[1]), new ArrayDeque<>()).poll();
+            assertTrue(attempt != null, () -> "no connection attempt at " + position);
             if (words[0].equals("accept")) {
-                connect(words[words.length - 1], dialled);
+                connect(words[words.length - 1], attempt);
             } else {
-                dialled.closed(words[0].equals("refuse") ? CloseReason.REFUSED : CloseReason.CONNECT_TIMED_OUT);
+                attempt.closed(words[0].equals("refuse") ? CloseReason.REFUSED : CloseReason.CONNECT_TIMED_OUT);
             }
         } else {
-            exchange(lines.get(words[0]), words[1], words[2]);
+            exchange(connections.get(words[0]), words[1], words[2]);
         }
     }
 
-    /** A caller whose call another controller set up. */
-    private record Elsewhere(String clientKey) implements ClientPort {
+    /** Client port of a call that another controller established; any message to the client fails the test. */
+    private record AdoptedClientPort(String clientKey) implements ClientPort {
 
         @Override
         public void answer(String call, byte[] description) {
-            org.junit.jupiter.api.Assertions.fail("answered again");
+            org.junit.jupiter.api.Assertions.fail("unexpected answer to the client");
         }
 
         @Override
-        public void reject(String call, Duration comeBackAfter) {
-            org.junit.jupiter.api.Assertions.fail("refused");
+        public void reject(String call, Duration retryAfter) {
+            org.junit.jupiter.api.Assertions.fail("unexpected rejection to the client");
         }
 
         @Override
         public void fail(String call) {
-            org.junit.jupiter.api.Assertions.fail("failed");
+            org.junit.jupiter.api.Assertions.fail("unexpected failure to the client");
         }
 
         @Override
-        public void release(String call, Outcome how) {
-            org.junit.jupiter.api.Assertions.fail("it has no connection");
+        public void release(String call, Outcome outcome) {
+            org.junit.jupiter.api.Assertions.fail("unexpected release to the client");
         }
     }
 
-    private void exchange(Line line, String what, String rest) {
-        assertTrue(line != null, () -> "no such connection at " + at);
+    private void exchange(FakeConnection line, String what, String rest) {
+        assertTrue(line != null, () -> "no such connection at " + position);
         switch (what) {
             case ">" -> {
-                nothingUnnamed();
-                line.protocol.received(ByteBuffer.wrap(Notation.read(rest, kept).bytes()));
+                assertAllWritesConsumed();
+                line.protocol.received(ByteBuffer.wrap(Notation.read(rest, captured).bytes()));
             }
             case "<" -> {
-                Notation.Bytes expected = Notation.read(rest, kept);
+                Notation.Bytes expected = Notation.read(rest, captured);
                 byte[] written = line.written.poll();
-                assertTrue(written != null, () -> "nothing written at " + at);
+                assertTrue(written != null, () -> "nothing written at " + position);
                 if (!expected.matches(written)) {
-                    assertEquals(show(expected.bytes()), show(written), at);
-                    fail(at);
+                    assertEquals(show(expected.bytes()), show(written), position);
+                    fail(position);
                 }
-                expected.keep(written, kept);
+                expected.capture(written, captured);
             }
-            case "reads" -> line.stuck = rest.equals("nothing");
-            case "holds" -> assertTrue(line.written.isEmpty(), at);
+            case "reads" -> line.blocked = rest.equals("nothing");
+            case "holds" -> assertTrue(line.written.isEmpty(), position);
             case "answers" -> line.answersWatchdogs = true;
             case "ends" -> {
-                nothingUnnamed();
+                assertAllWritesConsumed();
                 line.protocol.closed(CloseReason.valueOf(rest));
             }
             case "closed" -> {
-                assertEquals(CloseReason.valueOf(rest), line.closed, at);
-                admission.closed(line.protocol);
+                assertEquals(CloseReason.valueOf(rest), line.closed, position);
+                connectionLimiter.closed(line.protocol);
                 line.protocol.closed(line.closed);
             }
-            default -> fail("can't read " + at);
+            default -> fail("invalid script step: " + position);
         }
     }
 
     private void connect(String name, Protocol protocol) {
-        Line line = new Line(protocol);
-        lines.put(name, line);
+        FakeConnection line = new FakeConnection(protocol);
+        connections.put(name, line);
         protocol.opened(line);
     }
 
-    private void nothingUnnamed() {
-        lines.forEach((name, line) -> assertTrue(line.stuck || line.written.isEmpty(),
-                () -> "before " + at + ", " + name + " was written " + show(line.written.peek()) + " at "
+    private void assertAllWritesConsumed() {
+        connections.forEach((name, line) -> assertTrue(line.blocked || line.written.isEmpty(),
+                () -> "before " + position + ", " + name + " has unconsumed data " + show(line.written.peek()) + " at "
                         + line.lastWritten));
     }
 
@@ -317,11 +317,11 @@
         return HexFormat.of().formatHex(bytes) + " " + text;
     }
 
-    private void until(Instant time) {
+    private void advanceTo(Instant time) {
         while (!timers.isEmpty() && !timers.peek().at().isAfter(time)) {
-            Due due = timers.poll();
-            now = due.at().isAfter(now) ? due.at() : now;
-            due.task().run();
+            ScheduledTask next = timers.poll();
+            now = next.at().isAfter(now) ? next.at() : now;
+            next.task().run();
         }
         now = time;
     }
@@ -338,19 +338,19 @@
 
     @Override
     public Timer after(Duration delay, Runnable task) {
-        assertFalse(delay.isNegative() && delay.toMillis() < 0, "a timer in the past");
-        Due due = new Due(now.plus(delay), order++, task);
-        timers.add(due);
-        return () -> timers.remove(due);
+        assertFalse(delay.isNegative() && delay.toMillis() < 0, "timer delay is negative");
+        ScheduledTask next = new ScheduledTask(now.plus(delay), order++, task);
+        timers.add(next);
+        return () -> timers.remove(next);
     }
 
     @Override
     public void send(InetSocketAddress to, byte[] datagram) {
-        lines.computeIfAbsent("udp-" + to.getPort(), name -> new Line(null)).write(datagram);
+        connections.computeIfAbsent("udp-" + to.getPort(), name -> new FakeConnection(null)).write(datagram);
     }
 
     @Override
     public void connect(InetSocketAddress address, Duration timeout, Protocol protocol) {
-        dials.computeIfAbsent(address.getPort(), port -> new ArrayDeque<>()).add(protocol);
+        connectAttempts.computeIfAbsent(address.getPort(), port -> new ArrayDeque<>()).add(protocol);
     }
 }
--- a/daemon/src/test/java/pathlane/exchange/ExchangeTest.java
+++ b/daemon/src/test/java/pathlane/exchange/ExchangeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays the recorded exchanges of both fronts. */
+/** Plays each recorded exchange below {@code src/test/resources/exchanges} against its front. */
 class ExchangeTest {
 
     private static final Path EXCHANGES = Path.of("src/test/resources/exchanges");
--- a/daemon/src/test/java/pathlane/exchange/FloodTest.java
+++ b/daemon/src/test/java/pathlane/exchange/FloodTest.java
@@ -6,11 +6,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A caller that sends at full speed loses its connection, on both fronts; one that sends as fast as is allowed does not. */
+/**
+ * On both fronts a client may send messages up to the permitted burst and rate; the first message above them closes its
+ * connection. Without the limit, one client could keep the event loop busy.
+ */
 class FloodTest {
 
-    private static final int AT_ONCE = 5000;
-    private static final int EACH_MILLISECOND = 5;
+    private static final int BURST = 5000;
+    private static final int PER_MILLISECOND = 5;
 
     private static ExchangeHarness harness(String front) throws IOException {
         return new ExchangeHarness(front.equals("diameter"),
@@ -18,14 +21,14 @@
     }
 
     @Test
-    void platform() throws IOException {
+    void aPlatformClientAboveTheRateIsDisconnected() throws IOException {
         String message = "{2 06 e12b454a5d3a91c4} ";
-        harness("platform").play(List.of("accept 5001", "accept 5002", "open c", "c > " + message.repeat(AT_ONCE), "wait 1",
-                "c > " + message.repeat(EACH_MILLISECOND), "c > " + message, "c closed PROTOCOL_ERROR"));
+        harness("platform").play(List.of("accept 5001", "accept 5002", "open c", "c > " + message.repeat(BURST), "wait 1",
+                "c > " + message.repeat(PER_MILLISECOND), "c > " + message, "c closed PROTOCOL_ERROR"));
     }
 
     @Test
-    void diameter() throws IOException {
+    void aDiameterClientAboveTheRateIsDisconnected() throws IOException {
         String answer = "[00 280 0 00000009 00000009 <268 u32:2001>] ";
         ExchangeHarness harness = harness("diameter");
         harness.play(List.of("refuse 3870", "refuse 3871", "open c",
@@ -34,7 +37,7 @@
                 "c < [00 257 0 00000001 00000001 <268 u32:2001> <264 \"controller.pathlane.example\">"
                         + " <296 \"pathlane.example\"> <257 00017f000001> <266 u32:0> 0000010d 00000010 \"pathlane\""
                         + " <258 u32:4>]",
-                "c > " + answer.repeat(AT_ONCE - 1), "wait 1", "c > " + answer.repeat(EACH_MILLISECOND),
+                "c > " + answer.repeat(BURST - 1), "wait 1", "c > " + answer.repeat(PER_MILLISECOND),
                 "c > " + answer,
                 "c closed PROTOCOL_ERROR"));
     }
--- a/daemon/src/test/java/pathlane/exchange/LongDayTest.java
+++ b/daemon/src/test/java/pathlane/exchange/LongDayTest.java
@@ -8,52 +8,55 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A long day: every second a server is replaced under a new id, and a new caller asks once and keeps its connection. */
+/**
+ * Guards against a memory leak in a long run: every second one server is replaced under a new id, and a new client makes one
+ * call and keeps its connection open.
+ */
 class LongDayTest {
 
     private static final Path CONFIG = Path.of("src/test/resources/exchanges/platform/config.json");
-    /** By then as much is kept as at any later time: calls that are over are remembered for a minute. */
-    private static final int SETTLED = 100;
-    private static final int LONG = 1000;
-    private static final int KEPT_OPEN = 12;
-    /** What differs between one second and another of the same kind. */
-    private static final int SWAY = 5;
+    /** Retention is steady from here on, as finished calls are remembered for a minute. */
+    private static final int WARM_UP_SECONDS = 100;
+    private static final int TOTAL_SECONDS = 1000;
+    private static final int OPEN_CLIENTS = 12;
+    /** Permitted variation between seconds. */
+    private static final int TOLERANCE = 5;
 
     @Test
-    void whatIsKeptDoesNotGrowWithTheDay() throws IOException {
+    void retainedEntriesDoNotGrowOverTime() throws IOException {
         ExchangeHarness harness = new ExchangeHarness(false, Files.readString(CONFIG));
         harness.play(List.of("accept 9092", "9092 < 0000000000000003", "accept 5001", "accept 5002"));
-        int settled = 0;
-        for (int second = 1; second <= LONG; second++) {
+        int afterWarmUp = 0;
+        for (int second = 1; second <= TOTAL_SECONDS; second++) {
             harness.play(second(second));
-            settled = second == SETTLED ? harness.kept() : settled;
+            afterWarmUp = second == WARM_UP_SECONDS ? harness.retainedCount() : afterWarmUp;
         }
-        int kept = harness.kept();
-        int most = settled + SWAY;
-        assertTrue(kept <= most, () -> kept + " kept, of which there were " + most + " at the most");
+        int retained = harness.retainedCount();
+        int limit = afterWarmUp + TOLERANCE;
+        assertTrue(retained <= limit, () -> retained + " entries retained, more than the permitted " + limit + " entries");
     }
 
     private static List<String> second(int second) {
-        String caller = "c" + second % KEPT_OPEN;
+        String client = "c" + second % OPEN_CLIENTS;
         String call = String.format("%016x", second);
-        String setUp = "81{2 \"status-check\"} 84{2 \"%d\"} 8d{2 \"" + call + "\"}";
+        String callRequest = "81{2 \"status-check\"} 84{2 \"%d\"} 8d{2 \"" + call + "\"}";
         return List.of(
-                second > KEPT_OPEN ? caller + " closed IDLE" : "# not open yet",
-                // Server N comes and N - 1 goes; some come at the address of one that has gone.
+                second > OPEN_CLIENTS ? client + " closed IDLE" : "# not open yet",
+                // Server N is added and N - 1 removed; some reuse the address of a removed server.
                 String.format("9092 > {4 %016x 02 %08x 7f000001 %04x 00 00 00 0005 000003e8 0000000000000000"
                         + " %08x 7f000001 %04x 02 00 00 0005 000003e8 0000000000000000}", second + 3,
                         second + 10, 6000 + second % 3, second + 9, 6000 + (second + 2) % 3),
                 second > 1 ? 6000 + (second + 2) % 3 + " closed DELISTED" : "# none has gone yet",
                 "accept " + (6000 + second % 3),
-                "open " + caller,
-                String.format(caller + " > {2 01 " + call + " " + setUp + " 90{2 \"dest:1;width:1;via:-1\"} ae{2 01}}",
+                "open " + client,
+                String.format(client + " > {2 01 " + call + " " + callRequest + " 90{2 \"dest:1;width:1;via:-1\"} ae{2 01}}",
                         1500),
-                String.format("5002 < {2 01 " + call + " " + setUp + " ae{2 01}}", 1490),
+                String.format("5002 < {2 01 " + call + " " + callRequest + " ae{2 01}}", 1490),
                 "5002 > {2 09 " + call + " ae{2 c0}}",
-                caller + " < {2 09 " + call + " ae{2 c0}}",
+                client + " < {2 09 " + call + " ae{2 c0}}",
                 "wait 500",
                 "5002 > {2 0c " + call + " ab{2 10}}",
-                caller + " < {2 0c " + call + " ab{2 10}}",
+                client + " < {2 0c " + call + " ab{2 10}}",
                 "wait 500");
     }
 }
--- a/daemon/src/test/java/pathlane/exchange/Notation.java
+++ b/daemon/src/test/java/pathlane/exchange/Notation.java
@@ -8,13 +8,14 @@
 import java.util.regex.Pattern;
 
 /**
- * The bytes of exchange files: hex, "text", {@code {2 ...}} with a length of two bytes before it, {@code <code
- * ...>} a mandatory AVP, {@code [flags command application hop end ...]} a Diameter message, u32:7 a number of
- * four bytes, ?? any byte, ----- any four bytes, $a any four bytes that are kept, and later those again.
+ * Parser for the byte notation of exchange files: hex digits; "text"; {@code {2 ...}} content with a two-byte length prefix;
+ * {@code <code ...>} a mandatory AVP; {@code [flags command application hop-by-hop end-to-end ...]} a Diameter message;
+ * u32:7 a four-byte number; ?? any byte; ----- any four bytes; $a captures any four bytes at its first use and matches the
+ * same bytes later.
  */
 final class Notation {
 
-    /** Any byte at places where {@code mask} is nought. */
+    /** A byte pattern; positions whose {@code mask} is zero match any byte. */
     record Bytes(byte[] bytes, byte[] mask) {
         boolean matches(byte[] other) {
             boolean same = other.length == bytes.length;
@@ -24,11 +25,11 @@
             return same;
         }
 
-        /** Keeps what stands where names were given: there the mask is nought and the byte is the name. */
-        void keep(byte[] other, Map<Character, byte[]> kept) {
+        /** Captures the bytes at named positions: there the mask is zero and the pattern byte is the name. */
+        void capture(byte[] other, Map<Character, byte[]> captured) {
             for (int i = 0; i < bytes.length; i++) {
                 if (mask[i] == 0 && bytes[i] != 0) {
-                    kept.put((char) bytes[i], java.util.Arrays.copyOfRange(other, i, i + 4));
+                    captured.put((char) bytes[i], java.util.Arrays.copyOfRange(other, i, i + 4));
                     i += 3;
                 }
             }
@@ -39,18 +40,18 @@
             Pattern.compile("\"[^\"]*\"|\\{\\d|<\\d+|\\[\\w+ \\d+ \\d+ \\S+ \\S+|[}>\\]]|u32:\\d+|\\$[a-z]|[-?0-9a-f]+");
 
     private final Matcher tokens;
-    private final Map<Character, byte[]> kept;
+    private final Map<Character, byte[]> captured;
 
-    private Notation(String text, Map<Character, byte[]> kept) {
+    private Notation(String text, Map<Character, byte[]> captured) {
         tokens = TOKEN.matcher(text);
-        this.kept = kept;
+        this.captured = captured;
     }
 
-    static Bytes read(String text, Map<Character, byte[]> kept) {
-        return new Notation(text, kept).group("");
+    static Bytes read(String text, Map<Character, byte[]> captured) {
+        return new Notation(text, captured).parseGroup("");
     }
 
-    private Bytes group(String end) {
+    private Bytes parseGroup(String end) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         ByteArrayOutputStream mask = new ByteArrayOutputStream();
         while (tokens.find()) {
@@ -59,11 +60,11 @@
                 break;
             }
             Bytes part = switch (token.charAt(0)) {
-                case '"' -> sure(token.substring(1, token.length() - 1).getBytes(StandardCharsets.UTF_8));
-                case 'u' -> sure(ByteBuffer.allocate(4).putInt(Integer.parseInt(token.substring(4))).array());
-                case '{' -> prefixed(token.charAt(1) - '0', group("}"));
-                case '<' -> avp(Integer.parseInt(token.substring(1)), group(">"));
-                case '[' -> message(token.substring(1).split(" "), group("]"));
+                case '"' -> exact(token.substring(1, token.length() - 1).getBytes(StandardCharsets.UTF_8));
+                case 'u' -> exact(ByteBuffer.allocate(4).putInt(Integer.parseInt(token.substring(4))).array());
+                case '{' -> prefixed(token.charAt(1) - '0', parseGroup("}"));
+                case '<' -> avp(Integer.parseInt(token.substring(1)), parseGroup(">"));
+                case '[' -> message(token.substring(1).split(" "), parseGroup("]"));
                 default -> hex(token);
             };
             bytes.writeBytes(part.bytes);
@@ -72,7 +73,7 @@
         return new Bytes(bytes.toByteArray(), mask.toByteArray());
     }
 
-    private static Bytes sure(byte[] bytes) {
+    private static Bytes exact(byte[] bytes) {
         byte[] mask = new byte[bytes.length];
         java.util.Arrays.fill(mask, (byte) -1);
         return new Bytes(bytes, mask);
@@ -80,9 +81,9 @@
 
     private Bytes hex(String token) {
         if (token.startsWith("$")) {
-            byte[] value = kept.get(token.charAt(1));
+            byte[] value = captured.get(token.charAt(1));
             byte name = (byte) token.charAt(1);
-            return value != null ? sure(value) : new Bytes(new byte[] {name, name, name, name}, new byte[4]);
+            return value != null ? exact(value) : new Bytes(new byte[] {name, name, name, name}, new byte[4]);
         }
         String digits = token.equals("-----") ? "????????" : token;
         byte[] bytes = new byte[digits.length() / 2];
@@ -95,30 +96,30 @@
         return new Bytes(bytes, mask);
     }
 
-    private static Bytes join(Bytes one, Bytes other, int padding) {
-        ByteBuffer bytes = ByteBuffer.allocate(one.bytes.length + other.bytes.length + padding);
-        ByteBuffer mask = ByteBuffer.wrap(sure(new byte[bytes.capacity()]).bytes);
+    private static Bytes join(Bytes first, Bytes second, int padding) {
+        ByteBuffer bytes = ByteBuffer.allocate(first.bytes.length + second.bytes.length + padding);
+        ByteBuffer mask = ByteBuffer.wrap(exact(new byte[bytes.capacity()]).bytes);
         java.util.Arrays.fill(mask.array(), (byte) -1);
-        bytes.put(one.bytes).put(other.bytes);
-        mask.put(one.mask).put(other.mask);
+        bytes.put(first.bytes).put(second.bytes);
+        mask.put(first.mask).put(second.mask);
         return new Bytes(bytes.array(), mask.array());
     }
 
     private static Bytes prefixed(int width, Bytes content) {
         byte[] length = ByteBuffer.allocate(8).putLong(content.bytes.length).array();
-        return join(sure(java.util.Arrays.copyOfRange(length, 8 - width, 8)), content, 0);
+        return join(exact(java.util.Arrays.copyOfRange(length, 8 - width, 8)), content, 0);
     }
 
     private static Bytes avp(int code, Bytes content) {
         int length = 8 + content.bytes.length;
         byte[] head = ByteBuffer.allocate(8).putInt(code).putInt(0x40 << 24 | length).array();
-        return join(sure(head), content, (4 - length % 4) % 4);
+        return join(exact(head), content, (4 - length % 4) % 4);
     }
 
     private Bytes message(String[] head, Bytes avps) {
-        byte[] begin = ByteBuffer.allocate(12).putInt(1 << 24 | 20 + avps.bytes.length)
+        byte[] header = ByteBuffer.allocate(12).putInt(1 << 24 | 20 + avps.bytes.length)
                 .putInt(Integer.parseInt(head[0], 16) << 24 | Integer.parseInt(head[1]))
                 .putInt(Integer.parseInt(head[2])).array();
-        return join(join(sure(begin), join(hex(head[3]), hex(head[4]), 0), 0), avps, 0);
+        return join(join(exact(header), join(hex(head[3]), hex(head[4]), 0), 0), avps, 0);
     }
 }
--- a/daemon/src/test/java/pathlane/exchange/SilentConnection.java
+++ b/daemon/src/test/java/pathlane/exchange/SilentConnection.java
@@ -3,14 +3,14 @@
 import pathlane.core.CloseReason;
 import pathlane.transport.Connection;
 
-/** A connection to an event bus that takes what is written and never says anything of itself. */
+/** An event bus connection that discards all writes and never reports anything. */
 class SilentConnection implements Connection {
 
     @Override
     public void write(byte[] bytes) {}
 
     @Override
-    public void close(CloseReason why) {}
+    public void close(CloseReason reason) {}
 
     @Override
     public String remote() {
--- a/daemon/src/test/java/pathlane/exchange/StartTest.java
+++ b/daemon/src/test/java/pathlane/exchange/StartTest.java
@@ -19,56 +19,59 @@
 import pathlane.transport.Connection;
 import pathlane.transport.Protocol;
 
-/** A start is over once the bus has told what happened since the list in the configuration. */
+/**
+ * The start is complete only once the event bus has delivered the events since the server list of the configuration;
+ * otherwise calls would go to servers that have drained meanwhile.
+ */
 class StartTest {
 
-    private static final Connection UP = new SilentConnection();
+    private static final Connection CONNECTION = new SilentConnection();
 
     private final VirtualTime time = new VirtualTime();
-    private final List<Protocol> dialled = new ArrayList<>();
-    private final List<ServerStatus> told = new ArrayList<>();
+    private final List<Protocol> connectAttempts = new ArrayList<>();
+    private final List<ServerStatus> received = new ArrayList<>();
     private BusFeed feed;
 
     @BeforeEach
     void follow() {
-        feed = new BusFeed(1, (address, timeout, protocol) -> dialled.add(protocol), time, new SplittableRandom(1),
-                event -> event.lines().forEach(line -> told.add(line.status())), () -> {});
+        feed = new BusFeed(1, (address, timeout, protocol) -> connectAttempts.add(protocol), time, new SplittableRandom(1),
+                event -> event.lines().forEach(server -> received.add(server.status())), () -> {});
         feed.follow(Addresses.parse("127.0.0.1:9092"));
     }
 
     @Test
-    void whatTheBusHasInStoreIsReadFirst() {
+    void pendingBusEventsAreReadBeforeTheStartCompletes() {
         time.pass(1000);
-        assertFalse(feed.current().isDone(), "before the bus is reached");
-        dialled.get(0).opened(UP);
+        assertFalse(feed.current().isDone(), "before the bus is connected");
+        connectAttempts.get(0).opened(CONNECTION);
         time.pass(60);
-        assertFalse(feed.current().isDone(), "before the bus has had time to tell");
+        assertFalse(feed.current().isDone(), "before the bus had time to deliver its events");
         frame("0000002400000000000000020200000001" + "7f000001138901000000000000" + "03e80000000000000000");
         time.pass(140);
         assertTrue(feed.current().isDone());
-        assertEquals(List.of(ServerStatus.DRAINING), told);
+        assertEquals(List.of(ServerStatus.DRAINING), received);
     }
 
     @Test
-    void aBusWithNothingNewEndsTheWait() {
-        dialled.get(0).opened(UP);
+    void aHeartbeatWithoutNewEventsCompletesTheStart() {
+        connectAttempts.get(0).opened(CONNECTION);
         frame("00000009000000000000000100");
         assertTrue(feed.current().isDone());
     }
 
     @Test
-    void aConnectionThatIsLostShowsNothing() {
-        dialled.get(0).opened(UP);
+    void aLostBusConnectionDoesNotCompleteTheStart() {
+        connectAttempts.get(0).opened(CONNECTION);
         time.pass(100);
-        dialled.get(0).closed(CloseReason.RESET);
+        connectAttempts.get(0).closed(CloseReason.RESET);
         time.pass(150);
         assertFalse(feed.current().isDone());
-        dialled.get(1).opened(UP);
+        connectAttempts.get(1).opened(CONNECTION);
         time.pass(200);
         assertTrue(feed.current().isDone());
     }
 
     private void frame(String hex) {
-        dialled.get(0).received(ByteBuffer.wrap(HexFormat.of().parseHex(hex)));
+        connectAttempts.get(0).received(ByteBuffer.wrap(HexFormat.of().parseHex(hex)));
     }
 }
