--- a/daemon/src/test/java/pathlane/crossings/Controller.java
+++ b/daemon/src/test/java/pathlane/crossings/Controller.java
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Waits deadline the counter reaches the value. */
+    /** Waits until the counter reaches the value. */
     void awaitCount(Counters.Name name, long count) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (front.controller().counters().value(name) < count) {
--- a/daemon/src/test/java/pathlane/crossings/DescriptorsTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DescriptorsTest.java
@@ -17,7 +17,8 @@
 
 /**
  * Runs the program with the minimum number of descriptors while clients use all that they may. Guards against failures with
- * "Too many open files" when the event bus moves or a server is added, and against accepting no more newBus such a failure.
+ * "Too many open files" when the event bus moves or a server is added, and against accepting no more connections after such
+ * a failure.
  */
 class DescriptorsTest {
 
--- a/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
@@ -53,12 +53,13 @@
     }
 
     private Revision publishEndpoint(String service, long id, ServerSocket server, ServerStatus status) {
-        ServerEndpoint endpoint = new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", server.getLocalPort()), status, 0, 1,
-                Instant.EPOCH);
+        ServerEndpoint endpoint =
+                new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", server.getLocalPort()), status, 0, 1,
+                        Instant.EPOCH);
         return onLoop(() -> source.catalogue().update(service, List.of(endpoint), List.of(), Optional.empty()));
     }
 
-    /** Waits deadline the only subscriber has acknowledged this revision. */
+    /** Waits until the only subscriber has acknowledged this revision. */
     private void awaitAcknowledged(Revision revision) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (true) {
--- a/daemon/src/test/java/pathlane/crossings/ProgramEndTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ProgramEndTest.java
@@ -33,7 +33,7 @@
             program.signal("STOP");
             try (Peer client = Peer.to(program.address())) {
                 client.send(Peer.callRequest(1, 0));
-                Thread.sleep(PAST_ACCEPT_TIMEOUT_MS);   // the time for accepting clients runs out while the process is stopped
+                Thread.sleep(PAST_ACCEPT_TIMEOUT_MS);   // the accept timeout passes while the process is stopped
                 program.signal("CONT");
                 server.next(Message.SET_UP, 1);
                 Thread.sleep(ANSWER_DELAY_MS);   // a program that exits by elapsed time alone would have exited by now
--- a/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
+++ b/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
@@ -48,7 +48,7 @@
  * <li>{@code NAME ends REASON}: the remote side closes the connection
  * <li>{@code NAME closed REASON}: the program has closed the connection for this reason
  * <li>{@code udp-PORT < bytes}: the next datagram that the program sent to the port has exactly these bytes
- * <li>{@code NAME reads nothing}: the remote side stops reading; writes not consumed yet are still queued and can be cancelled
+ * <li>{@code NAME reads nothing}: the remote side stops reading; writes not consumed yet stay queued and can be cancelled
  * <li>{@code NAME reads again}: the remote side reads again and the queued writes leave
  * <li>{@code NAME holds nothing}: all queued writes were cancelled
  * <li>{@code NAME answers watchdogs}: the remote side answers Diameter watchdog requests from now on
@@ -210,7 +210,8 @@
             String[] arguments = words[2].split(" +", 3);
             byte[] release = Notation.read(arguments[2], captured).bytes();
             if (words[0].equals("adopt")) {
-                assertTrue(controller.adopt(words[1], Long.parseLong(arguments[0]), new AdoptedClientPort(arguments[1]), release), position);
+                assertTrue(controller.adopt(words[1], Long.parseLong(arguments[0]), new AdoptedClientPort(arguments[1]),
+                        release), position);
             } else {
                 controller.deliverServerRelease(words[1], Long.parseLong(arguments[0]), release);
             }
@@ -219,12 +220,12 @@
         } else if (words[0].equals("open")) {
             assertAllWritesConsumed();
             Protocol protocol = clientAcceptor.get();
-            FakeConnection line = new FakeConnection(protocol);
-            connections.put(words[1], line);
-            if (connectionLimiter.tryAdmit(protocol, line::close)) {
-                protocol.opened(line);
+            FakeConnection connection = new FakeConnection(protocol);
+            connections.put(words[1], connection);
+            if (connectionLimiter.tryAdmit(protocol, connection::close)) {
+                protocol.opened(connection);
             } else {
-                line.closed = CloseReason.LIMIT_REACHED;
+                connection.closed = CloseReason.LIMIT_REACHED;
             }
         } else if (words[0].equals("no")) {
             assertTrue(connectAttempts.getOrDefault(Integer.parseInt(words[2]), new ArrayDeque<>()).isEmpty(),
@@ -267,16 +268,16 @@
         }
     }
 
-    private void exchange(FakeConnection line, String what, String rest) {
-        assertTrue(line != null, () -> "no such connection at " + position);
-        switch (what) {
+    private void exchange(FakeConnection connection, String action, String argument) {
+        assertTrue(connection != null, () -> "no such connection at " + position);
+        switch (action) {
             case ">" -> {
                 assertAllWritesConsumed();
-                line.protocol.received(ByteBuffer.wrap(Notation.read(rest, captured).bytes()));
+                connection.protocol.received(ByteBuffer.wrap(Notation.read(argument, captured).bytes()));
             }
             case "<" -> {
-                Notation.Bytes expected = Notation.read(rest, captured);
-                byte[] written = line.written.poll();
+                Notation.Bytes expected = Notation.read(argument, captured);
+                byte[] written = connection.written.poll();
                 assertTrue(written != null, () -> "nothing written at " + position);
                 if (!expected.matches(written)) {
                     assertEquals(show(expected.bytes()), show(written), position);
@@ -284,32 +285,32 @@
                 }
                 expected.capture(written, captured);
             }
-            case "reads" -> line.blocked = rest.equals("nothing");
-            case "holds" -> assertTrue(line.written.isEmpty(), position);
-            case "answers" -> line.answersWatchdogs = true;
+            case "reads" -> connection.blocked = argument.equals("nothing");
+            case "holds" -> assertTrue(connection.written.isEmpty(), position);
+            case "answers" -> connection.answersWatchdogs = true;
             case "ends" -> {
                 assertAllWritesConsumed();
-                line.protocol.closed(CloseReason.valueOf(rest));
+                connection.protocol.closed(CloseReason.valueOf(argument));
             }
             case "closed" -> {
-                assertEquals(CloseReason.valueOf(rest), line.closed, position);
-                connectionLimiter.closed(line.protocol);
-                line.protocol.closed(line.closed);
+                assertEquals(CloseReason.valueOf(argument), connection.closed, position);
+                connectionLimiter.closed(connection.protocol);
+                connection.protocol.closed(connection.closed);
             }
             default -> fail("invalid script step: " + position);
         }
     }
 
     private void connect(String name, Protocol protocol) {
-        FakeConnection line = new FakeConnection(protocol);
-        connections.put(name, line);
-        protocol.opened(line);
+        FakeConnection connection = new FakeConnection(protocol);
+        connections.put(name, connection);
+        protocol.opened(connection);
     }
 
     private void assertAllWritesConsumed() {
-        connections.forEach((name, line) -> assertTrue(line.blocked || line.written.isEmpty(),
-                () -> "before " + position + ", " + name + " has unconsumed data " + show(line.written.peek()) + " at "
-                        + line.lastWritten));
+        connections.forEach((name, connection) -> assertTrue(connection.blocked || connection.written.isEmpty(),
+                () -> "before " + position + ", " + name + " has unconsumed data " + show(connection.written.peek()) + " at "
+                        + connection.lastWritten));
     }
 
     private static String show(byte[] bytes) {
--- a/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
+++ b/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
@@ -77,7 +77,7 @@
         play(96, 24);
     }
 
-    private void play(int descriptors, int forServers) {
+    private void play(int descriptors, int serverDescriptors) {
         IntStream.range(0, SERVER_COUNT).forEach(i -> {
             servers.add(FIRST_PORT + i);
             servers.addPendingRelease(FIRST_PORT + i, FIRST_OLDER_CALL + i);
@@ -100,10 +100,10 @@
         assertEquals(SERVER_COUNT, olderReleases, "releases of older calls that arrived in time");
         // A client releases a call from before the start whose server is unknown: no connection is opened for it.
         time.pass(Duration.ofSeconds(30));
-        int connectAttempts = servers.connectAttempts();
+        int attemptsBefore = servers.connectAttempts();
         client.received(ByteBuffer.wrap(new Message(Message.RELEASE, 0x0b5e1e7eL).withCause(16).bytes()));
         time.pass(1000);
-        assertEquals(connectAttempts, servers.connectAttempts());
+        assertEquals(attemptsBefore, servers.connectAttempts());
         call(3000);
         // All servers drain and as many new ones are added, in one event each.
         IntStream.range(0, SERVER_COUNT).forEach(i -> servers.drain(FIRST_PORT + i));
@@ -121,10 +121,11 @@
         assertEquals(Map.of(), established, "established calls without a release");
         assertEquals(calls, establishedCount + rejected);
         assertEquals(establishedCount, released);
-        assertTrue(servers.maxDescriptors() <= forServers + CLOSING_CONNECTIONS, () -> servers.maxDescriptors() + " descriptors held for servers");
+        assertTrue(servers.maxDescriptors() <= serverDescriptors + CLOSING_CONNECTIONS,
+                () -> servers.maxDescriptors() + " descriptors held for servers");
         assertTrue(establishedCount >= calls * 8 / 10, () -> establishedCount + " of " + calls + " calls were established");
-        int since = servers.connectAttempts() - connectAttempts;
-        assertTrue(since <= 5 * calls, () -> since + " connection attempts for " + calls + " calls");
+        int attempts = servers.connectAttempts() - attemptsBefore;
+        assertTrue(attempts <= 5 * calls, () -> attempts + " connection attempts for " + calls + " calls");
     }
 
     /** Sends an event bus heartbeat each second while the bus is enabled. */
@@ -159,8 +160,9 @@
     }
 
     private static String config(int descriptors) {
-        String hosts = IntStream.range(0, SERVER_COUNT).mapToObj(i -> String.format("{\"host\":\"s-%08x\",\"dial\":\"127.0.0.1:%d\","
-                + "\"block\":%d,\"health\":\"SERVING\",\"born_ms\":0}", i + 1, FIRST_PORT + i, i))
+        String hosts = IntStream.range(0, SERVER_COUNT)
+                .mapToObj(i -> String.format("{\"host\":\"s-%08x\",\"dial\":\"127.0.0.1:%d\","
+                        + "\"block\":%d,\"health\":\"SERVING\",\"born_ms\":0}", i + 1, FIRST_PORT + i, i))
                 .collect(Collectors.joining(","));
         String peers = IntStream.range(0, SERVER_COUNT).mapToObj(i -> "\"10.3." + i / 256 + "." + i % 256 + ":7946\"")
                 .collect(Collectors.joining(","));
--- a/daemon/src/test/java/pathlane/exchange/SimulatedServers.java
+++ b/daemon/src/test/java/pathlane/exchange/SimulatedServers.java
@@ -59,7 +59,8 @@
         }
 
         private void send(ServerConnection preferred, Message message) {
-            ServerConnection target = connections.contains(preferred) ? preferred : connections.stream().findFirst().orElse(null);
+            ServerConnection target =
+                    connections.contains(preferred) ? preferred : connections.stream().findFirst().orElse(null);
             if (target == null) {
                 waiting.add(message);
             } else {
@@ -73,8 +74,9 @@
             }
             Instant now = time.now();
             if (isDraining() && now.isAfter(drainAnnouncedAt.plus(DRAIN_GRACE))) {
-                violations.add("call request " + message.id() + " came to " + port + " " + Duration.between(drainAnnouncedAt, now)
-                        + " after its drain was announced");
+                violations.add(
+                        "call request " + message.id() + " came to " + port + " " + Duration.between(drainAnnouncedAt, now)
+                                + " after its drain was announced");
             }
             callRequests++;
             rules.sent(message.id(), Integer.toString(port), time.nowMs());
@@ -83,7 +85,8 @@
                 send(connection, new Message(Message.ANSWER, message.call)
                         .with(Message.DESCRIPTION, message.value(Message.DESCRIPTION)));
             });
-            time.after(ANSWER_DELAY.plus(CALL_DURATION), () -> send(connection, new Message(Message.RELEASE, message.call).withCause(NORMAL_CLEARING)));
+            time.after(ANSWER_DELAY.plus(CALL_DURATION),
+                    () -> send(connection, new Message(Message.RELEASE, message.call).withCause(NORMAL_CLEARING)));
         }
     }
 
