--- a/files/src/main/java/pathlane/files/TomlFile.java
+++ b/files/src/main/java/pathlane/files/TomlFile.java
@@ -19,14 +19,14 @@
 import pathlane.transport.Addresses;
 
 /**
- * One table of a TOML file, read key by key. Whatever can't be used ends in an {@link IllegalArgumentException} with one
- * sentence that names the file, the line and what would be right.
+ * A table of a TOML file, read key by key. An invalid value throws an {@link IllegalArgumentException} whose one-sentence
+ * message names the file, the line and the expected value.
  */
 public final class TomlFile {
 
     private final Path file;
     private final TomlTable table;
-    /** Where the table stands, as in {@code limits.}; empty for the whole file. */
+    /** Path of the table within the file, such as {@code limits.}; empty for the root table. */
     private final String prefix;
     private final int line;
 
@@ -43,7 +43,7 @@
         try {
             toml = Toml.parse(Files.readString(file));
         } catch (IOException e) {
-            throw new IllegalArgumentException("the file " + file + " can't be read", e);
+            throw new IllegalArgumentException("the file " + file + " cannot be read", e);
         }
         if (toml.hasErrors()) {
             TomlParseError first = toml.errors().get(0);
@@ -52,22 +52,22 @@
         return new TomlFile(file, toml, "", 0);
     }
 
-    /** The file that is named by a path in this one, relative to it. */
+    /** Resolves a path given in this file, relative to the directory of this file. */
     public Path beside(String name) {
         return file.toAbsolutePath().resolveSibling(name);
     }
 
-    /** The keys of this table. */
+    /** Returns the keys of this table. */
     public Set<String> keys() {
         return table.keySet();
     }
 
-    /** Whether the key is there. */
+    /** Returns whether the table contains the key. */
     public boolean has(String key) {
         return table.get(List.of(key)) != null;
     }
 
-    /** Refuses a key that is none of these: a misspelt one would be passed over in silence. */
+    /** Rejects any key that is not known: a misspelt key would otherwise be ignored silently. */
     public void onlyKeys(Set<String> known) {
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
@@ -77,15 +77,15 @@
         }
     }
 
-    /** The sentence about a key of this table. */
+    /** Returns an error about a key of this table, prefixed with the file and the line. */
     public IllegalArgumentException error(String key, String sentence) {
         TomlPosition position = table.inputPositionOf(List.of(key));
         int at = position == null ? line : position.line();
         return new IllegalArgumentException(file + (at == 0 ? "" : " line " + at) + ": " + sentence);
     }
 
-    private IllegalArgumentException wrong(String key, Object found, String right) {
-        return error(key, "'" + prefix + key + "' is " + found + "; right would be " + right);
+    private IllegalArgumentException invalidValue(String key, Object found, String expected) {
+        return error(key, "'" + prefix + key + "' is " + found + "; expected " + expected);
     }
 
     private Object required(String key) {
@@ -96,95 +96,95 @@
         return value;
     }
 
-    /** A text that must be there. */
+    /** Returns a required string. */
     public String text(String key) {
         Object value = required(key);
         if (!(value instanceof String text)) {
-            throw wrong(key, value, "text in quotes");
+            throw invalidValue(key, value, "text in quotes");
         }
         return text;
     }
 
-    /** A text, or the usual one where the key is absent. */
-    public String text(String key, String usual) {
-        return has(key) ? text(key) : usual;
+    /** Returns a string, or the default if the key is absent. */
+    public String text(String key, String defaultValue) {
+        return has(key) ? text(key) : defaultValue;
     }
 
-    /** An address with a port; it must be there. */
+    /** Returns a required address with a port. */
     public InetSocketAddress address(String key) {
         String text = text(key);
         try {
             return Addresses.parse(text);
         } catch (IllegalArgumentException e) {
-            throw wrong(key, "'" + text + "'", "an address with a port");
+            throw invalidValue(key, "'" + text + "'", "an address with a port");
         }
     }
 
-    /** A whole number within bounds, or the usual one where the key is absent. */
-    public long whole(String key, long usual, long least, long most) {
+    /** Returns an integer within bounds, or the default if the key is absent. */
+    public long whole(String key, long defaultValue, long min, long max) {
         Object value = table.get(List.of(key));
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
-        if (!(value instanceof Long number) || number < least || number > most) {
-            throw wrong(key, value, "a whole number from " + least + " to " + most);
+        if (!(value instanceof Long number) || number < min || number > max) {
+            throw invalidValue(key, value, "an integer from " + min + " to " + max);
         }
         return number;
     }
 
-    /** A number within bounds, or the usual one where the key is absent. */
-    public double number(String key, double usual, double least, double most) {
+    /** Returns a number within bounds, or the default if the key is absent. */
+    public double number(String key, double defaultValue, double min, double max) {
         Object value = table.get(List.of(key));
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
-        if (!(value instanceof Number number) || number.doubleValue() < least || number.doubleValue() > most) {
-            throw wrong(key, value, "a number from " + least + " to " + most);
+        if (!(value instanceof Number number) || number.doubleValue() < min || number.doubleValue() > max) {
+            throw invalidValue(key, value, "a number from " + min + " to " + max);
         }
         return number.doubleValue();
     }
 
-    /** A time in milliseconds within bounds, or the usual one where the key is absent. */
-    public Duration millis(String key, Duration usual, Duration least, Duration most) {
-        return Duration.ofMillis(whole(key, usual.toMillis(), least.toMillis(), most.toMillis()));
+    /** Returns a duration in milliseconds within bounds, or the default if the key is absent. */
+    public Duration millis(String key, Duration defaultValue, Duration min, Duration max) {
+        return Duration.ofMillis(whole(key, defaultValue.toMillis(), min.toMillis(), max.toMillis()));
     }
 
-    /** A list of whole numbers. */
-    public List<Long> wholes(String key, long least, long most) {
+    /** Returns a required list of integers within bounds. */
+    public List<Long> wholes(String key, long min, long max) {
         Object value = required(key);
         if (!(value instanceof TomlArray array) || !array.toList().stream()
-                .allMatch(one -> one instanceof Long number && number >= least && number <= most)) {
-            throw wrong(key, value instanceof TomlArray array ? array.toJson() : value,
-                    "a list of whole numbers from " + least + " to " + most);
+                .allMatch(element -> element instanceof Long number && number >= min && number <= max)) {
+            throw invalidValue(key, value instanceof TomlArray array ? array.toJson() : value,
+                    "a list of integers from " + min + " to " + max);
         }
         return array.toList().stream().map(Long.class::cast).toList();
     }
 
-    /** A table within this one; an empty one where the key is absent. */
+    /** Returns a nested table, or an empty element if the key is absent. */
     public TomlFile table(String key) {
         Object value = table.get(List.of(key));
         if (value == null) {
             return new TomlFile(file, Toml.parse(""), prefix + key + ".", 0);
         }
         if (!(value instanceof TomlTable inner)) {
-            throw wrong(key, value, "a table, [" + prefix + key + "]");
+            throw invalidValue(key, value, "a table, [" + prefix + key + "]");
         }
         return new TomlFile(file, inner, prefix + key + ".", table.inputPositionOf(List.of(key)).line());
     }
 
-    /** Whether the value of the key is a table. */
+    /** Returns whether the value of the key is a table. */
     public boolean isTable(String key) {
         return table.get(List.of(key)) instanceof TomlTable;
     }
 
-    /** The tables of a list, {@code [[key]]}; none where the key is absent. */
+    /** Returns the tables of an array, {@code [[key]]}; empty if the key is absent. */
     public List<TomlFile> tables(String key) {
         Object value = table.get(List.of(key));
         if (value == null) {
             return List.of();
         }
         if (!(value instanceof TomlArray array) || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            throw wrong(key, value, "a list of tables, [[" + prefix + key + "]]");
+            throw invalidValue(key, value, "a list of tables, [[" + prefix + key + "]]");
         }
         List<TomlFile> tables = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
@@ -193,12 +193,12 @@
         return tables;
     }
 
-    /** The constant of that name among others. */
+    /** Returns the choice that the required string names. */
     public <T> T choice(String key, Map<String, T> choices) {
         String text = text(key);
         T chosen = choices.get(text);
         if (chosen == null) {
-            throw wrong(key, "'" + text + "'", "one of " + String.join(", ", new TreeSet<>(choices.keySet())));
+            throw invalidValue(key, "'" + text + "'", "one of " + String.join(", ", new TreeSet<>(choices.keySet())));
         }
         return chosen;
     }
--- a/files/src/main/java/pathlane/files/package-info.java
+++ b/files/src/main/java/pathlane/files/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Operators' files in TOML: reading a table key by key, and the tables that several programs have. Knows no socket, and
- * nothing of what a program does with the figures.
+ * Configuration files in TOML: reading a table key by key, and the tables that several programs share. Opens no sockets and
+ * does not depend on how a program uses the values.
  */
 package pathlane.files;
--- a/relay/src/main/java/pathlane/relay/BusSource.java
+++ b/relay/src/main/java/pathlane/relay/BusSource.java
@@ -17,16 +17,16 @@
 import pathlane.transport.Connector;
 
 /**
- * Fills a source from the platform's event bus. Nothing is published before the bus has told its whole list: a source that
- * holds a part of it must not be believed where it lacks something.
+ * Fills a source from the platform's event bus. Nothing is published before the bus has sent its complete list: otherwise
+ * subscribers would take servers that are missing from a partial list for removed ones.
  */
 final class BusSource implements ContentFeed {
 
     private static final Logger LOG = System.getLogger("source");
-    /** The bus tells its whole list to whoever knows no event yet. */
-    private static final long NO_EVENT = 0;
-    private static final Duration LOOK_EVERY = Duration.ofSeconds(1);
-    /** It says something each second; one heartbeat that is late or lost is not worth a word to every subscriber. */
+    /** Number of the last known event: a client that asks from event 0 gets the complete list. */
+    private static final long NO_EVENT_RECEIVED = 0;
+    private static final Duration STALENESS_CHECK_INTERVAL = Duration.ofSeconds(1);
+    /** The bus sends a heartbeat each second; a single late or lost one does not justify a message to every subscriber. */
     private static final Duration STALE_AFTER = Duration.ofMillis(2500);
 
     private final BusOrigin origin;
@@ -38,50 +38,50 @@
     private boolean hasList;
     private Instant startedAt = Instant.MIN;
 
-    BusSource(BusOrigin origin, Source source, Connector dialer, Scheduler scheduler, long seed) {
+    BusSource(BusOrigin origin, Source source, Connector connector, Scheduler scheduler, long seed) {
         this.origin = origin;
         this.source = source;
         this.scheduler = scheduler;
         this.directory = new ServerDirectory(origin.services());
         this.configurations = readConfigurations();
-        this.bus = new BusFeed(NO_EVENT, dialer, scheduler, new SplittableRandom(seed), this::changed, () -> {});
+        this.bus = new BusFeed(NO_EVENT_RECEIVED, connector, scheduler, new SplittableRandom(seed), this::serversChanged, () -> {});
     }
 
     private Map<String, String> readConfigurations() {
-        Map<String, String> texts = new HashMap<>();
-        for (Map.Entry<String, ConfigurationText> one : origin.configurations().entrySet()) {
-            texts.put(one.getKey(), one.getValue().read());
+        Map<String, String> contents = new HashMap<>();
+        for (Map.Entry<String, ConfigurationText> entry : origin.configurations().entrySet()) {
+            contents.put(entry.getKey(), entry.getValue().read());
         }
-        return texts;
+        return contents;
     }
 
     @Override
     public void start() {
-        bus.caughtUp().thenRun(this::completeOnceListed);
+        bus.caughtUp().thenRun(this::completeOnceListReceived);
         startedAt = scheduler.now();
         bus.follow(origin.bus());
-        followStaleness();
+        checkStaleness();
     }
 
-    private void changed(ServerList list) {
+    private void serversChanged(ServerList list) {
         Map<String, ServerDirectory.EndpointChange> changes = directory.apply(list);
         hasList = true;
         if (source.catalogue().isComplete()) {
             changes.forEach((service, change) -> source.catalogue().update(service, change.upserted(), change.removed(),
                     Optional.empty()));
         } else {
-            completeOnceListed();
+            completeOnceListReceived();
         }
     }
 
-    /** Guards against a bus that is itself just starting, and has no list yet: the source waits for the first event. */
-    private void completeOnceListed() {
+    /** A bus that is itself just starting may have no list yet: the source then waits for the first event. */
+    private void completeOnceListReceived() {
         if (!hasList || !bus.caughtUp().isDone() || source.catalogue().isComplete()) {
             return;
         }
         publishAll();
         source.catalogue().complete();
-        LOG.log(Level.INFO, "the event bus has told its whole list: {0} services, {1} servers in no service",
+        LOG.log(Level.INFO, "the event bus has sent its complete list: {0} services, {1} servers without a service",
                 Integer.toString(directory.services().size()), Integer.toString(directory.unassigned()));
     }
 
@@ -103,10 +103,10 @@
         return "bus=" + (silentSince().isEmpty() ? "current" : "silent") + " unassigned=" + directory.unassigned();
     }
 
-    /** What the bus does not tell can't be published: subscribers are told since when. */
-    private void followStaleness() {
+    /** While the bus is silent the published content may be outdated: subscribers are notified since when. */
+    private void checkStaleness() {
         source.publisher().setStaleSince(silentSince());
-        scheduler.after(LOOK_EVERY, this::followStaleness);
+        scheduler.after(STALENESS_CHECK_INTERVAL, this::checkStaleness);
     }
 
     private Optional<Instant> silentSince() {
--- a/relay/src/main/java/pathlane/relay/CatalogueFeed.java
+++ b/relay/src/main/java/pathlane/relay/CatalogueFeed.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import pathlane.discovery.Source;
 
-/** Fills a source from a catalogue's file, at the start and at each reload. */
+/** Fills a source from a catalogue file, at startup and at each reload. */
 final class CatalogueFeed implements ContentFeed {
 
     private final Path file;
--- a/relay/src/main/java/pathlane/relay/CatalogueFile.java
+++ b/relay/src/main/java/pathlane/relay/CatalogueFile.java
@@ -21,17 +21,17 @@
 import pathlane.transport.Addresses;
 
 /**
- * A whole catalogue as a JSON file, for a source without an event bus:
+ * A complete catalogue as a JSON file, for a source without an event bus:
  * {@code {"services": {NAME: {"configuration": TEXT, "endpoints": [{"id": 7, "address": "127.0.0.1:7000",
- * "draining": false, "cell": 0, "weight": 1, "started-ms": 0}]}}}}; all but id and address may be left out. Read as a
- * stream, since a catalogue has tens of thousands of endpoints.
+ * "draining": false, "cell": 0, "weight": 1, "started-ms": 0}]}}}}; all fields but id and address are optional. Read as
+ * a stream, since a catalogue has tens of thousands of endpoints.
  */
 final class CatalogueFile {
 
-    private static final long MOST_ID = 0xffffffffL;
-    private static final int MOST_CELL = 0xffff;
+    private static final long MAX_ID = 0xffffffffL;
+    private static final int MAX_CELL = 0xffff;
 
-    /** What the file says of one service. */
+    /** The endpoints and the configuration of one service. */
     record Content(List<ServerEndpoint> endpoints, String configuration) {}
 
     private final Path file;
@@ -47,7 +47,7 @@
      * Reads the file.
      *
      * @return the services by name, each with its endpoints in ascending order of their ids
-     * @throws IllegalArgumentException with one sentence that names file and line
+     * @throws IllegalArgumentException if the file is invalid, with a one-sentence message that names file and line
      */
     static Map<String, Content> read(Path file) {
         try (JsonReader json = new JsonReader(Files.newBufferedReader(file, StandardCharsets.UTF_8))) {
@@ -55,15 +55,15 @@
         } catch (MalformedJsonException e) {
             throw new IllegalArgumentException(file + ": " + e.getMessage().lines().findFirst().orElse(""), e);
         } catch (IOException e) {
-            throw new IllegalArgumentException("the catalogue " + file + " can't be read", e);
+            throw new IllegalArgumentException("the catalogue " + file + " cannot be read", e);
         }
     }
 
-    /** The sentence with the place that the reader has come to. */
+    /** Returns an error prefixed with the file and the reader's current position. */
     private IllegalArgumentException error(String sentence) {
-        // The reader tells its place in no other way: "JsonReader at line 3 column 9 path $.services".
-        String place = json.toString().replaceFirst("^JsonReader at ", "").replaceFirst(" column .*$", "");
-        return new IllegalArgumentException(file + " " + place + ": " + sentence);
+        // The reader exposes its position only through toString: "JsonReader at line 3 column 9 path $.services".
+        String position = json.toString().replaceFirst("^JsonReader at ", "").replaceFirst(" column .*$", "");
+        return new IllegalArgumentException(file + " " + position + ": " + sentence);
     }
 
     private Map<String, Content> services() throws IOException {
@@ -73,7 +73,7 @@
             while (json.hasNext()) {
                 String key = json.nextName();
                 if (!key.equals("services")) {
-                    throw error("'" + key + "' is no key here; there is 'services'");
+                    throw error("'" + key + "' is not a known key; known keys: 'services'");
                 }
                 json.beginObject();
                 while (json.hasNext()) {
@@ -83,7 +83,7 @@
             }
             json.endObject();
         } catch (IllegalStateException | NumberFormatException e) {
-            throw error("not what is needed here: " + e.getMessage().lines().findFirst().orElse(""));
+            throw error("unexpected JSON value: " + e.getMessage().lines().findFirst().orElse(""));
         }
         return services;
     }
@@ -91,7 +91,7 @@
     private void service(Map<String, Content> services) throws IOException {
         String name = json.nextName();
         if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > CatalogueLimits.LONGEST_NAME) {
-            throw error("'" + name + "' is no service's name; right would be 1 to " + CatalogueLimits.LONGEST_NAME
+            throw error("'" + name + "' is not a valid service name; expected 1 to " + CatalogueLimits.LONGEST_NAME
                     + " bytes");
         }
         String configuration = "";
@@ -108,25 +108,25 @@
                     }
                     json.endArray();
                 }
-                default -> throw error("'" + key + "' is no key here; there are configuration, endpoints");
+                default -> throw error("'" + key + "' is not a known key; known keys: configuration, endpoints");
             }
         }
         json.endObject();
         if (endpoints.size() > CatalogueLimits.MOST_ENDPOINTS) {
-            throw error("service '" + name + "' has " + endpoints.size() + " endpoints; right would be "
-                    + CatalogueLimits.MOST_ENDPOINTS + " at the most");
+            throw error("service '" + name + "' has " + endpoints.size() + " endpoints; expected "
+                    + CatalogueLimits.MOST_ENDPOINTS + " at most");
         }
         endpoints.sort(Comparator.comparingLong(ServerEndpoint::id));
         if (services.put(name, new Content(List.copyOf(endpoints), configuration)) != null) {
-            throw error("service '" + name + "' is there twice");
+            throw error("service '" + name + "' is listed twice");
         }
     }
 
     private String configuration() throws IOException {
         String text = json.nextString();
         if (text.length() > CatalogueLimits.LONGEST_CONFIGURATION) {
-            throw error("a configuration of " + text.length() + " characters; right would be "
-                    + CatalogueLimits.LONGEST_CONFIGURATION + " at the most");
+            throw error("a configuration of " + text.length() + " characters; expected "
+                    + CatalogueLimits.LONGEST_CONFIGURATION + " at most");
         }
         return text;
     }
@@ -134,7 +134,7 @@
     private ServerEndpoint endpoint() throws IOException {
         long id = -1;
         InetSocketAddress address = null;
-        ServerStatus mode = ServerStatus.RUNNING;
+        ServerStatus status = ServerStatus.RUNNING;
         int cell = 0;
         double weight = 1;
         Instant started = Instant.EPOCH;
@@ -142,13 +142,13 @@
         while (json.hasNext()) {
             String key = json.nextName();
             switch (key) {
-                case "id" -> id = whole(key, MOST_ID);
+                case "id" -> id = integer(key, MAX_ID);
                 case "address" -> address = address(json.nextString());
-                case "draining" -> mode = json.nextBoolean() ? ServerStatus.DRAINING : ServerStatus.RUNNING;
-                case "cell" -> cell = (int) whole(key, MOST_CELL);
+                case "draining" -> status = json.nextBoolean() ? ServerStatus.DRAINING : ServerStatus.RUNNING;
+                case "cell" -> cell = (int) integer(key, MAX_CELL);
                 case "weight" -> weight = weight();
-                case "started-ms" -> started = Instant.ofEpochMilli(whole(key, Long.MAX_VALUE));
-                default -> throw error("'" + key + "' is no key here; there are address, cell, draining, id, started-ms, "
+                case "started-ms" -> started = Instant.ofEpochMilli(integer(key, Long.MAX_VALUE));
+                default -> throw error("'" + key + "' is not a known key; known keys: address, cell, draining, id, started-ms, "
                         + "weight");
             }
         }
@@ -157,15 +157,15 @@
             throw error("an endpoint has no " + (id < 0 ? "'id'" : "'address'"));
         }
         if (!ids.add(id)) {
-            throw error("endpoint " + id + " is there twice");
+            throw error("endpoint " + id + " is listed twice");
         }
-        return new ServerEndpoint(id, address, mode, cell, weight, started);
+        return new ServerEndpoint(id, address, status, cell, weight, started);
     }
 
-    private long whole(String key, long most) throws IOException {
+    private long integer(String key, long max) throws IOException {
         long number = json.nextLong();
-        if (number < 0 || number > most) {
-            throw error("'" + key + "' is " + number + "; right would be from 0 to " + most);
+        if (number < 0 || number > max) {
+            throw error("'" + key + "' is " + number + "; expected a value from 0 to " + max);
         }
         return number;
     }
@@ -173,7 +173,7 @@
     private double weight() throws IOException {
         double weight = json.nextDouble();
         if (!(weight > 0) || Double.isInfinite(weight)) {
-            throw error("'weight' is " + weight + "; right would be above 0");
+            throw error("'weight' is " + weight + "; expected a value above 0");
         }
         return weight;
     }
--- a/relay/src/main/java/pathlane/relay/ContentFeed.java
+++ b/relay/src/main/java/pathlane/relay/ContentFeed.java
@@ -2,24 +2,24 @@
 
 import pathlane.discovery.Source;
 
-/** Where a source's content comes from. On the loop's thread. */
+/** The origin of a source's content. Runs on the event loop's thread. */
 interface ContentFeed {
 
-    /** Makes the feed of a source, once the source has its epoch. */
+    /** Creates the feed of a source, once the source has its epoch. */
     interface Factory {
-        ContentFeed into(Source source);
+        ContentFeed create(Source source);
     }
 
-    /** Begins to fill the source's catalogue. */
+    /** Starts to fill the source's catalogue. */
     void start();
 
     /**
-     * Reads its files again.
+     * Reloads the feed's files.
      *
-     * @throws IllegalArgumentException with a sentence where one can't be used; then nothing has changed
+     * @throws IllegalArgumentException if a file is invalid; then nothing has changed
      */
     void reload();
 
-    /** What it adds to the line of the log, as {@code name=value} pairs; called each second. */
+    /** The feed's part of the status log line, as {@code name=value} pairs; called each second. */
     String details();
 }
--- a/relay/src/main/java/pathlane/relay/EpochFile.java
+++ b/relay/src/main/java/pathlane/relay/EpochFile.java
@@ -10,12 +10,12 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The number of a source's starts, in a file of its own. Each start takes a greater one than any before and has it on the
- * disk before anything is published under it, so that a source which began anew can't pass old content for new.
+ * A file with the number of a source's starts. Each start takes an epoch greater than all before and syncs it to disk before
+ * anything is published under it, so that subscribers never take outdated content for newer after a restart.
  */
 final class EpochFile {
 
-    private static final int LONGEST = 32;
+    private static final int MAX_BYTES = 32;
 
     private final Path file;
 
@@ -24,30 +24,30 @@
     }
 
     /**
-     * Takes the next epoch. Once this returns, it is on the disk.
+     * Takes the next epoch. It is durable on disk once this returns.
      *
-     * @throws IllegalArgumentException with a sentence where the file holds no epoch, or can't be written: a source without
-     *                                  an epoch must not start
+     * @throws IllegalArgumentException if the file contains no valid epoch or cannot be written: a source must not start
+     *                                  without an epoch
      */
     long next() {
         long epoch = last() + 1;
-        Path fresh = file.resolveSibling(file.getFileName() + ".new");
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
         try {
-            write(fresh, epoch);
-            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            // The rename itself is on the disk only once its folder is.
-            try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
-                folder.force(true);
+            write(temporary, epoch);
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            // The rename is durable only once the directory is synced as well.
+            try (FileChannel directory = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
+                directory.force(true);
             }
         } catch (IOException e) {
-            throw new IllegalArgumentException("the epoch's file " + file + " can't be written (" + e
+            throw new IllegalArgumentException("the epoch file " + file + " can't be written (" + e
                     + "); the source does not start without one", e);
         }
         return epoch;
     }
 
-    private static void write(Path fresh, long epoch) throws IOException {
-        try (FileChannel channel = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+    private static void write(Path temporary, long epoch) throws IOException {
+        try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer bytes = ByteBuffer.wrap((epoch + "\n").getBytes(StandardCharsets.US_ASCII));
             while (bytes.hasRemaining()) {
@@ -57,16 +57,16 @@
         }
     }
 
-    /** The epoch of the last start; 0 before the first. */
+    /** Returns the epoch of the last start; 0 before the first. */
     private long last() {
         if (!Files.exists(file)) {
             return 0;
         }
         String text;
         try {
-            text = Files.size(file) > LONGEST ? "too long" : Files.readString(file, StandardCharsets.US_ASCII).strip();
+            text = Files.size(file) > MAX_BYTES ? "too long" : Files.readString(file, StandardCharsets.US_ASCII).strip();
         } catch (IOException e) {
-            throw new IllegalArgumentException("the epoch's file " + file + " can't be read (" + e
+            throw new IllegalArgumentException("the epoch file " + file + " cannot be read (" + e
                     + "); the source does not start without its last epoch", e);
         }
         try {
@@ -75,9 +75,9 @@
                 return epoch;
             }
         } catch (NumberFormatException e) {
-            // Told below. An unreadable epoch is never taken for none: the next one would be lower than the last.
+            // Reported below. An unreadable epoch is not treated as a missing one: the next epoch would be lower than the last.
         }
         throw new IllegalArgumentException(file + " line 1: '" + text.lines().findFirst().orElse("")
-                + "' is no epoch; right would be a whole number that is greater than any epoch of this source before");
+                + "' is no epoch; expected an integer greater than all earlier epochs of this source");
     }
 }
--- a/relay/src/main/java/pathlane/relay/ProgramFile.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFile.java
@@ -14,77 +14,77 @@
 import pathlane.files.WatchTables;
 import pathlane.group.KeyRing;
 
-/** The file of a source or a relay, in TOML. */
+/** The configuration file of a source or a relay, in TOML. */
 sealed interface ProgramFile {
 
-    /** What both roles have. */
+    /** The settings that both roles share. */
     Common common();
 
     /**
-     * What both roles have.
+     * The settings that both roles share.
      *
-     * @param name who it is among publishers and subscribers; the same after a restart
-     * @param listen where subscribers come
-     * @param keys the file of the keys that sign each frame
+     * @param name the program's name among publishers and subscribers; stable across restarts
+     * @param listen the address that subscribers connect to
+     * @param keys the file with the keys that authenticate each frame
      * @param terms limits of the publisher
      */
     record Common(String name, InetSocketAddress listen, Path keys, PublisherTerms terms) {
 
-        /** Reads the keys that the file names. */
+        /** Reads the key file. */
         KeyRing readKeys() {
             return WatchTables.keys(keys);
         }
     }
 
-    /** Where a source has its content from. */
+    /** The origin of a source's content. */
     sealed interface Origin {}
 
     /**
      * The platform's event bus.
      *
-     * @param services the cells of each service; no cell is in two
+     * @param services the cells of each service; no cell belongs to two services
      * @param configurations the configuration of each service that has one
      */
     record BusOrigin(InetSocketAddress bus, Map<String, Set<Integer>> services,
             Map<String, ConfigurationText> configurations) implements Origin {}
 
-    /** A file with the whole catalogue, read again at SIGHUP. */
+    /** A file with the complete catalogue, reloaded on SIGHUP. */
     record CatalogueOrigin(Path catalogue) implements Origin {}
 
-    /** A service's configuration: its text, or the file that holds it. */
+    /** A service's configuration: inline text, or the file that contains it. */
     record ConfigurationText(Optional<Path> file, String text) {
 
         /**
-         * The text as it is now.
+         * Returns the current text, reading the file if there is one.
          *
-         * @throws IllegalArgumentException with a sentence where the file can't be read, or holds too much
+         * @throws IllegalArgumentException if the file cannot be read or is too long
          */
         String read() {
-            String whole;
+            String content;
             try {
-                whole = file.isPresent() ? Files.readString(file.get()) : text;
+                content = file.isPresent() ? Files.readString(file.get()) : text;
             } catch (IOException e) {
-                throw new IllegalArgumentException("the configuration's file " + file.get() + " can't be read", e);
+                throw new IllegalArgumentException("the configuration file " + file.get() + " cannot be read", e);
             }
-            if (whole.length() > CatalogueLimits.LONGEST_CONFIGURATION) {
-                throw new IllegalArgumentException("a configuration of " + whole.length() + " characters"
-                        + file.map(path -> " in " + path).orElse("") + "; right would be "
-                        + CatalogueLimits.LONGEST_CONFIGURATION + " at the most");
+            if (content.length() > CatalogueLimits.LONGEST_CONFIGURATION) {
+                throw new IllegalArgumentException("a configuration of " + content.length() + " characters"
+                        + file.map(path -> " in " + path).orElse("") + "; expected "
+                        + CatalogueLimits.LONGEST_CONFIGURATION + " at most");
             }
-            return whole;
+            return content;
         }
     }
 
-    /** A source. */
+    /** The settings of a source. */
     record SourceFile(Common common, Path epochFile, Origin origin) implements ProgramFile {}
 
-    /** A relay: what it watches by, and whom. */
+    /** The settings of a relay, with the publishers that it watches. */
     record RelayFile(Common common, WatchTerms upstream) implements ProgramFile {}
 
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException with one sentence that names file and line, and what would be right
+     * @throws IllegalArgumentException if the file is invalid, with a one-sentence message that names file, line and expected value
      */
     static ProgramFile read(Path file) {
         return new ProgramFileReader(TomlFile.parse(file)).read();
--- a/relay/src/main/java/pathlane/relay/ProgramFileReader.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFileReader.java
@@ -20,15 +20,15 @@
 import pathlane.relay.ProgramFile.RelayFile;
 import pathlane.relay.ProgramFile.SourceFile;
 
-/** Reads the file of a source or a relay; the limits of each figure are here. */
+/** Reads the configuration file of a source or a relay and checks the bounds of each value. */
 final class ProgramFileReader {
 
     private static final Set<String> SHARED_KEYS = Set.of("role", "name", "listen", "keys", "limits");
     private static final Set<String> SOURCE_KEYS = Set.of("epoch-file", "bus", "services", "configuration", "catalogue");
-    private static final int MOST_SUBSCRIBERS = 100_000;
-    private static final int LEAST_BYTES = 4 * 1024;
-    private static final int MOST_BYTES = 64 << 20;
-    private static final Duration MOST_TIME = Duration.ofMinutes(10);
+    private static final int MAX_SUBSCRIBERS = 100_000;
+    private static final int MIN_BYTES = 4 * 1024;
+    private static final int MAX_BYTES = 64 << 20;
+    private static final Duration MAX_DURATION = Duration.ofMinutes(10);
 
     private final TomlFile toml;
 
@@ -38,9 +38,9 @@
 
     ProgramFile read() {
         boolean isSource = toml.choice("role", Map.of("source", true, "relay", false));
-        Set<String> known = new HashSet<>(SHARED_KEYS);
-        known.addAll(isSource ? SOURCE_KEYS : WatchTables.WATCH_KEYS);
-        toml.onlyKeys(known);
+        Set<String> knownKeys = new HashSet<>(SHARED_KEYS);
+        knownKeys.addAll(isSource ? SOURCE_KEYS : WatchTables.WATCH_KEYS);
+        toml.onlyKeys(knownKeys);
         Common common = new Common(WatchTables.name(toml, "name"), toml.address("listen"), toml.beside(toml.text("keys")),
                 terms(toml.table("limits")));
         return isSource ? new SourceFile(common, toml.beside(toml.text("epoch-file")), origin())
@@ -50,28 +50,28 @@
     private static PublisherTerms terms(TomlFile limits) {
         limits.onlyKeys(Set.of("subscribers", "watches-per-second", "watch-burst", "unacknowledged-bytes",
                 "update-bytes", "history-changes", "bookmark-ms", "dead-after-ms"));
-        PublisherTerms usual = PublisherTerms.USUAL;
-        return new PublisherTerms((int) limits.whole("subscribers", usual.subscribers(), 1, MOST_SUBSCRIBERS),
-                limits.number("watches-per-second", usual.watchesPerSecond(), 1, MOST_SUBSCRIBERS),
-                (int) limits.whole("watch-burst", usual.watchBurst(), 1, MOST_SUBSCRIBERS),
-                (int) limits.whole("unacknowledged-bytes", usual.unacknowledgedBytes(), LEAST_BYTES, MOST_BYTES),
-                (int) limits.whole("update-bytes", usual.updateBytes(), LEAST_BYTES, MOST_BYTES),
-                (int) limits.whole("history-changes", usual.historyChanges(), 0, MOST_BYTES),
-                limits.millis("bookmark-ms", usual.bookmarkEvery(), Duration.ofMillis(10), usual.bookmarkEvery()),
-                limits.millis("dead-after-ms", usual.deadAfter(), Duration.ofSeconds(1), MOST_TIME));
+        PublisherTerms defaults = PublisherTerms.USUAL;
+        return new PublisherTerms((int) limits.whole("subscribers", defaults.subscribers(), 1, MAX_SUBSCRIBERS),
+                limits.number("watches-per-second", defaults.watchesPerSecond(), 1, MAX_SUBSCRIBERS),
+                (int) limits.whole("watch-burst", defaults.watchBurst(), 1, MAX_SUBSCRIBERS),
+                (int) limits.whole("unacknowledged-bytes", defaults.unacknowledgedBytes(), MIN_BYTES, MAX_BYTES),
+                (int) limits.whole("update-bytes", defaults.updateBytes(), MIN_BYTES, MAX_BYTES),
+                (int) limits.whole("history-changes", defaults.historyChanges(), 0, MAX_BYTES),
+                limits.millis("bookmark-ms", defaults.bookmarkEvery(), Duration.ofMillis(10), defaults.bookmarkEvery()),
+                limits.millis("dead-after-ms", defaults.deadAfter(), Duration.ofSeconds(1), MAX_DURATION));
     }
 
     // ---- source
 
     private Origin origin() {
         if (toml.has("bus") == toml.has("catalogue")) {
-            throw toml.error("catalogue", toml.has("bus") ? "both 'bus' and 'catalogue' are there; a source has one"
-                    : "neither 'bus' nor 'catalogue' is there; a source has one of them");
+            throw toml.error("catalogue", toml.has("bus") ? "both 'bus' and 'catalogue' are given; a source has one"
+                    : "neither 'bus' nor 'catalogue' is given; a source has one of them");
         }
         if (toml.has("catalogue")) {
             for (String key : List.of("services", "configuration")) {
                 if (toml.has(key)) {
-                    throw toml.error(key, "'" + key + "' belongs to a source with a 'bus'; the catalogue's file has "
+                    throw toml.error(key, "'" + key + "' belongs to a source with a 'bus'; the catalogue file has "
                             + "its own services");
                 }
             }
@@ -86,14 +86,14 @@
         Map<String, ConfigurationText> configurations = new TreeMap<>();
         for (String service : table.keys()) {
             if (!services.contains(service)) {
-                throw table.error(service, "'configuration' names '" + service + "', which is no service");
+                throw table.error(service, "'configuration' names '" + service + "', which is not a service");
             }
             if (table.isTable(service)) {
                 TomlFile inner = table.table(service);
                 inner.onlyKeys(Set.of("file"));
                 Path file = toml.beside(inner.text("file"));
                 if (!Files.isReadable(file)) {
-                    throw inner.error("file", "the configuration's file " + file + " can't be read");
+                    throw inner.error("file", "the configuration file " + file + " cannot be read");
                 }
                 configurations.put(service, new ConfigurationText(Optional.of(file), ""));
             } else {
--- a/relay/src/main/java/pathlane/relay/PublisherProgram.java
+++ b/relay/src/main/java/pathlane/relay/PublisherProgram.java
@@ -14,16 +14,16 @@
 import pathlane.relay.ProgramFile.SourceFile;
 import pathlane.transport.RateLimitedLog;
 
-/** A running source or relay: its event loop, its sockets, its keys, its log, and an orderly end. */
+/** A running source or relay: its event loop, sockets, keys, status log and graceful shutdown. */
 final class PublisherProgram {
 
     private static final Logger LOG = System.getLogger("relay");
     private static final int NONCE_BYTES = 16;
-    /** The longest frame of a link: one change of a service with tens of thousands of endpoints. */
-    private static final long LONGEST_FRAME = 4L << 20;
-    private static final Duration END_CHECK = Duration.ofMillis(20);
-    /** What was written last and the subscribers' own closes are waited for so long. */
-    private static final Duration LAST_WORDS = Duration.ofMillis(500);
+    /** Maximum frame size of a link: a single change of a service with tens of thousands of endpoints. */
+    private static final long MAX_FRAME_BYTES = 4L << 20;
+    private static final Duration SHUTDOWN_POLL_INTERVAL = Duration.ofMillis(20);
+    /** How long shutdown waits for pending writes and for subscribers to close their connections. */
+    private static final Duration SHUTDOWN_TIMEOUT = Duration.ofMillis(500);
 
     private final ProgramFile file;
     private final EventLoop loop = new EventLoop();
@@ -33,40 +33,40 @@
     private KeyRing keys;
 
     /**
-     * Reads what the file names and starts nothing yet. A source has its epoch on the disk once this returns.
+     * Reads the files that the configuration names and starts nothing yet. A source's epoch is durable once this returns.
      *
-     * @throws IllegalArgumentException with a sentence where something can't be used
+     * @throws IllegalArgumentException if a file is invalid
      */
     PublisherProgram(ProgramFile file) {
         this.file = file;
         this.keys = file.common().readKeys();
         SecureRandom random = new SecureRandom();
-        AuthenticatedLink.Context common = new AuthenticatedLink.Context(file.common().name(), () -> keys, () -> {
+        AuthenticatedLink.Context context = new AuthenticatedLink.Context(file.common().name(), () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
         }, loop, new RateLimitedLog("discovery", loop));
-        this.role = file instanceof SourceFile source ? new SourceRole(source, common, network, loop, random)
-                : new RelayRole((RelayFile) file, common, network.dialer(mostUnwritten()), loop, random);
+        this.role = file instanceof SourceFile source ? new SourceRole(source, context, network, loop, random)
+                : new RelayRole((RelayFile) file, context, network.dialer(maxUnwrittenBytes()), loop, random);
         this.statusLog = new StatusLog(role, loop);
     }
 
-    /** What may wait for one connection: what the publisher lets be under way, and one change beyond it. */
-    private long mostUnwritten() {
-        return file.common().terms().unacknowledgedBytes() + 2 * LONGEST_FRAME;
+    /** Maximum unwritten bytes of a connection: the publisher's unacknowledged limit, and room for one more change. */
+    private long maxUnwrittenBytes() {
+        return file.common().terms().unacknowledgedBytes() + 2 * MAX_FRAME_BYTES;
     }
 
     /**
-     * Listens, and begins. Off the loop's thread.
+     * Listens and starts the role. Not to be called on the event loop's thread.
      *
-     * @throws IllegalArgumentException with a sentence where the address can't be had
+     * @throws IllegalArgumentException if the address cannot be bound
      */
     void start() {
         InetSocketAddress bound;
         try {
-            // Some more than the publisher takes, so that it can refuse a watch with a time to come back.
-            int most = file.common().terms().subscribers() * 2;
-            bound = network.listen(file.common().listen(), role::accept, most, mostUnwritten());
+            // More connections than the publisher accepts, so that it can refuse a watch with a retry delay.
+            int maxConnections = file.common().terms().subscribers() * 2;
+            bound = network.listen(file.common().listen(), role::accept, maxConnections, maxUnwrittenBytes());
         } catch (IllegalArgumentException e) {
             loop.close();
             throw e;
@@ -78,39 +78,39 @@
         });
     }
 
-    /** Reads keys and content's files again; what can't be used changes nothing. From any thread. */
+    /** Reloads keys and content files; an invalid file leaves everything unchanged. Callable from any thread. */
     void reload() {
         loop.execute(() -> {
             try {
-                KeyRing fresh = file.common().readKeys();
+                KeyRing reloadedKeys = file.common().readKeys();
                 role.reload();
-                keys = fresh;
-                LOG.log(Level.INFO, "read again: {0} keys", Integer.toString(fresh.keys().size()));
+                keys = reloadedKeys;
+                LOG.log(Level.INFO, "files reloaded: {0} keys", Integer.toString(reloadedKeys.keys().size()));
             } catch (IllegalArgumentException e) {
-                LOG.log(Level.WARNING, "not read again, all stays as it was: {0}", e.getMessage());
+                LOG.log(Level.WARNING, "files not reloaded, keeping the old content and keys: {0}", e.getMessage());
             }
         });
     }
 
-    /** Ends all connections in order and then runs this, on the loop. From any thread. */
-    void end(Runnable done) {
+    /** Closes all connections gracefully, then runs the callback on the event loop. Callable from any thread. */
+    void shutDown(Runnable onClosed) {
         loop.execute(() -> {
             LOG.log(Level.INFO, "asked to end: {0} subscribers are connected",
                     Integer.toString(role.publisher().counters().subscribers()));
             role.stop();
             network.partFromCallers();
-            whenParted(loop.now().plus(LAST_WORDS), () -> {
+            awaitConnectionsClosed(loop.now().plus(SHUTDOWN_TIMEOUT), () -> {
                 LOG.log(Level.INFO, "ended: {0}", statusLog.line());
-                done.run();
+                onClosed.run();
             });
         });
     }
 
-    private void whenParted(Instant until, Runnable next) {
-        if (network.hasParted() || !loop.now().isBefore(until)) {
+    private void awaitConnectionsClosed(Instant deadline, Runnable next) {
+        if (network.hasParted() || !loop.now().isBefore(deadline)) {
             next.run();
         } else {
-            loop.after(END_CHECK, () -> whenParted(until, next));
+            loop.after(SHUTDOWN_POLL_INTERVAL, () -> awaitConnectionsClosed(deadline, next));
         }
     }
 }
--- a/relay/src/main/java/pathlane/relay/RelayRole.java
+++ b/relay/src/main/java/pathlane/relay/RelayRole.java
@@ -11,14 +11,14 @@
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
 
-/** A relay: watches everything at one of its publishers, and publishes it. */
+/** A relay: watches the complete catalogue at one of its publishers and republishes it. */
 final class RelayRole implements Role {
 
     private final Relay relay;
 
-    RelayRole(RelayFile file, AuthenticatedLink.Context common, Connector dialer, Scheduler scheduler,
+    RelayRole(RelayFile file, AuthenticatedLink.Context context, Connector connector, Scheduler scheduler,
             RandomGenerator random) {
-        relay = new Relay(file.upstream(), file.common().terms(), common, dialer, scheduler, random);
+        relay = new Relay(file.upstream(), file.common().terms(), context, connector, scheduler, random);
     }
 
     @Override
@@ -48,7 +48,7 @@
 
     @Override
     public void reload() {
-        // Whom it watches and its limits are read at the start alone.
+        // Publishers and limits are read only at startup.
     }
 
     @Override
--- a/relay/src/main/java/pathlane/relay/Role.java
+++ b/relay/src/main/java/pathlane/relay/Role.java
@@ -4,33 +4,33 @@
 import pathlane.discovery.Publisher;
 import pathlane.transport.Protocol;
 
-/** What a program does behind its listening port: a source or a relay. On the loop's thread. */
+/** The service behind a program's listening port: a source or a relay. Runs on the event loop's thread. */
 interface Role {
 
-    /** The word for it in the log. */
+    /** The role's name in the log. */
     String title();
 
-    /** The state machine for a subscriber's connection. */
+    /** Creates the protocol state machine for a subscriber's connection. */
     Protocol accept();
 
     Publisher publisher();
 
-    /** Whether the whole catalogue is held, and up to which revision. */
+    /** The catalogue that is published, with its revision and completeness. */
     Catalogue catalogue();
 
-    /** Begins to fill the catalogue. */
+    /** Starts to fill the catalogue. */
     void start();
 
     /**
-     * Reads files again, where the role has any.
+     * Reloads the role's files, if it has any.
      *
-     * @throws IllegalArgumentException with a sentence where one can't be used; then nothing has changed
+     * @throws IllegalArgumentException if a file is invalid; then nothing has changed
      */
     void reload();
 
-    /** Ends what {@link #start} began; subscribers are still served. */
+    /** Stops the feeding of the catalogue that {@link #start} began; subscribers are still served. */
     void stop();
 
-    /** What the role adds to the line of the log, as {@code name=value} pairs; called each second. */
+    /** The role's part of the status log line, as {@code name=value} pairs; called each second. */
     String details();
 }
--- a/relay/src/main/java/pathlane/relay/ServerDirectory.java
+++ b/relay/src/main/java/pathlane/relay/ServerDirectory.java
@@ -14,12 +14,12 @@
 import pathlane.decision.ServerStatus;
 
 /**
- * The event bus's list of servers, by service. A server belongs to the service that has its cell; one whose cell has no
- * service is left out and counted.
+ * The event bus's server list, grouped by service. A server belongs to the service that owns its cell; a server whose cell
+ * has no service is not published, only counted.
  */
 final class ServerDirectory {
 
-    /** What an event changes in one service. */
+    /** The changes that an event makes to one service. */
     record EndpointChange(List<ServerEndpoint> upserted, List<Long> removed) {
         private EndpointChange() {
             this(new ArrayList<>(), new ArrayList<>());
@@ -31,7 +31,7 @@
     private final Map<Long, String> serviceById = new HashMap<>();
     private final Set<Long> unassigned = new HashSet<>();
 
-    /** Holds no server yet; each service has its cells. */
+    /** Creates an empty directory from the cells of each service. */
     ServerDirectory(Map<String, Set<Integer>> services) {
         services.forEach((service, cells) -> {
             cells.forEach(cell -> serviceByCell.put(cell, service));
@@ -43,60 +43,60 @@
         return endpoints.keySet();
     }
 
-    /** The servers of a service in ascending order of their ids. */
+    /** Returns the servers of a service in ascending order of their ids. */
     List<ServerEndpoint> endpoints(String service) {
         return List.copyOf(endpoints.get(service).values());
     }
 
-    /** Servers whose cell has no service. */
+    /** Returns the number of servers whose cell has no service. */
     int unassigned() {
         return unassigned.size();
     }
 
-    /** Applies an event; returns what it changed, by service. */
+    /** Applies an event and returns its changes by service. */
     Map<String, EndpointChange> apply(ServerList list) {
         Map<String, EndpointChange> changes = new TreeMap<>();
         if (list.whole()) {
             Set<Long> listed = new HashSet<>();
-            list.lines().forEach(line -> listed.add(line.id()));
+            list.lines().forEach(endpoint -> listed.add(endpoint.id()));
             List.copyOf(serviceById.keySet()).stream().filter(id -> !listed.contains(id))
                     .sorted(Comparator.naturalOrder()).forEach(id -> remove(id, changes));
             unassigned.retainAll(listed);
         }
-        list.lines().forEach(line -> apply(line, changes));
+        list.lines().forEach(endpoint -> apply(endpoint, changes));
         return changes;
     }
 
-    private void apply(ServerEndpoint line, Map<String, EndpointChange> changes) {
-        Optional<String> service = line.status() == ServerStatus.GONE ? Optional.empty()
-                : Optional.ofNullable(serviceByCell.get(line.pool()));
-        String before = serviceById.get(line.id());
-        if (before != null && !service.equals(Optional.of(before))) {
-            remove(line.id(), changes);
+    private void apply(ServerEndpoint endpoint, Map<String, EndpointChange> changes) {
+        Optional<String> service = endpoint.status() == ServerStatus.GONE ? Optional.empty()
+                : Optional.ofNullable(serviceByCell.get(endpoint.pool()));
+        String previousService = serviceById.get(endpoint.id());
+        if (previousService != null && !service.equals(Optional.of(previousService))) {
+            remove(endpoint.id(), changes);
         }
-        if (line.status() != ServerStatus.GONE && service.isEmpty()) {
-            unassigned.add(line.id());
+        if (endpoint.status() != ServerStatus.GONE && service.isEmpty()) {
+            unassigned.add(endpoint.id());
         } else {
-            unassigned.remove(line.id());
+            unassigned.remove(endpoint.id());
         }
-        service.ifPresent(name -> upsert(name, line, changes));
+        service.ifPresent(name -> upsert(name, endpoint, changes));
     }
 
-    private void upsert(String service, ServerEndpoint line, Map<String, EndpointChange> changes) {
-        serviceById.put(line.id(), service);
-        if (line.equals(endpoints.get(service).put(line.id(), line))) {
+    private void upsert(String service, ServerEndpoint endpoint, Map<String, EndpointChange> changes) {
+        serviceById.put(endpoint.id(), service);
+        if (endpoint.equals(endpoints.get(service).put(endpoint.id(), endpoint))) {
             return;
         }
-        EndpointChange change = changes.computeIfAbsent(service, any -> new EndpointChange());
-        change.upserted().removeIf(earlier -> earlier.id() == line.id());
-        change.removed().remove(line.id());
-        change.upserted().add(line);
+        EndpointChange change = changes.computeIfAbsent(service, key -> new EndpointChange());
+        change.upserted().removeIf(earlier -> earlier.id() == endpoint.id());
+        change.removed().remove(endpoint.id());
+        change.upserted().add(endpoint);
     }
 
     private void remove(long id, Map<String, EndpointChange> changes) {
         String service = serviceById.remove(id);
         endpoints.get(service).remove(id);
-        EndpointChange change = changes.computeIfAbsent(service, any -> new EndpointChange());
+        EndpointChange change = changes.computeIfAbsent(service, key -> new EndpointChange());
         change.upserted().removeIf(earlier -> earlier.id() == id);
         change.removed().add(id);
     }
--- a/relay/src/main/java/pathlane/relay/SourceRole.java
+++ b/relay/src/main/java/pathlane/relay/SourceRole.java
@@ -15,30 +15,30 @@
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
 
-/** The source: fills the catalogue from the event bus or from a file, under an epoch of its own. */
+/** The source: fills the catalogue from the event bus or from a file, under its own epoch. */
 final class SourceRole implements Role {
 
     private final Source source;
     private final ContentFeed feed;
 
-    /** Takes the next epoch, which is on the disk once this returns. */
-    SourceRole(SourceFile file, AuthenticatedLink.Context common, Connector dialer, Scheduler scheduler,
+    /** Takes the next epoch; it is durable on disk once this returns. */
+    SourceRole(SourceFile file, AuthenticatedLink.Context context, Connector connector, Scheduler scheduler,
             RandomGenerator random) {
-        // Before the epoch: a start that fails for its content takes none.
-        ContentFeed.Factory factory = factory(file.origin(), dialer, scheduler, random);
+        // Before the epoch is taken: a start that fails because of its content uses up no epoch.
+        ContentFeed.Factory factory = factory(file.origin(), connector, scheduler, random);
         long epoch = new EpochFile(file.epochFile()).next();
-        source = new Source(epoch, file.common().terms(), common, scheduler, random);
-        feed = factory.into(source);
+        source = new Source(epoch, file.common().terms(), context, scheduler, random);
+        feed = factory.create(source);
     }
 
-    private static ContentFeed.Factory factory(ProgramFile.Origin origin, Connector dialer, Scheduler scheduler,
+    private static ContentFeed.Factory factory(ProgramFile.Origin origin, Connector connector, Scheduler scheduler,
             RandomGenerator random) {
         if (origin instanceof CatalogueOrigin file) {
             CatalogueFile.read(file.catalogue());
             return source -> new CatalogueFeed(file.catalogue(), source);
         }
         BusOrigin bus = (BusOrigin) origin;
-        return source -> new BusSource(bus, source, dialer, scheduler, random.nextLong());
+        return source -> new BusSource(bus, source, connector, scheduler, random.nextLong());
     }
 
     @Override
@@ -73,7 +73,7 @@
 
     @Override
     public void stop() {
-        // The feed's connection ends with the process.
+        // The feed's connection closes when the process exits.
     }
 
     @Override
@@ -85,6 +85,6 @@
     }
 
     private static String millis(Optional<Duration> time) {
-        return time.map(one -> one.toMillis() + "ms").orElse("-");
+        return time.map(duration -> duration.toMillis() + "ms").orElse("-");
     }
 }
--- a/relay/src/main/java/pathlane/relay/StatusLog.java
+++ b/relay/src/main/java/pathlane/relay/StatusLog.java
@@ -11,15 +11,15 @@
 import pathlane.discovery.ProgressReport;
 import pathlane.discovery.PublisherCounters;
 
-/** Once a second, a line of the log that says how things stand, where something has changed. On the loop's thread. */
+/** Logs the program's state once a second if it has changed. Runs on the event loop's thread. */
 final class StatusLog {
 
     private static final Logger LOG = System.getLogger("relay");
-    private static final Duration EVERY = Duration.ofSeconds(1);
+    private static final Duration CHECK_INTERVAL = Duration.ofSeconds(1);
 
     private final Role role;
     private final Scheduler scheduler;
-    private String last = "";
+    private String lastState = "";
     private Optional<Instant> staleSince = Optional.empty();
 
     StatusLog(Role role, Scheduler scheduler) {
@@ -29,14 +29,14 @@
 
     void start() {
         String state = state();
-        if (!state.equals(last)) {
-            last = state;
-            LOG.log(Level.INFO, "stands at: {0} {1}", state, volume());
+        if (!state.equals(lastState)) {
+            lastState = state;
+            LOG.log(Level.INFO, "state: {0} {1}", state, volume());
         }
-        scheduler.after(EVERY, this::start);
+        scheduler.after(CHECK_INTERVAL, this::start);
     }
 
-    /** The whole line, as at the end. */
+    /** Returns the complete status line, as logged at shutdown. */
     String line() {
         return state() + " " + volume();
     }
@@ -52,7 +52,7 @@
                 + levels(progress) + " slowest=" + slowest(progress) + " " + role.details();
     }
 
-    /** Since when the publisher is stale: kept, so that it does not change with each second that it lasts. */
+    /** When the publisher became stale; remembered so that the state does not change each second while it is stale. */
     private Optional<Instant> staleSince() {
         Duration staleFor = role.publisher().status().staleFor();
         if (staleFor.isZero()) {
@@ -63,7 +63,7 @@
         return staleSince;
     }
 
-    /** What grows each second by bookmarks alone, and is no reason for a line. */
+    /** Counters that grow each second through bookmarks alone; their change does not trigger a log line. */
     private String volume() {
         PublisherCounters counters = role.publisher().counters();
         return "messages=" + counters.messagesSent() + " bytes=" + counters.bytesSent() + " bookmarks="
--- a/relay/src/main/java/pathlane/relay/package-info.java
+++ b/relay/src/main/java/pathlane/relay/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The programs of discovery beside the call controller: the source, which turns the event bus or a catalogue's file into
- * revisions, and the relays that fan them out. Files, signals, sockets and log lines; what is decided stands in
- * {@code pathlane.discovery}. Knows nothing of calls.
+ * The discovery programs that run beside the call controller: the source, which turns the event bus or a catalogue file into
+ * revisions, and the relays that fan them out. This package has the files, signals, sockets and log output; the protocol
+ * logic is in {@code pathlane.discovery}. It does not depend on calls.
  */
 package pathlane.relay;
--- a/relay/src/test/java/pathlane/relay/BusSourceTest.java
+++ b/relay/src/test/java/pathlane/relay/BusSourceTest.java
@@ -28,21 +28,21 @@
 
 class BusSourceTest {
 
-    private static final int NOTHING_NEW = 0;
-    private static final int WHOLE = 1;
+    private static final int HEARTBEAT = 0;
+    private static final int COMPLETE_LIST = 1;
     private static final int CHANGES = 2;
     private static final int RUNNING = 0;
     private static final int GONE = 2;
-    private static final int EVENT_HEAD = 9;
-    private static final int RECORD = 27;
+    private static final int EVENT_HEADER_BYTES = 9;
+    private static final int RECORD_BYTES = 27;
 
     private final VirtualTime time = new VirtualTime();
     private final Source source = new Source(1, PublisherTerms.USUAL, new AuthenticatedLink.Context("s", () -> null,
             () -> new byte[16], time, new RateLimitedLog("test", time)), time, new SplittableRandom(1));
-    private final List<Long> asked = new ArrayList<>();
+    private final List<Long> requestedEvents = new ArrayList<>();
     private Protocol bus;
 
-    private BusSource started() {
+    private BusSource start() {
         BusOrigin origin = new BusOrigin(new InetSocketAddress("127.0.0.1", 7000), Map.of("a", Set.of(1), "b", Set.of(2)),
                 Map.of("a", new ConfigurationText(Optional.empty(), "text")));
         BusSource feed = new BusSource(origin, source, (address, timeout, protocol) -> {
@@ -50,12 +50,12 @@
             protocol.opened(new Connection() {
                 @Override
                 public void write(byte[] bytes) {
-                    asked.add(ByteBuffer.wrap(bytes).getLong());
+                    requestedEvents.add(ByteBuffer.wrap(bytes).getLong());
                 }
 
                 @Override
-                public void close(CloseReason why) {
-                    time.after(Duration.ZERO, () -> protocol.closed(why));
+                public void close(CloseReason reason) {
+                    time.after(Duration.ZERO, () -> protocol.closed(reason));
                 }
 
                 @Override
@@ -68,12 +68,12 @@
         return feed;
     }
 
-    private void event(long number, int kind, int... idCellState) {
-        ByteBuffer event = ByteBuffer.allocate(Integer.BYTES + EVENT_HEAD + idCellState.length / 3 * RECORD);
+    private void event(long number, int kind, int... idCellStatus) {
+        ByteBuffer event = ByteBuffer.allocate(Integer.BYTES + EVENT_HEADER_BYTES + idCellStatus.length / 3 * RECORD_BYTES);
         event.putInt(event.capacity() - Integer.BYTES).putLong(number).put((byte) kind);
-        for (int i = 0; i < idCellState.length; i += 3) {
-            event.putInt(idCellState[i]).putInt(0x7f000001).putShort((short) 7001).put((byte) idCellState[i + 2])
-                    .putShort((short) 0).putShort((short) idCellState[i + 1]).putInt(1000).putLong(0);
+        for (int i = 0; i < idCellStatus.length; i += 3) {
+            event.putInt(idCellStatus[i]).putInt(0x7f000001).putShort((short) 7001).put((byte) idCellStatus[i + 2])
+                    .putShort((short) 0).putShort((short) idCellStatus[i + 1]).putInt(1000).putLong(0);
         }
         bus.received(event.flip());
     }
@@ -83,15 +83,15 @@
     }
 
     @Test
-    void nothingIsPublishedBeforeTheBusHasToldItsWholeList() {
-        started();
-        event(1, WHOLE, 7, 1, RUNNING);
+    void nothingIsPublishedBeforeTheBusHasSentItsCompleteList() {
+        start();
+        event(1, COMPLETE_LIST, 7, 1, RUNNING);
         event(2, CHANGES, 8, 2, RUNNING);
         time.pass(1000);
-        assertFalse(source.catalogue().isComplete(), "time alone does not make a list whole");
+        assertFalse(source.catalogue().isComplete(), "time alone does not complete a list");
         assertTrue(source.catalogue().services().isEmpty());
-        event(2, NOTHING_NEW);
-        assertEquals(List.of(0L), asked, "from event 0 on the bus tells its whole list");
+        event(2, HEARTBEAT);
+        assertEquals(List.of(0L), requestedEvents, "from event 0 on the bus sends its complete list");
         assertTrue(source.catalogue().isComplete());
         assertEquals(List.of(7L), ids("a"));
         assertEquals(List.of(8L), ids("b"));
@@ -99,19 +99,19 @@
     }
 
     @Test
-    void aBusThatHasNoListYetIsWaitedFor() {
-        started();
-        event(0, NOTHING_NEW);
+    void sourceWaitsForABusThatHasNoListYet() {
+        start();
+        event(0, HEARTBEAT);
         assertFalse(source.catalogue().isComplete());
-        event(1, WHOLE, 7, 1, RUNNING);
+        event(1, COMPLETE_LIST, 7, 1, RUNNING);
         assertTrue(source.catalogue().isComplete());
     }
 
     @Test
-    void eachEventIsARevisionOfTheServicesThatItChanges() {
-        started();
-        event(1, WHOLE, 7, 1, RUNNING, 8, 2, RUNNING);
-        event(1, NOTHING_NEW);
+    void eachEventIsARevisionOfTheServicesItChanges() {
+        start();
+        event(1, COMPLETE_LIST, 7, 1, RUNNING, 8, 2, RUNNING);
+        event(1, HEARTBEAT);
         long before = source.catalogue().revision().number();
         event(2, CHANGES, 7, 1, GONE);
         assertEquals(List.of(), ids("a"));
@@ -120,27 +120,27 @@
     }
 
     @Test
-    void aBusThatTakesConnectionsAndTellsNothingMakesTheSourceStale() {
-        started();
-        event(1, WHOLE, 7, 1, RUNNING);
-        event(1, NOTHING_NEW);
+    void busThatAcceptsConnectionsButSendsNothingMakesTheSourceStale() {
+        start();
+        event(1, COMPLETE_LIST, 7, 1, RUNNING);
+        event(1, HEARTBEAT);
         for (int second = 0; second < 20; second++) {
             time.pass(1000);
             assertEquals(second < 2, source.publisher().status().staleFor().isZero(), "after " + (second + 1) + " s");
         }
-        assertTrue(asked.size() > 5, "it was dialled again and again");
+        assertTrue(requestedEvents.size() > 5, "it was reconnected repeatedly");
     }
 
     @Test
-    void aBusThatFallsSilentMakesTheSourceStaleUntilItIsHeardAgain() {
-        started();
-        event(1, WHOLE, 7, 1, RUNNING);
-        event(1, NOTHING_NEW);
+    void silentBusMakesTheSourceStaleUntilItSendsAgain() {
+        start();
+        event(1, COMPLETE_LIST, 7, 1, RUNNING);
+        event(1, HEARTBEAT);
         time.pass(1900);
-        assertTrue(source.publisher().status().staleFor().isZero(), "one heartbeat that is late is no silence");
+        assertTrue(source.publisher().status().staleFor().isZero(), "one late heartbeat is not silence");
         time.pass(4000);
         assertFalse(source.publisher().status().staleFor().isZero());
-        event(1, NOTHING_NEW);
+        event(1, HEARTBEAT);
         time.pass(1000);
         assertTrue(source.publisher().status().staleFor().isZero());
     }
--- a/relay/src/test/java/pathlane/relay/CatalogueFileTest.java
+++ b/relay/src/test/java/pathlane/relay/CatalogueFileTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void servicesHaveTheirEndpointsInTheOrderOfTheirIds() throws IOException {
+    void endpointsOfAServiceAreSortedById() throws IOException {
         Map<String, CatalogueFile.Content> services = read("""
                 {"services": {"a": {"configuration": "c", "endpoints": [
                   {"id": 9, "address": "127.0.0.1:9", "draining": true, "cell": 2, "weight": 0.5, "started-ms": 3},
@@ -38,17 +38,17 @@
     }
 
     @Test
-    void aCatalogueThatCannotBeUsedIsToldWithItsLine() throws IOException {
-        Map<String, String> wrong = Map.of(
-                "{\n\"service\": {}}", "line 2: 'service' is no key here",
+    void invalidCatalogueIsReportedWithItsLine() throws IOException {
+        Map<String, String> invalidFiles = Map.of(
+                "{\n\"service\": {}}", "line 2: 'service' is not a known key",
                 "{\"services\": {\"a\": {\n\"endpoints\": [{\"id\": 1}]}}}", "line 2: an endpoint has no 'address'",
                 "{\"services\": {\"a\": {\n\"endpoints\": [{\"id\": -1}]}}}", "line 2: 'id' is -1",
-                "{\"services\": {\"a\": {\n\"endpoints\": [{\"id\": \"x\"}]}}}", "line 2: not what is needed here",
+                "{\"services\": {\"a\": {\n\"endpoints\": [{\"id\": \"x\"}]}}}", "line 2: unexpected JSON value",
                 "{\"services\": {\"a\": {\n\"endpoints\": [{\"id\": 1, \"address\": \"x\"}]}}}", "line 2: 'address': 'x'",
-                "{\"services\": [\n", "line 1: not what is needed here",
-                "{\"services\": {\"a\": {},\n\"a\": {}}}", "line 2: service 'a' is there twice",
+                "{\"services\": [\n", "line 1: unexpected JSON value",
+                "{\"services\": {\"a\": {},\n\"a\": {}}}", "line 2: service 'a' is listed twice",
                 "{\"services\" {}}", "line 1");
-        wrong.forEach((text, sentence) -> {
+        invalidFiles.forEach((text, sentence) -> {
             String message = assertThrows(IllegalArgumentException.class, () -> read(text), text).getMessage();
             assertTrue(message.contains(sentence), message);
             assertEquals(1, message.lines().count(), message);
--- a/relay/src/test/java/pathlane/relay/EpochFileTest.java
+++ b/relay/src/test/java/pathlane/relay/EpochFileTest.java
@@ -16,14 +16,14 @@
     Path folder;
 
     @Test
-    void eachStartTakesAGreaterEpochThanAnyBefore() {
+    void eachStartTakesAGreaterEpoch() {
         Path file = folder.resolve("epoch");
         assertEquals(1, new EpochFile(file).next());
         assertEquals(2, new EpochFile(file).next());
     }
 
     @Test
-    void anEpochThatWasWrittenHalfIsNotTakenForTheLast() throws IOException {
+    void partiallyWrittenEpochIsIgnored() throws IOException {
         Path file = folder.resolve("epoch");
         Files.writeString(file, "41\n");
         Files.writeString(folder.resolve("epoch.new"), "4");
@@ -31,20 +31,20 @@
     }
 
     @Test
-    void aFileThatHoldsNoEpochIsNeverTakenForNone() throws IOException {
+    void fileWithoutValidEpochIsRejected() throws IOException {
         Path file = folder.resolve("epoch");
         for (String text : new String[] {"", "x", "-3", "0", Long.toString(Long.MAX_VALUE), "1".repeat(40)}) {
             Files.writeString(file, text);
-            String sentence = assertThrows(IllegalArgumentException.class, () -> new EpochFile(file).next()).getMessage();
-            assertTrue(sentence.contains("line 1") && sentence.contains("is no epoch"), sentence);
+            String message = assertThrows(IllegalArgumentException.class, () -> new EpochFile(file).next()).getMessage();
+            assertTrue(message.contains("line 1") && message.contains("is no epoch"), message);
             assertEquals(text, Files.readString(file));
         }
     }
 
     @Test
-    void aSourceThatCannotKeepItsEpochDoesNotStart() {
+    void sourceThatCannotPersistItsEpochDoesNotStart() {
         Path file = folder.resolve("missing").resolve("epoch");
-        String sentence = assertThrows(IllegalArgumentException.class, () -> new EpochFile(file).next()).getMessage();
-        assertTrue(sentence.contains("can't be written"), sentence);
+        String message = assertThrows(IllegalArgumentException.class, () -> new EpochFile(file).next()).getMessage();
+        assertTrue(message.contains("can't be written"), message);
     }
 }
--- a/relay/src/test/java/pathlane/relay/ProgramFileTest.java
+++ b/relay/src/test/java/pathlane/relay/ProgramFileTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theExampleFilesCanBeUsed() {
+    void exampleFilesAreValid() {
         SourceFile source = assertInstanceOf(SourceFile.class, ProgramFile.read(Path.of("../deploy/source.toml")));
         assertEquals(PublisherTerms.USUAL, source.common().terms());
         RelayFile relay = assertInstanceOf(RelayFile.class, ProgramFile.read(Path.of("../deploy/relay.toml")));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void everyLimitIsAKey() throws IOException {
+    void everyLimitIsConfigurable() throws IOException {
         RelayFile relay = (RelayFile) read(RELAY + PUBLISHER + "[limits]\nsubscribers = 5\nwatches-per-second = 6\n"
                 + "watch-burst = 7\nunacknowledged-bytes = 8000\nupdate-bytes = 9000\nhistory-changes = 10\n"
                 + "bookmark-ms = 110\ndead-after-ms = 12000\n[watch]\nbackoff-first-ms = 13\nbackoff-most-ms = 14\n"
@@ -68,9 +68,9 @@
     }
 
     @Test
-    void aFileThatCannotBeUsedIsToldInOneSentenceWithItsLine() throws IOException {
-        Map<String, String> wrong = Map.ofEntries(
-                Map.entry("role = 'root'\n", "line 1: 'role' is 'root'; right would be one of relay, source"),
+    void invalidFileIsReportedInOneSentenceWithItsLine() throws IOException {
+        Map<String, String> invalidFiles = Map.ofEntries(
+                Map.entry("role = 'root'\n", "line 1: 'role' is 'root'; expected one of relay, source"),
                 Map.entry("x = \n", "line 1: "),
                 Map.entry(SOURCE + "lisen = 'x'\n", "line 6: 'lisen' is no key here"),
                 Map.entry(SOURCE, "neither 'bus' nor 'catalogue'"),
@@ -84,7 +84,7 @@
                 Map.entry(RELAY + "[[publishers]]\nname = 's'\n", "line 5: 'publishers.address' is missing"),
                 Map.entry(RELAY + PUBLISHER + "[limits]\nsubscribers = 0\n", "line 9: 'limits.subscribers' is 0"),
                 Map.entry(RELAY + PUBLISHER + "[watch]\nsilent-after-ms = 1000\n", "line 9: 'watch.silent-after-ms'"));
-        wrong.forEach((text, sentence) -> {
+        invalidFiles.forEach((text, sentence) -> {
             String message = assertThrows(IllegalArgumentException.class, () -> read(text), text).getMessage();
             assertTrue(message.contains(sentence), message);
             assertEquals(1, message.lines().count(), message);
--- a/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
+++ b/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
@@ -18,48 +18,48 @@
 
     private final ServerDirectory directory = new ServerDirectory(Map.of("a", Set.of(1, 2), "b", Set.of(3)));
 
-    private static ServerEndpoint line(long id, int cell, ServerStatus mode) {
-        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", 7000), mode, cell, 1, Instant.EPOCH);
+    private static ServerEndpoint endpoint(long id, int cell, ServerStatus status) {
+        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", 7000), status, cell, 1, Instant.EPOCH);
     }
 
-    private Map<String, EndpointChange> apply(boolean whole, ServerEndpoint... lines) {
-        return directory.apply(new ServerList(whole, List.of(lines)));
+    private Map<String, EndpointChange> apply(boolean complete, ServerEndpoint... endpoints) {
+        return directory.apply(new ServerList(complete, List.of(endpoints)));
     }
 
     @Test
     void aServerBelongsToTheServiceOfItsCell() {
-        apply(true, line(5, 2, ServerStatus.RUNNING), line(4, 1, ServerStatus.RUNNING), line(6, 3, ServerStatus.DRAINING),
-                line(7, 9, ServerStatus.RUNNING));
+        apply(true, endpoint(5, 2, ServerStatus.RUNNING), endpoint(4, 1, ServerStatus.RUNNING), endpoint(6, 3, ServerStatus.DRAINING),
+                endpoint(7, 9, ServerStatus.RUNNING));
         assertEquals(List.of(4L, 5L), directory.endpoints("a").stream().map(ServerEndpoint::id).toList());
         assertEquals(List.of(6L), directory.endpoints("b").stream().map(ServerEndpoint::id).toList());
         assertEquals(1, directory.unassigned());
     }
 
     @Test
-    void anEventTellsWhatItChangedAndNothingElse() {
-        apply(true, line(4, 1, ServerStatus.RUNNING), line(6, 3, ServerStatus.RUNNING));
-        assertTrue(apply(false, line(4, 1, ServerStatus.RUNNING)).isEmpty());
-        assertEquals(Map.of("a", new EndpointChange(List.of(line(4, 1, ServerStatus.DRAINING)), List.of())),
-                apply(false, line(4, 1, ServerStatus.DRAINING)));
-        assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L))), apply(false, line(4, 1, ServerStatus.GONE)));
-        assertTrue(apply(false, line(4, 1, ServerStatus.GONE)).isEmpty());
+    void eventReportsOnlyWhatItChanged() {
+        apply(true, endpoint(4, 1, ServerStatus.RUNNING), endpoint(6, 3, ServerStatus.RUNNING));
+        assertTrue(apply(false, endpoint(4, 1, ServerStatus.RUNNING)).isEmpty());
+        assertEquals(Map.of("a", new EndpointChange(List.of(endpoint(4, 1, ServerStatus.DRAINING)), List.of())),
+                apply(false, endpoint(4, 1, ServerStatus.DRAINING)));
+        assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L))), apply(false, endpoint(4, 1, ServerStatus.GONE)));
+        assertTrue(apply(false, endpoint(4, 1, ServerStatus.GONE)).isEmpty());
     }
 
     @Test
-    void aWholeListTakesAwayWhatItLacks() {
-        apply(true, line(4, 1, ServerStatus.RUNNING), line(6, 3, ServerStatus.RUNNING), line(7, 9, ServerStatus.RUNNING));
-        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(6L))), apply(true, line(4, 1, ServerStatus.RUNNING)));
+    void completeListRemovesMissingServers() {
+        apply(true, endpoint(4, 1, ServerStatus.RUNNING), endpoint(6, 3, ServerStatus.RUNNING), endpoint(7, 9, ServerStatus.RUNNING));
+        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(6L))), apply(true, endpoint(4, 1, ServerStatus.RUNNING)));
         assertEquals(0, directory.unassigned());
     }
 
     @Test
-    void aServerThatMovesToAnotherCellLeavesItsFormerService() {
-        apply(true, line(4, 1, ServerStatus.RUNNING));
+    void serverThatMovesToAnotherCellLeavesItsFormerService() {
+        apply(true, endpoint(4, 1, ServerStatus.RUNNING));
         assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L)),
-                "b", new EndpointChange(List.of(line(4, 3, ServerStatus.RUNNING)), List.of())),
-                apply(false, line(4, 3, ServerStatus.RUNNING)));
+                "b", new EndpointChange(List.of(endpoint(4, 3, ServerStatus.RUNNING)), List.of())),
+                apply(false, endpoint(4, 3, ServerStatus.RUNNING)));
         assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(4L))),
-                apply(false, line(4, 9, ServerStatus.RUNNING)));
+                apply(false, endpoint(4, 9, ServerStatus.RUNNING)));
         assertEquals(1, directory.unassigned());
     }
 }
