--- a/files/src/main/java/pathlane/files/WatchTables.java
+++ b/files/src/main/java/pathlane/files/WatchTables.java
@@ -81,7 +81,7 @@
                     + "and 'address' for each");
         }
         if (publishers.stream().map(PublisherAddress::name).distinct().count() < publishers.size()) {
-            throw toml.error("publishers", "two publishers have the same name");
+            throw toml.error("publishers", "two publishers have one name");
         }
         Duration initialBackoff = watch.millis("backoff-first-ms", DEFAULT_INITIAL_BACKOFF, MIN_BACKOFF, MAX_DURATION);
         return new WatchTerms(name, toml.text("zone", ""), toml.text("region", ""), publishers, initialBackoff,
--- a/standin/src/main/java/pathlane/standin/GrpcFront.java
+++ b/standin/src/main/java/pathlane/standin/GrpcFront.java
@@ -18,57 +18,57 @@
 import pathlane.core.Scheduler;
 
 /**
- * The session server as a gRPC service with three methods: {@code Check} is a unary call, over with its answer;
- * {@code Sign} a stream whose first message is the answer and which ends after the time that it holds; {@code Talk} goes
- * both ways: headers are the answer, every message comes back, and it ends with its caller's last word.
+ * A session server as a gRPC service with three methods: {@code Check} is a unary call that ends with its answer;
+ * {@code Sign} is a server stream whose first message is the answer and which ends after the hold time; {@code Talk} is
+ * bidirectional: its headers are the answer, every message is echoed, and it ends when the client half-closes.
  */
 public final class GrpcFront {
 
-    /** The service's name. */
+    /** The name of the gRPC service. */
     public static final String SERVICE = "signing.Sessions";
-    /** Unary: the answer is the request. */
+    /** Unary: the response echoes the request. */
     public static final MethodDescriptor<byte[], byte[]> CHECK = method("Check", MethodType.UNARY);
-    /** Server streaming: the answer is the request, then nothing, then the end. */
+    /** Server streaming: one response that echoes the request, then the end of the stream after the hold time. */
     public static final MethodDescriptor<byte[], byte[]> SIGN = method("Sign", MethodType.SERVER_STREAMING);
-    /** Both ways: headers are the answer to the first message, every message comes back. */
+    /** Bidirectional: headers answer the first message, and every message is echoed. */
     public static final MethodDescriptor<byte[], byte[]> TALK = method("Talk", MethodType.BIDI_STREAMING);
-    /** What all tries of a call bear, for the rules to be watched; callers of a test set it. */
+    /** Identifies a call over all its attempts, for checking the attempt rules; set by the clients of a test. */
     public static final Metadata.Key<String> CALL = Metadata.Key.of("call", Metadata.ASCII_STRING_MARSHALLER);
-    /** The wait that a server states when it turns a call away. */
+    /** The retry delay that a server states when it rejects a call. */
     public static final Metadata.Key<String> PUSHBACK =
             Metadata.Key.of("grpc-retry-pushback-ms", Metadata.ASCII_STRING_MARSHALLER);
 
     private final String name;
     private final Processor processor;
     private final Scheduler time;
-    private final Executor turn;
-    private final Duration holds;
+    private final Executor executor;
+    private final Duration holdTime;
     private final RuleBook rules;
     private long lastId;
-    private Status answer = Status.OK;
+    private Status finalStatus = Status.OK;
 
     /**
-     * A front of a processor.
+     * Creates a front end of a processor.
      *
-     * @param turn runs tasks one at a time, those of the processor's timers included
-     * @param holds how long a stream stands
-     * @param rules what is watched, or null for nothing
+     * @param executor runs tasks one at a time, those of the processor's timers included
+     * @param holdTime how long an established stream lasts
+     * @param rules checks the attempt rules, or null for no checks
      */
-    public GrpcFront(String name, Processor processor, Scheduler time, Executor turn, Duration holds, RuleBook rules) {
+    public GrpcFront(String name, Processor processor, Scheduler time, Executor executor, Duration holdTime, RuleBook rules) {
         this.name = name;
         this.processor = processor;
         this.time = time;
-        this.turn = turn;
-        this.holds = holds;
+        this.executor = executor;
+        this.holdTime = holdTime;
         this.rules = rules;
     }
 
-    /** From now on calls that would have stood end with this status instead; OK for as usual. */
+    /** Ends calls with this status from now on instead of establishing them; OK restores the normal behaviour. */
     public void answerWith(Status status) {
-        answer = status;
+        finalStatus = status;
     }
 
-    /** The service, to be added to a gRPC server. */
+    /** Returns the service definition to add to a gRPC server. */
     public ServerServiceDefinition service() {
         return ServerServiceDefinition.builder(SERVICE).addMethod(CHECK, handler(false)).addMethod(SIGN, handler(true))
                 .addMethod(TALK, handler(true))
@@ -82,51 +82,51 @@
         };
     }
 
-    /** One call at this server. */
+    /** A single call at this server. */
     private final class Session extends ServerCall.Listener<byte[]> implements Processor.Caller {
 
         private final ServerCall<byte[], byte[]> call;
         private final String key;
-        private final boolean stream;
+        private final boolean isServerStream;
         private String id;
         private byte[] request;
-        private final List<byte[]> words = new ArrayList<>();
-        private boolean stands;
-        private boolean over;
+        private final List<byte[]> unsentMessages = new ArrayList<>();
+        private boolean isEstablished;
+        private boolean isOver;
 
         Session(ServerCall<byte[], byte[]> call, String key, boolean stream) {
             this.call = call;
             this.key = key;
-            this.stream = stream;
+            this.isServerStream = stream;
         }
 
         @Override
         public void onMessage(byte[] message) {
             request = message;
-            if (talks()) {
+            if (isBidirectional()) {
                 call.request(1);
-                turn.execute(() -> {
-                    words.add(message);
+                executor.execute(() -> {
+                    unsentMessages.add(message);
                     if (id == null) {
-                        setUp();
+                        submitRequest();
                     }
-                    sayWords();
+                    echoMessages();
                 });
             }
         }
 
-        private boolean talks() {
+        private boolean isBidirectional() {
             return call.getMethodDescriptor().getType() == MethodType.BIDI_STREAMING;
         }
 
-        private void sayWords() {
-            if (stands && !over) {
-                words.forEach(call::sendMessage);
-                words.clear();
+        private void echoMessages() {
+            if (isEstablished && !isOver) {
+                unsentMessages.forEach(call::sendMessage);
+                unsentMessages.clear();
             }
         }
 
-        private void setUp() {
+        private void submitRequest() {
             id = name + "-" + ++lastId;
             if (rules != null && key != null) {
                 rules.sent(key, name, nowMs());
@@ -136,12 +136,12 @@
 
         @Override
         public void onHalfClose() {
-            if (!talks()) {
-                turn.execute(this::setUp);
+            if (!isBidirectional()) {
+                executor.execute(this::submitRequest);
                 return;
             }
-            turn.execute(() -> {
-                if (stands) {
+            executor.execute(() -> {
+                if (isEstablished) {
                     processor.released(id);
                     close(Status.OK, new Metadata(), false);
                 }
@@ -150,18 +150,18 @@
 
         @Override
         public void onCancel() {
-            turn.execute(() -> {
-                if (!over) {
+            executor.execute(() -> {
+                if (!isOver) {
                     over(true);
                     processor.released(id);
                 }
             });
         }
 
-        private void over(boolean lost) {
-            over = true;
+        private void over(boolean isLost) {
+            isOver = true;
             if (rules != null && key != null) {
-                rules.over(key, lost, nowMs());
+                rules.over(key, isLost, nowMs());
             }
         }
 
@@ -169,32 +169,32 @@
             return pathlane.config.Millis.of(time.now());
         }
 
-        private void close(Status status, Metadata trailers, boolean lost) {
-            if (!over) {
-                over(lost);
+        private void close(Status status, Metadata trailers, boolean isLost) {
+            if (!isOver) {
+                over(isLost);
                 call.close(status, trailers);
             }
         }
 
         @Override
         public void answered() {
-            if (over) {
+            if (isOver) {
                 return;
             }
-            if (!answer.isOk()) {
+            if (!finalStatus.isOk()) {
                 processor.released(id);
-                close(answer, new Metadata(), false);
+                close(finalStatus, new Metadata(), false);
                 return;
             }
-            stands = true;
+            isEstablished = true;
             call.sendHeaders(new Metadata());
-            if (talks()) {
-                time.after(Duration.ofMillis(100), this::sayWords);   // headers alone, at first
+            if (isBidirectional()) {
+                time.after(Duration.ofMillis(100), this::echoMessages);   // sends the headers alone first
                 return;
             }
             call.sendMessage(request);
-            if (stream) {
-                time.after(holds, () -> {
+            if (isServerStream) {
+                time.after(holdTime, () -> {
                     processor.released(id);
                     close(Status.OK, new Metadata(), false);
                 });
@@ -213,7 +213,7 @@
 
         @Override
         public void cut() {
-            close(Status.UNAVAILABLE.withDescription("the process stops"), new Metadata(), true);
+            close(Status.UNAVAILABLE.withDescription("the server process stops"), new Metadata(), true);
         }
     }
 
@@ -223,7 +223,7 @@
                 .setRequestMarshaller(Bytes.PLAIN).setResponseMarshaller(Bytes.PLAIN).build();
     }
 
-    /** Messages are bytes, whatever they mean. */
+    /** Passes messages through as raw bytes. */
     private enum Bytes implements MethodDescriptor.Marshaller<byte[]> {
         PLAIN;
 
--- a/standin/src/main/java/pathlane/standin/PlatformServer.java
+++ b/standin/src/main/java/pathlane/standin/PlatformServer.java
@@ -14,34 +14,34 @@
 import pathlane.wire.Message;
 
 /**
- * The session server as the platform's protocol has it, for one connection: answers set-ups as the processor does,
- * releases each call after the time that it holds, and passes tests.
+ * A session server's front end for one connection of the platform's protocol: answers call requests as the processor
+ * decides, releases each call after its hold time, and answers test messages.
  */
 public final class PlatformServer implements Protocol {
 
-    private static final int FULL = 34;
+    private static final int CAUSE_PROCESSOR_FULL = 34;
 
     private final String name;
     private final Processor processor;
     private final Scheduler time;
-    private final Duration holds;
+    private final Duration holdTime;
     private final RuleBook rules;
     private final FrameAssembler assembler = Message.assembler();
-    private final Map<String, Session> open = new HashMap<>();
+    private final Map<String, Session> sessions = new HashMap<>();
     private Connection connection;
 
-    /** {@code rules} may be null; a call's key there is its number called, which all its tries share. */
-    public PlatformServer(String name, Processor processor, Scheduler time, Duration holds, RuleBook rules) {
+    /** {@code rules} may be null; a call's key there is its called number, which all its attempts share. */
+    public PlatformServer(String name, Processor processor, Scheduler time, Duration holdTime, RuleBook rules) {
         this.name = name;
         this.processor = processor;
         this.time = time;
-        this.holds = holds;
+        this.holdTime = holdTime;
         this.rules = rules;
     }
 
     @Override
-    public void opened(Connection up) {
-        connection = up;
+    public void opened(Connection opened) {
+        connection = opened;
     }
 
     @Override
@@ -58,22 +58,22 @@
         switch (message.type) {
             case Message.SET_UP -> {
                 Session session = new Session(id, message.text(Message.NUMBER), message.value(Message.DESCRIPTION));
-                open.put(id, session);
+                sessions.put(id, session);
                 if (rules != null) {
                     rules.sent(session.key, name, nowMs());
                 }
                 processor.setUp(id, session);
             }
             case Message.RELEASE -> {
-                Session session = open.remove(id);
+                Session session = sessions.remove(id);
                 if (session != null) {
-                    session.over(!session.stands);
+                    session.over(!session.isEstablished);
                     processor.released(id);
                 }
                 connection.write(new Message(Message.RELEASE_HEARD, id).bytes());
             }
             case Message.TEST -> connection.write(new Message(Message.TEST_RESULT, id).withCause(1).bytes());
-            default -> throw new BadInput("a message of type " + message.type);
+            default -> throw new BadInput("unexpected message type " + message.type);
         }
     }
 
@@ -88,15 +88,15 @@
     }
 
     @Override
-    public void closed(CloseReason end) {
+    public void closed(CloseReason reason) {
         connection = null;
-        open.forEach((id, session) -> {
-            if (!session.stands) {
+        sessions.forEach((id, session) -> {
+            if (!session.isEstablished) {
                 session.over(true);
                 processor.released(id);
             }
         });
-        open.values().removeIf(session -> !session.stands);
+        sessions.values().removeIf(session -> !session.isEstablished);
     }
 
     private final class Session implements Processor.Caller {
@@ -104,8 +104,8 @@
         private final String id;
         private final String key;
         private final byte[] description;
-        private boolean stands;
-        private boolean over;
+        private boolean isEstablished;
+        private boolean isOver;
 
         Session(String id, String key, byte[] description) {
             this.id = id;
@@ -114,20 +114,20 @@
         }
 
         void over(boolean lost) {
-            if (!over && rules != null) {
+            if (!isOver && rules != null) {
                 rules.over(key, lost, nowMs());
             }
-            over = true;
+            isOver = true;
         }
 
         @Override
         public void answered() {
-            stands = true;
+            isEstablished = true;
             if (connection != null) {
                 connection.write(new Message(Message.ANSWER, id).with(Message.DESCRIPTION, description).bytes());
             }
-            time.after(holds, () -> {
-                if (open.remove(id) != null) {
+            time.after(holdTime, () -> {
+                if (sessions.remove(id) != null) {
                     processor.released(id);
                     over(false);
                     release(id, Cause.OVER);
@@ -137,14 +137,14 @@
 
         @Override
         public void turnedAway(Duration wait) {
-            open.remove(id);
+            sessions.remove(id);
             over(false);
-            release(id, FULL);
+            release(id, CAUSE_PROCESSOR_FULL);
         }
 
         @Override
         public void cut() {
-            if (open.remove(id) != null) {
+            if (sessions.remove(id) != null) {
                 over(true);
                 release(id, Cause.CUT);
             }
--- a/standin/src/main/java/pathlane/standin/Processor.java
+++ b/standin/src/main/java/pathlane/standin/Processor.java
@@ -12,52 +12,52 @@
 import pathlane.core.Scheduler;
 
 /**
- * A session server's processor: one line that set-ups, answers and releases wait in. It turns set-ups away once its
- * wait is too long, starts cold and warms, falls over under too much while cold, works on what was given up, and cuts
- * its calls when it stops. One thread at a time; time is the scheduler's.
+ * A model of a session server's processor: a single queue of requests, answers and releases. It rejects requests once its
+ * queueing delay is too long, starts cold and warms up, crashes under overload while cold, still works on abandoned
+ * requests, and loses its calls when it stops. Not thread-safe; time is the scheduler's.
  */
 public final class Processor {
 
     /**
-     * What the model costs and bears. Work is in milliseconds of a warm processor that is not slowed.
+     * Costs and limits of the model. Work is in milliseconds of a warm processor at normal speed.
      *
-     * @param setUp work of a set-up
-     * @param answer work of an answer; a release costs as much
-     * @param reject work of turning a set-up away
-     * @param repeat work of a set-up that comes once more while the first still waits
-     * @param repeatAfter a waiting set-up comes again after this and at doubling gaps; nought for never
-     * @param longestWait a set-up that would wait longer is turned away
-     * @param rules the figures of the cold start
+     * @param setUp work of a request
+     * @param answer work of an answer; a release costs the same
+     * @param reject work of rejecting a request
+     * @param repeat work of a retransmitted request while the first one still waits
+     * @param repeatAfter a waiting request is retransmitted after this and then at doubling intervals; zero for never
+     * @param longestWait a request that would wait longer is rejected
+     * @param rules the settings of the cold start
      */
     public record Model(double setUp, double answer, double reject, double repeat, Duration repeatAfter,
             Duration longestWait, Rules rules) {
 
-        /** A processor that does so many calls a second when warm. */
+        /** Returns the model of a processor that handles this many calls a second when warm. */
         public static Model of(double callsPerSecond, Rules rules) {
-            double call = 1000 / callsPerSecond;
-            return new Model(call * 0.7, call * 0.15, call * 0.15, call * 0.3, Duration.ofMillis(500),
+            double workPerCall = 1000 / callsPerSecond;
+            return new Model(workPerCall * 0.7, workPerCall * 0.15, workPerCall * 0.15, workPerCall * 0.3, Duration.ofMillis(500),
                     Duration.ofMillis(2500), rules);
         }
 
-        /** Set-ups a second that a warm processor can do, their answers and releases with them. */
+        /** Calls a second that a warm processor can handle, including their answers and releases. */
         public double callsPerSecond() {
             return 1000 / (setUp + 2 * answer);
         }
     }
 
-    /** Who has a call here. */
+    /** The client side of a call at this processor. */
     public interface Caller {
-        /** The call stands. */
+        /** The call is established. */
         void answered();
 
-        /** The set-up was turned away; the wait is the processor's at this moment. */
+        /** The request was rejected; {@code wait} is the processor's current queueing delay. */
         void turnedAway(Duration wait);
 
-        /** The process died or stopped: nothing more will come. */
+        /** The process crashed or stopped: no further event follows. */
         void cut();
     }
 
-    /** How the processor is. */
+    /** The processor's state. */
     public enum State { RUNNING, DRAINING, SILENT, DOWN }
 
     private static final class Job {
@@ -71,96 +71,96 @@
     }
 
     private static final class Call {
-        final Caller caller;
-        boolean standing;
-        boolean givenUp;
-        Scheduler.Timer repeat;
+        final Caller client;
+        boolean isEstablished;
+        boolean isAbandoned;
+        Scheduler.Timer retransmission;
 
         Call(Caller caller) {
-            this.caller = caller;
+            this.client = caller;
         }
     }
 
     private final Scheduler time;
     private final Model model;
-    private final Deque<Job> line = new ArrayDeque<>();
+    private final Deque<Job> queue = new ArrayDeque<>();
     private final Map<String, Call> calls = new HashMap<>();
-    private final Deque<Double> arrivedCold = new ArrayDeque<>();
+    private final Deque<Double> arrivalsWhileCold = new ArrayDeque<>();
     private State state = State.RUNNING;
-    private double slow = 1;
+    private double slowFactor = 1;
     private double coldSince = Double.NEGATIVE_INFINITY;
-    private double queued;
-    private boolean working;
-    private long setUps;
+    private double queuedWork;
+    private boolean isWorking;
+    private long requests;
     private long answers;
     private long rejects;
-    private long stoodAtMost;
-    private double mostOfBudget;
-    private boolean fell;
+    private long maxEstablished;
+    private double maxColdBudgetUse;
+    private boolean hasCrashed;
 
-    /** A warm processor with nothing to do. */
+    /** Creates a warm, idle processor. */
     public Processor(Model model, Scheduler time) {
         this.model = model;
         this.time = time;
     }
 
-    // ---- troubles
+    // ---- faults
 
-    /** A new process begins, cold; what an old one had is cut. */
+    /** Starts a new, cold process; the calls of a former process are lost. */
     public void startCold() {
         stop();
         state = State.RUNNING;
-        fell = false;
+        hasCrashed = false;
         coldSince = now();
-        arrivedCold.clear();
+        arrivalsWhileCold.clear();
     }
 
-    /** Everything takes so many times as long from now on; 1 for as usual. */
+    /** Makes all work take this many times as long from now on; 1 restores the normal speed. */
     public void slow(double factor) {
-        slow = factor;
+        slowFactor = factor;
     }
 
-    /** Nothing is said any more, and nothing is closed. */
+    /** Stops sending anything, without closing connections or calls. */
     public void silent() {
         state = State.SILENT;
     }
 
-    /** It speaks again. */
+    /** Ends the silence and resumes work. */
     public void speak() {
         state = state == State.SILENT ? State.RUNNING : state;
-        work();
+        workNext();
     }
 
-    /** Takes nothing new, and stops after so long; what stands then is cut. */
+    /** Accepts no new calls and stops after this time; calls that are still established then are lost. */
     public void drain(Duration stopsAfter) {
         state = State.DRAINING;
         time.after(stopsAfter, this::stop);
     }
 
-    /** The process dies: its line is lost, its calls are cut. */
+    /** Stops the process: its queue and its calls are lost. */
     public void stop() {
         state = State.DOWN;
-        line.clear();
-        queued = 0;
-        List<Call> cut = new ArrayList<>(calls.values());
+        queue.clear();
+        queuedWork = 0;
+        List<Call> lostCalls = new ArrayList<>(calls.values());
         calls.clear();
-        cut.forEach(call -> {
-            stopRepeats(call);
-            call.caller.cut();
+        lostCalls.forEach(call -> {
+            cancelRetransmission(call);
+            call.client.cut();
         });
     }
 
     // ---- calls
 
-    /** A set-up has come. */
+    /** Receives a call request. */
     public void setUp(String id, Caller caller) {
         if (state == State.DOWN) {
             caller.cut();
             return;
         }
-        setUps++;
-        if (tooMuchWhileCold()) {
-            fell = true;
+        requests++;
+        if (isOverloadedWhileCold()) {
+            hasCrashed = true;
             stop();
             caller.cut();
             return;
@@ -169,162 +169,162 @@
         if (state == State.DRAINING || waitMs() > Millis.of(model.longestWait())) {
             rejects++;
             Duration wait = Millis.toDuration(waitMs());
-            enter(model.reject(), () -> caller.turnedAway(wait));
+            enqueue(model.reject(), () -> caller.turnedAway(wait));
             return;
         }
         calls.put(id, call);
-        repeatAfter(id, call, model.repeatAfter());
-        enter(model.setUp(), () -> {
-            stopRepeats(call);
+        scheduleRetransmission(id, call, model.repeatAfter());
+        enqueue(model.setUp(), () -> {
+            cancelRetransmission(call);
             if (calls.get(id) == call) {
-                enter(model.answer(), () -> answer(id, call));
+                enqueue(model.answer(), () -> answer(id, call));
             }
         });
     }
 
     private void answer(String id, Call call) {
-        if (calls.get(id) == call && !call.givenUp) {
+        if (calls.get(id) == call && !call.isAbandoned) {
             answers++;
-            call.standing = true;
-            stoodAtMost = Math.max(stoodAtMost, calls.values().stream().filter(one -> one.standing).count());
-            call.caller.answered();
+            call.isEstablished = true;
+            maxEstablished = Math.max(maxEstablished, calls.values().stream().filter(each -> each.isEstablished).count());
+            call.client.answered();
         } else {
             calls.remove(id, call);
         }
     }
 
-    /** The caller gives a set-up up, or releases a call that stands; the work on a set-up goes on all the same. */
+    /** The client abandons a request or releases an established call; queued work on an abandoned request is still done. */
     public void released(String id) {
         Call call = calls.get(id);
         if (call == null) {
             return;
         }
-        stopRepeats(call);
-        if (call.standing) {
+        cancelRetransmission(call);
+        if (call.isEstablished) {
             calls.remove(id);
-            enter(model.answer(), () -> {});
+            enqueue(model.answer(), () -> {});
         } else {
-            call.givenUp = true;
+            call.isAbandoned = true;
         }
     }
 
-    private void repeatAfter(String id, Call call, Duration gap) {
-        if (!gap.isZero()) {
-            call.repeat = time.after(gap, () -> {
-                if (calls.get(id) == call && !call.standing && !call.givenUp) {
-                    enter(model.repeat(), () -> {});
-                    repeatAfter(id, call, gap.multipliedBy(2));
+    private void scheduleRetransmission(String id, Call call, Duration delay) {
+        if (!delay.isZero()) {
+            call.retransmission = time.after(delay, () -> {
+                if (calls.get(id) == call && !call.isEstablished && !call.isAbandoned) {
+                    enqueue(model.repeat(), () -> {});
+                    scheduleRetransmission(id, call, delay.multipliedBy(2));
                 }
             });
         }
     }
 
-    private static void stopRepeats(Call call) {
-        if (call.repeat != null) {
-            call.repeat.cancel();
-            call.repeat = null;
+    private static void cancelRetransmission(Call call) {
+        if (call.retransmission != null) {
+            call.retransmission.cancel();
+            call.retransmission = null;
         }
     }
 
-    // ---- the one line
+    // ---- work queue
 
-    private void enter(double work, Runnable done) {
-        line.add(new Job(work, done));
-        queued += work;
-        work();
+    private void enqueue(double work, Runnable done) {
+        queue.add(new Job(work, done));
+        queuedWork += work;
+        workNext();
     }
 
-    private void work() {
-        if (working || line.isEmpty() || state == State.SILENT) {
+    private void workNext() {
+        if (isWorking || queue.isEmpty() || state == State.SILENT) {
             return;
         }
-        working = true;
-        Job job = line.peek();
-        time.after(Millis.toDuration(job.work * slow / warmth()), () -> {
-            working = false;
-            if (line.peek() == job) {
+        isWorking = true;
+        Job job = queue.peek();
+        time.after(Millis.toDuration(job.work * slowFactor / warmth()), () -> {
+            isWorking = false;
+            if (queue.peek() == job) {
                 if (state == State.SILENT) {
-                    return;   // it is done again when the processor speaks
+                    return;   // the job runs again once the silence ends
                 }
-                line.poll();
-                queued -= job.work;
+                queue.poll();
+                queuedWork -= job.work;
                 job.done.run();
             }
-            work();
+            workNext();
         });
     }
 
-    /** How long a set-up that comes now would wait. */
+    /** Returns how long a request that arrives now would wait. */
     public double waitMs() {
-        return queued * slow / warmth();
+        return queuedWork * slowFactor / warmth();
     }
 
-    /** Its present part of a warm processor's speed. */
+    /** Returns the current speed as a fraction of a warm processor's. */
     private double warmth() {
         Rules rules = model.rules();
-        double since = now() - coldSince;
-        return since >= rules.slowStartMs() ? 1
-                : rules.slowStartFraction() + (1 - rules.slowStartFraction()) * since / rules.slowStartMs();
+        double coldForMs = now() - coldSince;
+        return coldForMs >= rules.slowStartMs() ? 1
+                : rules.slowStartFraction() + (1 - rules.slowStartFraction()) * coldForMs / rules.slowStartMs();
     }
 
-    /** Rule four, as the bench words it: what came within any window, against what it could do at that moment. */
-    private boolean tooMuchWhileCold() {
+    /** Whether the requests within a sliding window exceed the overload factor times the current capacity while cold. */
+    private boolean isOverloadedWhileCold() {
         Rules rules = model.rules();
         double now = now();
         if (now - coldSince >= rules.slowStartMs()) {
             return false;
         }
-        arrivedCold.add(now);
-        while (now - arrivedCold.peek() >= rules.overloadWindowMs()) {
-            arrivedCold.poll();
+        arrivalsWhileCold.add(now);
+        while (now - arrivalsWhileCold.peek() >= rules.overloadWindowMs()) {
+            arrivalsWhileCold.poll();
         }
-        double most = rules.overloadFactor() * warmth() * model.callsPerSecond() / 1000 * rules.overloadWindowMs();
-        mostOfBudget = Math.max(mostOfBudget, arrivedCold.size() / most);
-        return arrivedCold.size() > most;
+        double maxArrivals = rules.overloadFactor() * warmth() * model.callsPerSecond() / 1000 * rules.overloadWindowMs();
+        maxColdBudgetUse = Math.max(maxColdBudgetUse, arrivalsWhileCold.size() / maxArrivals);
+        return arrivalsWhileCold.size() > maxArrivals;
     }
 
     private double now() {
         return Millis.of(time.now());
     }
 
-    // ---- what came of it
+    // ---- results
 
     public State state() {
         return state;
     }
 
-    /** Set-ups that have come. */
+    /** Returns the number of requests received. */
     public long setUps() {
-        return setUps;
+        return requests;
     }
 
-    /** Set-ups that were answered. */
+    /** Returns the number of requests answered. */
     public long answers() {
         return answers;
     }
 
-    /** Set-ups that were turned away. */
+    /** Returns the number of requests rejected. */
     public long rejects() {
         return rejects;
     }
 
-    /** Calls that stand now. */
+    /** Returns the number of calls established now. */
     public long standing() {
-        return calls.values().stream().filter(call -> call.standing).count();
+        return calls.values().stream().filter(call -> call.isEstablished).count();
     }
 
-    /** The most calls that stood at one time. */
+    /** Returns the maximum number of calls established at one time. */
     public long stoodAtMost() {
-        return stoodAtMost;
+        return maxEstablished;
     }
 
-    /** Whether it fell over while cold. */
+    /** Returns whether the process crashed from overload while cold. */
     public boolean fell() {
-        return fell;
+        return hasCrashed;
     }
 
-    /** The most of the cold rule's budget that was ever used in a window; over 1 it falls over. */
+    /** Returns the maximum fraction of the cold-start budget used in any window; above 1 the process crashes. */
     public double mostOfBudget() {
-        return mostOfBudget;
+        return maxColdBudgetUse;
     }
 }
--- a/standin/src/main/java/pathlane/standin/RuleBook.java
+++ b/standin/src/main/java/pathlane/standin/RuleBook.java
@@ -6,51 +6,51 @@
 import java.util.Map;
 
 /**
- * Watches the attempts of calls at all session servers and names each broken rule: no two attempts of a call out at
- * once, and none within the gap after one that was lost. A call's key is the same over all its tries, whoever makes
- * them. Times are milliseconds; one thread at a time.
+ * Checks the attempts of calls at all session servers and reports each violation: a call must not have two attempts at once,
+ * nor a new attempt within the gap after a lost one. A call keeps the same key over all its attempts, whoever makes
+ * them. Times are in milliseconds. Not thread-safe.
  */
 public final class RuleBook {
 
     private final double gapMs;
-    private final Map<String, String> out = new HashMap<>();
+    private final Map<String, String> serverByOpenCall = new HashMap<>();
     private final Map<String, Double> lostAt = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, Integer> attempts = new HashMap<>();
 
-    /** {@code gapMs} is how long after a lost attempt nothing may come. */
+    /** Creates a checker; {@code gapMs} is the minimum time between a lost attempt and the next one. */
     public RuleBook(double gapMs) {
         this.gapMs = gapMs;
     }
 
-    /** An attempt has come to a server. */
+    /** Records that an attempt has reached a server. */
     public void sent(String call, String server, double now) {
         attempts.merge(call, 1, Integer::sum);
-        String there = out.putIfAbsent(call, server);
-        if (there != null) {
-            broken.add(call + " came to " + server + " at " + now + " while it was out at " + there);
+        String otherServer = serverByOpenCall.putIfAbsent(call, server);
+        if (otherServer != null) {
+            violations.add(call + " reached " + server + " at " + now + " while it had an attempt at " + otherServer);
         }
-        Double lost = lostAt.get(call);
-        if (lost != null && now - lost < gapMs) {
-            broken.add(call + " came to " + server + " at " + now + ", " + (now - lost) + " ms after a lost attempt");
+        Double lastLostAt = lostAt.get(call);
+        if (lastLostAt != null && now - lastLostAt < gapMs) {
+            violations.add(call + " reached " + server + " at " + now + ", " + (now - lastLostAt) + " ms after a lost attempt");
         }
     }
 
-    /** An attempt is over; lost where it timed out, was reset or was cancelled. */
+    /** An attempt is over; lost where it timed serverByOpenCall, was reset or was cancelled. */
     public void over(String call, boolean lost, double now) {
-        out.remove(call);
+        serverByOpenCall.remove(call);
         if (lost) {
             lostAt.put(call, now);
         }
     }
 
-    /** Attempts of a call so far. */
+    /** Returns the number of attempts of a call so far. */
     public int attempts(String call) {
         return attempts.getOrDefault(call, 0);
     }
 
-    /** What was broken, each in a sentence. */
+    /** Returns the violations, one sentence each. */
     public List<String> broken() {
-        return List.copyOf(broken);
+        return List.copyOf(violations);
     }
 }
--- a/standin/src/main/java/pathlane/standin/VirtualTime.java
+++ b/standin/src/main/java/pathlane/standin/VirtualTime.java
@@ -5,27 +5,27 @@
 import java.util.TreeSet;
 import pathlane.core.Scheduler;
 
-/** Time that moves when it is told to: tasks run in the order in which they are due, those due together as asked for. */
+/** A virtual clock that advances on request. Tasks run in the order of their due times, ties in scheduling order. */
 public final class VirtualTime implements Scheduler {
 
-    private record Due(Instant at, long order, Runnable task) implements Comparable<Due> {
+    private record ScheduledTask(Instant at, long order, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             int byTime = at.compareTo(other.at);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    private final TreeSet<Due> due = new TreeSet<>();
+    private final TreeSet<ScheduledTask> scheduled = new TreeSet<>();
     private Instant now = Instant.parse("2026-01-01T00:00:00Z");
-    private long order;
+    private long nextOrder;
 
     @Override
     public Instant now() {
         return now;
     }
 
-    /** Milliseconds since the Unix epoch. */
+    /** Returns the current time in milliseconds since the Unix epoch. */
     public double nowMs() {
         return now.toEpochMilli() + now.getNano() % 1_000_000 / 1e6;
     }
@@ -37,29 +37,29 @@
 
     @Override
     public Timer after(Duration delay, Runnable task) {
-        Due one = new Due(now.plus(delay.isNegative() ? Duration.ZERO : delay), order++, task);
-        due.add(one);
-        return () -> due.remove(one);
+        ScheduledTask scheduledTask = new ScheduledTask(now.plus(delay.isNegative() ? Duration.ZERO : delay), nextOrder++, task);
+        scheduled.add(scheduledTask);
+        return () -> scheduled.remove(scheduledTask);
     }
 
-    /** Runs all that is due within this time, and leaves the clock at its end. */
+    /** Advances the clock by this time, running every task that becomes due. */
     public void pass(Duration time) {
         Instant end = now.plus(time);
-        while (!due.isEmpty() && !due.first().at().isAfter(end)) {
-            Due next = due.pollFirst();
+        while (!scheduled.isEmpty() && !scheduled.first().at().isAfter(end)) {
+            ScheduledTask next = scheduled.pollFirst();
             now = next.at();
             next.task().run();
         }
         now = end;
     }
 
-    /** The same, in milliseconds. */
+    /** Advances the clock by this many milliseconds. */
     public void pass(long millis) {
         pass(Duration.ofMillis(millis));
     }
 
-    /** Timers that are set. */
+    /** Returns the number of scheduled tasks. */
     public int pending() {
-        return due.size();
+        return scheduled.size();
     }
 }
--- a/standin/src/main/java/pathlane/standin/package-info.java
+++ b/standin/src/main/java/pathlane/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A session server of the project's own, for tests, examples and experiments: one processor model and its fronts.
- * The model is a state machine in whatever time it is given; it knows no wire, and a front decides nothing.
+ * A simulated session server for tests, examples and experiments: a processor model and its protocol front ends. The model
+ * is a state machine that runs on any scheduler's clock and knows no protocol; the front ends make no decisions.
  */
 package pathlane.standin;
