--- a/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
+++ b/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
@@ -19,8 +19,8 @@
 import pathlane.decision.policy.AdaptiveRoutingPolicy;
 
 /**
- * What a call, a told state and an event of the list cost the module with many session servers, as the daemon runs it:
- * on the first compiler tier alone. 48 calls stand and 8 are out all the time.
+ * Measures the cost of a call, a load report and a server list event in the routing policy with many session servers, with
+ * the daemon's JVM setting: only the first compiler tier. 48 calls are established and 8 are in progress all the time.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -30,27 +30,27 @@
 @Fork(value = 1, jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m"})
 public class FleetSizeBenchmark implements RoutingPolicy.Actions {
 
-    private static final int OUT = 8;
-    private static final int STANDING = 48;
-    private static final double BETWEEN_MS = 15;
+    private static final int PENDING_CALLS = 8;
+    private static final int ESTABLISHED_CALLS = 48;
+    private static final double ARRIVAL_INTERVAL_MS = 15;
 
-    private record Sent(String call, long server) {}
+    private record Attempt(String call, long server) {}
 
-    /** Session servers that run. */
+    /** Number of running session servers. */
     @Param({"24", "300", "1024"})
     public int servers;
 
-    private AdaptiveRoutingPolicy logic;
+    private AdaptiveRoutingPolicy policy;
     private double now;
     private long calls;
-    private int at;
-    private final List<Sent> out = new ArrayList<>();
-    private final List<Sent> standing = new ArrayList<>();
+    private int nextServer;
+    private final List<Attempt> pending = new ArrayList<>();
+    private final List<Attempt> established = new ArrayList<>();
 
-    /** Lists all servers, has each tell its lines, and brings calls to their steady number. */
+    /** Lists all servers, has each report its load, and brings the number of calls to its steady state. */
     @Setup
     public void fill() {
-        logic = new AdaptiveRoutingPolicy(SettingsReader.read(JsonParser.parseString("""
+        policy = new AdaptiveRoutingPolicy(SettingsReader.read(JsonParser.parseString("""
                 {"balancers": 100, "tick-ms": 5,
                  "lanes": [{"name": "status-check", "aim-ms": 1500, "deadline-ms": 9000, "late-value": 0.25},
                            {"name": "deadline-sign", "aim-ms": 800, "deadline-ms": 6000, "importance": 6}],
@@ -58,11 +58,11 @@
                  "rules": {"cold-from": 0.28, "cold-ms": 13000, "fall-multiple": 3, "fall-ms": 1500},
                  "specifics": {"clear-wait-ms": 200, "t1-ms": 500}}""").getAsJsonObject()), 7, this);
         now = 1e12;
-        logic.serversListed(now, true, lines(ServerStatus.RUNNING, servers));
+        policy.serversListed(now, true, listedServers(ServerStatus.RUNNING, servers));
         for (int i = 0; i < servers; i++) {
-            logic.loadReported(now, i, report());
+            policy.loadReported(now, i, report());
         }
-        for (int i = 0; i < STANDING * 20; i++) {
+        for (int i = 0; i < ESTABLISHED_CALLS * 20; i++) {
             call();
         }
     }
@@ -71,60 +71,60 @@
         return new RoutingPolicy.LoadReport(900, 1000, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    private static List<RoutingPolicy.ListedServer> lines(ServerStatus mode, int count) {
-        List<RoutingPolicy.ListedServer> lines = new ArrayList<>();
+    private static List<RoutingPolicy.ListedServer> listedServers(ServerStatus status, int count) {
+        List<RoutingPolicy.ListedServer> listed = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            lines.add(new RoutingPolicy.ListedServer(i, i, mode, 0, 1));
+            listed.add(new RoutingPolicy.ListedServer(i, i, status, 0, 1));
         }
-        return lines;
+        return listed;
     }
 
-    /** A call from its arrival to its end: three events of the module. */
+    /** A call from its arrival to its end: three events of the policy. */
     @Benchmark
     public void call() {
-        now += BETWEEN_MS;
-        logic.requestArrived(now,
+        now += ARRIVAL_INTERVAL_MS;
+        policy.requestArrived(now,
                 new RoutingPolicy.Request(Long.toString(++calls), (int) (calls % 16 / 15), "n" + calls, 3000,
                         (int) (calls * 37 % servers), false));
-        if (out.size() > OUT) {
-            Sent first = out.remove(0);
-            logic.callEstablished(now, first.call(), 0, first.server(), 50);
-            standing.add(first);
+        if (pending.size() > PENDING_CALLS) {
+            Attempt first = pending.remove(0);
+            policy.callEstablished(now, first.call(), 0, first.server(), 50);
+            established.add(first);
         }
-        if (standing.size() > STANDING) {
-            Sent first = standing.remove(0);
-            logic.attemptEnded(now,
+        if (established.size() > ESTABLISHED_CALLS) {
+            Attempt first = established.remove(0);
+            policy.attemptEnded(now,
                     new RoutingPolicy.AttemptResult(first.call(), 0, first.server(), Outcome.COMPLETED, true, 0, 0,
                             null));
         }
     }
 
-    /** A server tells its lines: each does so once a second on each of its connections. */
+    /** A load report of one server; each server sends one a second on each of its connections. */
     @Benchmark
     public void told() {
         now += 1;
-        logic.loadReported(now, at++ % servers, report());
+        policy.loadReported(now, nextServer++ % servers, report());
     }
 
-    /** An event of the bus that changes one server, and the one that changes it back. */
+    /** A server list event that changes one server, and one that reverts the change. */
     @Benchmark
     public void listEventOfOne() {
         now += 1;
-        logic.serversListed(now, false, lines(ServerStatus.DRAINING, 1));
-        logic.serversListed(now, false, lines(ServerStatus.RUNNING, 1));
+        policy.serversListed(now, false, listedServers(ServerStatus.DRAINING, 1));
+        policy.serversListed(now, false, listedServers(ServerStatus.RUNNING, 1));
     }
 
-    /** The same for all servers at once. */
+    /** A server list event that changes all servers, and one that reverts the change. */
     @Benchmark
     public void listEventOfAll() {
         now += 1;
-        logic.serversListed(now, false, lines(ServerStatus.DRAINING, servers));
-        logic.serversListed(now, false, lines(ServerStatus.RUNNING, servers));
+        policy.serversListed(now, false, listedServers(ServerStatus.DRAINING, servers));
+        policy.serversListed(now, false, listedServers(ServerStatus.RUNNING, servers));
     }
 
     @Override
     public void send(String call, long server, double giveUpAfterMs) {
-        out.add(new Sent(call, server));
+        pending.add(new Attempt(call, server));
     }
 
     @Override
--- a/bench/src/main/java/pathlane/decision/package-info.java
+++ b/bench/src/main/java/pathlane/decision/package-info.java
@@ -1,2 +1,2 @@
-/** What decisions cost, by the number of session servers. */
+/** Benchmarks of routing decisions by the number of session servers; not part of a release. */
 package pathlane.decision;
--- a/bench/src/main/java/pathlane/grpc/CallCost.java
+++ b/bench/src/main/java/pathlane/grpc/CallCost.java
@@ -21,19 +21,19 @@
 import pathlane.standin.GrpcFront;
 
 /**
- * What a call costs its client: time and CPU of unary calls over {@code pick_first}, {@code round_robin} and the
- * plug-in, in turns within one run. Every call has a deadline. The two servers are a process of their own, so that CPU is
- * the client's.
+ * Measures the client-side cost of a call: latency and CPU time of unary calls over {@code pick_first}, {@code round_robin}
+ * and the plug-in, alternating within one run. Every call has a deadline. The two servers run in a separate process, so that
+ * the measured CPU time is the client's alone.
  */
 public final class CallCost {
 
     private static final int ROUNDS = 10;
-    private static final int CALLS = 5000;
+    private static final int CALLS_PER_ROUND = 5000;
     private static final byte[] REQUEST = new byte[100];
 
     private CallCost() {}
 
-    /** Prints the table. With {@code serve}: is the servers, until its standard input ends. */
+    /** Prints the table. With {@code serve}, runs the servers until standard input ends. */
     public static void main(String[] args) throws Exception {
         if (args.length == 1 && args[0].equals("serve")) {
             serve();
@@ -61,7 +61,7 @@
         }
         System.out.println(servers.get(0).getPort() + "," + servers.get(1).getPort());
         while (System.in.read() >= 0) {
-            // until the client is done
+            // runs until the client closes the stream
         }
         servers.forEach(Server::shutdownNow);
     }
@@ -96,30 +96,30 @@
         Histogram[] all = new Histogram[3];
         for (int i = 0; i < 3; i++) {
             all[i] = new Histogram(3);
-            round(channels.get(i), 3 * CALLS, new Histogram(3));   // warm
+            makeCalls(channels.get(i), 3 * CALLS_PER_ROUND, new Histogram(3));   // warm-up
         }
         for (int round = 0; round < ROUNDS; round++) {
             for (int turn = 0; turn < 3; turn++) {
-                int i = (turn + round) % 3;   // none is always first
-                Histogram own = new Histogram(3);
-                cpu[i][round] = round(channels.get(i), CALLS, own);
-                p50[i][round] = own.getValueAtPercentile(50) / 1e3;
-                all[i].add(own);
+                int i = (turn + round) % 3;   // rotates the order, so that no policy is always first
+                Histogram roundLatencies = new Histogram(3);
+                cpu[i][round] = makeCalls(channels.get(i), CALLS_PER_ROUND, roundLatencies);
+                p50[i][round] = roundLatencies.getValueAtPercentile(50) / 1e3;
+                all[i].add(roundLatencies);
             }
         }
-        System.out.println("| policy | p50, us | p99, us | CPU a call, us | CPU against round_robin, median of pairs"
+        System.out.println("| policy | p50, us | p99, us | CPU per call, us | CPU against round_robin, median of pairs"
                 + " | p50 against round_robin, us, median of pairs |");
         System.out.println("| --- | --- | --- | --- | --- | --- |");
         for (int i = 0; i < 3; i++) {
             double[] ratio = new double[ROUNDS];
-            double[] added = new double[ROUNDS];
+            double[] addedLatency = new double[ROUNDS];
             for (int round = 0; round < ROUNDS; round++) {
                 ratio[round] = cpu[i][round] / cpu[1][round];
-                added[round] = p50[i][round] - p50[1][round];
+                addedLatency[round] = p50[i][round] - p50[1][round];
             }
             System.out.printf("| %s | %.1f | %.1f | %.1f | %.2f | %+.1f |%n", names.get(i),
                     all[i].getValueAtPercentile(50) / 1e3, all[i].getValueAtPercentile(99) / 1e3,
-                    median(cpu[i]), median(ratio), median(added));
+                    median(cpu[i]), median(ratio), median(addedLatency));
         }
         channels.forEach(ManagedChannel::shutdownNow);
         pathlane.close();
@@ -131,17 +131,17 @@
         return (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2;
     }
 
-    /** Makes calls one after the other; returns this process's CPU for each, in microseconds. */
-    private static double round(ManagedChannel channel, int calls, Histogram nanos) {
+    /** Makes sequential calls; returns this process's CPU time per call in microseconds. */
+    private static double makeCalls(ManagedChannel channel, int calls, Histogram latencyNanos) {
         com.sun.management.OperatingSystemMXBean system =
                 (com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-        long before = system.getProcessCpuTime();
+        long cpuBefore = system.getProcessCpuTime();
         for (int i = 0; i < calls; i++) {
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             ClientCalls.blockingUnaryCall(channel, GrpcFront.CHECK,
                     CallOptions.DEFAULT.withDeadlineAfter(5, java.util.concurrent.TimeUnit.SECONDS), REQUEST);
-            nanos.recordValue(System.nanoTime() - from);
+            latencyNanos.recordValue(System.nanoTime() - startedAt);
         }
-        return (system.getProcessCpuTime() - before) / 1e3 / calls;
+        return (system.getProcessCpuTime() - cpuBefore) / 1e3 / calls;
     }
 }
--- a/bench/src/main/java/pathlane/grpc/package-info.java
+++ b/bench/src/main/java/pathlane/grpc/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of the plug-in; nothing here is part of a release. */
+/** Benchmarks of the gRPC plug-in; not part of a release. */
 package pathlane.grpc;
--- a/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
+++ b/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The index of calls that ended in vain against plain maps of the same bound, at a steady turnover. */
+/** Compares the index of failed calls with plain maps of the same size bound, at a steady rate of new entries. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -26,32 +26,32 @@
 @Fork(1)
 public class FailedTryBenchmark {
 
-    private static final double KEEP = 9000;
+    private static final double RETENTION_MS = 9000;
 
-    private record Plain(double putAt, long first, double firstAt, double notBefore, int tries) {}
+    private record Entry(double insertedAt, long first, double firstAt, double notBefore, int attempts) {}
 
-    /** Entries held; each operation puts one new call and looks up one that is there and one that is not. */
+    /** Entries held; each operation inserts one new call and looks up one present and one absent key. */
     @Param({"1024", "16384"})
     public int held;
 
     private FailedCallIndex index;
-    private Map<Long, Plain> linked;
-    private Map<Long, Plain> scanned;
+    private Map<Long, Entry> linked;
+    private Map<Long, Entry> scanned;
     private double now;
-    private double step;
+    private double stepMs;
     private SplittableRandom random;
-    private long[] last;
-    private int at;
+    private long[] recentKeys;
+    private int position;
 
-    /** Fills each with as many as are held at the steady state. */
+    /** Fills each structure up to its steady state. */
     @Setup
     public void fill() {
-        index = new FailedCallIndex(held * 2, KEEP);
+        index = new FailedCallIndex(held * 2, RETENTION_MS);
         linked = new LinkedHashMap<>();
         scanned = new HashMap<>();
         random = new SplittableRandom(5);
-        last = new long[held / 2];
-        step = KEEP / held;
+        recentKeys = new long[held / 2];
+        stepMs = RETENTION_MS / held;
         for (int i = 0; i < held; i++) {
             index();
             linkedMap();
@@ -59,48 +59,48 @@
         }
     }
 
-    private long next() {
-        now += step;
+    private long insertKey() {
+        now += stepMs;
         long key = random.nextLong();
-        at = (at + 1) % last.length;
-        last[at] = key;
+        position = (position + 1) % recentKeys.length;
+        recentKeys[position] = key;
         return key;
     }
 
-    private long known() {
-        return last[(at + 1) % last.length];
+    private long presentKey() {
+        return recentKeys[(position + 1) % recentKeys.length];
     }
 
-    /** The index. */
+    /** The index under test. */
     @Benchmark
     public int index() {
-        long key = next();
-        int found = index.find(known(), now) + index.find(~key, now);
+        long key = insertKey();
+        int found = index.find(presentKey(), now) + index.find(~key, now);
         index.recordFailure(key, now, 1, now, now + 200, 1);
         return found;
     }
 
-    /** A linked map whose oldest entries are looked at. */
+    /** A linked map that expires its oldest entries on each insertion. */
     @Benchmark
     public boolean linkedMap() {
-        long key = next();
-        while (!linked.isEmpty() && now - linked.values().iterator().next().putAt >= KEEP) {
+        long key = insertKey();
+        while (!linked.isEmpty() && now - linked.values().iterator().next().insertedAt >= RETENTION_MS) {
             linked.remove(linked.keySet().iterator().next());
         }
-        boolean found = linked.containsKey(known()) | linked.containsKey(~key);
-        linked.put(key, new Plain(now, 1, now, now + 200, 1));
+        boolean found = linked.containsKey(presentKey()) | linked.containsKey(~key);
+        linked.put(key, new Entry(now, 1, now, now + 200, 1));
         return found;
     }
 
-    /** A plain map that is scanned each time a hundredth of the span has passed. */
+    /** A hash map that is scanned for expired entries each hundredth of the retention time. */
     @Benchmark
     public boolean scannedMap() {
-        long key = next();
-        if ((long) (now / (KEEP / 100)) != (long) ((now - step) / (KEEP / 100))) {
-            scanned.values().removeIf(entry -> now - entry.putAt >= KEEP);
+        long key = insertKey();
+        if ((long) (now / (RETENTION_MS / 100)) != (long) ((now - stepMs) / (RETENTION_MS / 100))) {
+            scanned.values().removeIf(entry -> now - entry.insertedAt >= RETENTION_MS);
         }
-        boolean found = scanned.containsKey(known()) | scanned.containsKey(~key);
-        scanned.put(key, new Plain(now, 1, now, now + 200, 1));
+        boolean found = scanned.containsKey(presentKey()) | scanned.containsKey(~key);
+        scanned.put(key, new Entry(now, 1, now, now + 200, 1));
         return found;
     }
 }
--- a/bench/src/main/java/pathlane/retry/package-info.java
+++ b/bench/src/main/java/pathlane/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of what is remembered of calls that ended in vain; nothing here is part of a release. */
+/** Benchmarks of the index of failed calls; not part of a release. */
 package pathlane.retry;
--- a/example/ToyCaller.java
+++ b/example/ToyCaller.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** A toy caller: one call, told as it goes, until it is over. Start: java ToyCaller.java 5060 */
+/** A minimal client: makes one call and prints its progress until it ends. Usage: java ToyCaller.java 5060 */
 public final class ToyCaller {
 
     private static final int ANSWER = 9;
@@ -29,15 +29,15 @@
             out.writeLong(call);
             parameters.writeTo(out);
             out.flush();
-            System.out.printf("%016x: asked for%n", call);
+            System.out.printf("%016x: requested%n", call);
             DataInputStream in = new DataInputStream(socket.getInputStream());
-            for (boolean over = false; !over; ) {
+            for (boolean isOver = false; !isOver; ) {
                 byte[] message = new byte[in.readUnsignedShort()];
                 in.readFully(message);
-                over = message[0] == RELEASE;
-                String what = message[0] == ANSWER ? "it stands" : over ? "released, cause "
+                isOver = message[0] == RELEASE;
+                String event = message[0] == ANSWER ? "established" : isOver ? "released, cause "
                         + ByteBuffer.wrap(message).get(1 + Long.BYTES + 3) : "message of type " + message[0];
-                System.out.printf("%016x: %s%n", call, what);
+                System.out.printf("%016x: %s%n", call, event);
             }
         }
     }
--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -8,20 +8,20 @@
 import java.util.Timer;
 import java.util.TimerTask;
 
-/** A toy session server: each set-up stands after 50 ms and is over 2 s later. Start: java ToyServer.java 5001 */
+/** A minimal session server: establishes each call after 50 ms and releases it 2 s later. Usage: java ToyServer.java 5001 */
 public final class ToyServer {
 
     private static final int SET_UP = 1;
     private static final int ANSWER = 9;
     private static final int RELEASE = 12;
     private static final byte[] DESCRIPTION = {(byte) 174, 0, 2, 'o', 'k'};
-    private static final byte[] OVER = {(byte) 171, 0, 1, 16};
-    private static final Timer LATER = new Timer(true);
+    private static final byte[] CAUSE_CALL_OVER = {(byte) 171, 0, 1, 16};
+    private static final Timer TIMER = new Timer(true);
 
     public static void main(String[] args) throws IOException {
         int port = Integer.parseInt(args[0]);
         try (ServerSocket server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress())) {
-            System.out.println("toy session server on " + port);
+            System.out.println("example session server on " + port);
             while (true) {
                 Socket socket = server.accept();
                 new Thread(() -> serve(socket)).start();
@@ -40,7 +40,7 @@
                 System.out.printf("%016x: message of type %d%n", call, message[0]);
                 if (message[0] == SET_UP) {
                     after(50, () -> send(out, ANSWER, call, DESCRIPTION));
-                    after(2050, () -> send(out, RELEASE, call, OVER));
+                    after(2050, () -> send(out, RELEASE, call, CAUSE_CALL_OVER));
                 }
             }
         } catch (IOException e) {
@@ -49,7 +49,7 @@
     }
 
     private static void after(int millis, Runnable task) {
-        LATER.schedule(new TimerTask() {
+        TIMER.schedule(new TimerTask() {
             @Override
             public void run() {
                 task.run();
@@ -67,7 +67,7 @@
                 out.flush();
             }
         } catch (IOException e) {
-            System.out.printf("%016x: the call controller has gone%n", call);
+            System.out.printf("%016x: the call controller has disconnected%n", call);
         }
     }
 }
--- a/files/src/main/java/pathlane/files/WatchTables.java
+++ b/files/src/main/java/pathlane/files/WatchTables.java
@@ -85,9 +85,12 @@
         }
         Duration initialBackoff = watch.millis("backoff-first-ms", DEFAULT_INITIAL_BACKOFF, MIN_BACKOFF, MAX_DURATION);
         return new WatchTerms(name, toml.text("zone", ""), toml.text("region", ""), publishers, initialBackoff,
-                watch.millis("backoff-most-ms", initialBackoff.compareTo(DEFAULT_MAX_BACKOFF) > 0 ? initialBackoff : DEFAULT_MAX_BACKOFF, initialBackoff,
+                watch.millis("backoff-most-ms",
+                        initialBackoff.compareTo(DEFAULT_MAX_BACKOFF) > 0 ? initialBackoff : DEFAULT_MAX_BACKOFF,
+                        initialBackoff,
                         MAX_DURATION),
-                watch.millis("silent-after-ms", DEFAULT_SILENCE_TIMEOUT, PublisherTerms.USUAL.bookmarkEvery().multipliedBy(2),
+                watch.millis("silent-after-ms", DEFAULT_SILENCE_TIMEOUT,
+                        PublisherTerms.USUAL.bookmarkEvery().multipliedBy(2),
                         MAX_DURATION),
                 watch.millis("return-within-ms", DEFAULT_RETURN_INTERVAL, Duration.ZERO, MAX_DURATION));
     }
--- a/relay/src/main/java/pathlane/relay/BusSource.java
+++ b/relay/src/main/java/pathlane/relay/BusSource.java
@@ -44,7 +44,8 @@
         this.scheduler = scheduler;
         this.directory = new ServerDirectory(origin.services());
         this.configurations = readConfigurations();
-        this.bus = new BusFeed(NO_EVENT_RECEIVED, connector, scheduler, new SplittableRandom(seed), this::serversChanged, () -> {});
+        this.bus = new BusFeed(NO_EVENT_RECEIVED, connector, scheduler, new SplittableRandom(seed), this::serversChanged,
+                () -> {});
     }
 
     private Map<String, String> readConfigurations() {
--- a/relay/src/main/java/pathlane/relay/CatalogueFile.java
+++ b/relay/src/main/java/pathlane/relay/CatalogueFile.java
@@ -148,8 +148,9 @@
                 case "cell" -> cell = (int) integer(key, MAX_CELL);
                 case "weight" -> weight = weight();
                 case "started-ms" -> started = Instant.ofEpochMilli(integer(key, Long.MAX_VALUE));
-                default -> throw error("'" + key + "' is not a known key; known keys: address, cell, draining, id, started-ms, "
-                        + "weight");
+                default ->
+                    throw error("'" + key + "' is not a known key; known keys: address, cell, draining, id, started-ms, "
+                            + "weight");
             }
         }
         json.endObject();
--- a/relay/src/main/java/pathlane/relay/RelayMain.java
+++ b/relay/src/main/java/pathlane/relay/RelayMain.java
@@ -24,7 +24,8 @@
     private static final String LOG_LINE = "%1$tF %1$tT.%1$tL %4$s %3$s: %5$s%6$s%n";
     private static final int EXIT_INVALID_FILE = 1;
 
-    @Parameters(index = "0", paramLabel = "FILE", description = "configuration file, such as deploy/source.toml or deploy/relay.toml")
+    @Parameters(index = "0", paramLabel = "FILE",
+            description = "configuration file, such as deploy/source.toml or deploy/relay.toml")
     private Path file;
 
     /** Runs until the process is asked to end; with an invalid file it prints one sentence and exits with status 1. */
@@ -52,7 +53,8 @@
         SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> program.reload());
         program.start();
         if (previousHandler == SignalHandler.SIG_IGN) {
-            logger().log(Level.WARNING, "SIGHUP was ignored when the program was started: it does not reload the files here");
+            logger().log(Level.WARNING,
+                    "SIGHUP was ignored when the program was started: it does not reload the files here");
         }
         terminated.await();
         return 0;
--- a/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
+++ b/relay/src/test/java/pathlane/relay/ServerDirectoryTest.java
@@ -28,7 +28,8 @@
 
     @Test
     void aServerBelongsToTheServiceOfItsCell() {
-        apply(true, endpoint(5, 2, ServerStatus.RUNNING), endpoint(4, 1, ServerStatus.RUNNING), endpoint(6, 3, ServerStatus.DRAINING),
+        apply(true, endpoint(5, 2, ServerStatus.RUNNING), endpoint(4, 1, ServerStatus.RUNNING),
+                endpoint(6, 3, ServerStatus.DRAINING),
                 endpoint(7, 9, ServerStatus.RUNNING));
         assertEquals(List.of(4L, 5L), directory.endpoints("a").stream().map(ServerEndpoint::id).toList());
         assertEquals(List.of(6L), directory.endpoints("b").stream().map(ServerEndpoint::id).toList());
@@ -41,14 +42,17 @@
         assertTrue(apply(false, endpoint(4, 1, ServerStatus.RUNNING)).isEmpty());
         assertEquals(Map.of("a", new EndpointChange(List.of(endpoint(4, 1, ServerStatus.DRAINING)), List.of())),
                 apply(false, endpoint(4, 1, ServerStatus.DRAINING)));
-        assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L))), apply(false, endpoint(4, 1, ServerStatus.GONE)));
+        assertEquals(Map.of("a", new EndpointChange(List.of(), List.of(4L))),
+                apply(false, endpoint(4, 1, ServerStatus.GONE)));
         assertTrue(apply(false, endpoint(4, 1, ServerStatus.GONE)).isEmpty());
     }
 
     @Test
     void completeListRemovesMissingServers() {
-        apply(true, endpoint(4, 1, ServerStatus.RUNNING), endpoint(6, 3, ServerStatus.RUNNING), endpoint(7, 9, ServerStatus.RUNNING));
-        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(6L))), apply(true, endpoint(4, 1, ServerStatus.RUNNING)));
+        apply(true, endpoint(4, 1, ServerStatus.RUNNING), endpoint(6, 3, ServerStatus.RUNNING),
+                endpoint(7, 9, ServerStatus.RUNNING));
+        assertEquals(Map.of("b", new EndpointChange(List.of(), List.of(6L))),
+                apply(true, endpoint(4, 1, ServerStatus.RUNNING)));
         assertEquals(0, directory.unassigned());
     }
 
--- a/standin/src/main/java/pathlane/standin/GrpcFront.java
+++ b/standin/src/main/java/pathlane/standin/GrpcFront.java
@@ -54,7 +54,8 @@
      * @param holdTime how long an established stream lasts
      * @param rules checks the attempt rules, or null for no checks
      */
-    public GrpcFront(String name, Processor processor, Scheduler time, Executor executor, Duration holdTime, RuleBook rules) {
+    public GrpcFront(String name, Processor processor, Scheduler time, Executor executor, Duration holdTime,
+            RuleBook rules) {
         this.name = name;
         this.processor = processor;
         this.time = time;
--- a/standin/src/main/java/pathlane/standin/Processor.java
+++ b/standin/src/main/java/pathlane/standin/Processor.java
@@ -35,7 +35,8 @@
         /** Returns the model of a processor that handles this many calls a second when warm. */
         public static Model of(double callsPerSecond, Rules rules) {
             double workPerCall = 1000 / callsPerSecond;
-            return new Model(workPerCall * 0.7, workPerCall * 0.15, workPerCall * 0.15, workPerCall * 0.3, Duration.ofMillis(500),
+            return new Model(workPerCall * 0.7, workPerCall * 0.15, workPerCall * 0.15, workPerCall * 0.3,
+                    Duration.ofMillis(500),
                     Duration.ofMillis(2500), rules);
         }
 
--- a/standin/src/main/java/pathlane/standin/RuleBook.java
+++ b/standin/src/main/java/pathlane/standin/RuleBook.java
@@ -32,11 +32,12 @@
         }
         Double lastLostAt = lostAt.get(call);
         if (lastLostAt != null && now - lastLostAt < gapMs) {
-            violations.add(call + " reached " + server + " at " + now + ", " + (now - lastLostAt) + " ms after a lost attempt");
+            violations.add(
+                    call + " reached " + server + " at " + now + ", " + (now - lastLostAt) + " ms after a lost attempt");
         }
     }
 
-    /** An attempt is over; lost where it timed serverByOpenCall, was reset or was cancelled. */
+    /** Records that an attempt has ended; it is lost if it timed out, was reset or was cancelled. */
     public void over(String call, boolean lost, double now) {
         serverByOpenCall.remove(call);
         if (lost) {
--- a/standin/src/main/java/pathlane/standin/VirtualTime.java
+++ b/standin/src/main/java/pathlane/standin/VirtualTime.java
@@ -37,7 +37,8 @@
 
     @Override
     public Timer after(Duration delay, Runnable task) {
-        ScheduledTask scheduledTask = new ScheduledTask(now.plus(delay.isNegative() ? Duration.ZERO : delay), nextOrder++, task);
+        ScheduledTask scheduledTask =
+                new ScheduledTask(now.plus(delay.isNegative() ? Duration.ZERO : delay), nextOrder++, task);
         scheduled.add(scheduledTask);
         return () -> scheduled.remove(scheduledTask);
     }
