--- a/bench/src/main/java/pathlane/grpc/WorthKept.java
+++ b/bench/src/main/java/pathlane/grpc/WorthKept.java
@@ -129,7 +129,7 @@
             response.onClose = () -> closed(response);
             harness.time.after(Duration.ofMillis(isSigning ? SIGN_TIMEOUT_MS : CHECK_TIMEOUT_MS), () -> {
                 if (response.closes == 0 && response.messages.isEmpty()) {
-                    response.call.cancel("abandoned by the client", null);
+                    response.call.cancel("client timeout", null);
                 }
             });
         }
--- a/relay/src/main/java/pathlane/relay/EpochFile.java
+++ b/relay/src/main/java/pathlane/relay/EpochFile.java
@@ -75,7 +75,7 @@
                 return epoch;
             }
         } catch (NumberFormatException e) {
-            // Reported below. An unreadable epoch is not treated as a missing one: the next epoch would be lower than the last.
+            // Reported below. An unreadable epoch is not taken for a missing one: the next epoch would be too low.
         }
         throw new IllegalArgumentException(file + " line 1: '" + text.lines().findFirst().orElse("")
                 + "' is no epoch; expected an integer greater than all earlier epochs of this source");
--- a/relay/src/main/java/pathlane/relay/ProgramFile.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFile.java
@@ -84,7 +84,8 @@
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException if the file is invalid, with a one-sentence message that names file, line and expected value
+     * @throws IllegalArgumentException if the file is invalid, with a one-sentence message that names file, line and the
+     *                                  expected value
      */
     static ProgramFile read(Path file) {
         return new ProgramFileReader(TomlFile.parse(file)).read();
--- a/standin/src/main/java/pathlane/standin/RuleBook.java
+++ b/standin/src/main/java/pathlane/standin/RuleBook.java
@@ -28,12 +28,12 @@
         attempts.merge(call, 1, Integer::sum);
         String otherServer = serverByOpenCall.putIfAbsent(call, server);
         if (otherServer != null) {
-            violations.add(call + " reached " + server + " at " + now + " while it had an attempt at " + otherServer);
+            violations.add(call + " arrived at " + server + " at " + now + " while it had an attempt at " + otherServer);
         }
         Double lastLostAt = lostAt.get(call);
         if (lastLostAt != null && now - lastLostAt < gapMs) {
             violations.add(
-                    call + " reached " + server + " at " + now + ", " + (now - lastLostAt) + " ms after a lost attempt");
+                    call + " arrived at " + server + " at " + now + ", " + (now - lastLostAt) + " ms after a lost attempt");
         }
     }
 
