--- a/standin/src/main/java/pathlane/standin/Processor.java
+++ b/standin/src/main/java/pathlane/standin/Processor.java
@@ -77,8 +77,8 @@
         boolean isAbandoned;
         Scheduler.Timer retransmission;
 
-        Call(Caller caller) {
-            this.client = caller;
+        Call(Caller client) {
+            this.client = client;
         }
     }
 
@@ -154,23 +154,23 @@
     // ---- calls
 
     /** Receives a call request. */
-    public void setUp(String id, Caller caller) {
+    public void setUp(String id, Caller client) {
         if (state == State.DOWN) {
-            caller.cut();
+            client.cut();
             return;
         }
         requests++;
         if (isOverloadedWhileCold()) {
             hasCrashed = true;
             stop();
-            caller.cut();
+            client.cut();
             return;
         }
-        Call call = new Call(caller);
+        Call call = new Call(client);
         if (state == State.DRAINING || waitMs() > Millis.of(model.longestWait())) {
             rejects++;
             Duration wait = Millis.toDuration(waitMs());
-            enqueue(model.reject(), () -> caller.turnedAway(wait));
+            enqueue(model.reject(), () -> client.turnedAway(wait));
             return;
         }
         calls.put(id, call);
