--- a/lab/src/main/java/pathlane/lab/Checker.java
+++ b/lab/src/main/java/pathlane/lab/Checker.java
@@ -13,16 +13,17 @@
 import pathlane.lab.Witness.What;
 
 /**
- * Judges a history over the whole group, call by call: one final answer, never two attempts out, nothing new at a server
- * over a second after its drain was told, 200 ms after a lost attempt, and, for what stands, that a release finds its
- * server, an end finds its caller, and nothing is left standing. Names the first broken rule with the call's trace.
+ * Checks the invariants of each call over the history of all controllers: one final answer; never two attempts in flight;
+ * no new attempt at a server more than a second after its drain was announced, nor within 200 ms of a lost attempt; for
+ * established calls, a release reaches the server, an end reaches the client, and no call is left over. Reports each
+ * violated rule with the call's trace.
  */
 public final class Checker {
 
     /**
-     * A rule that was broken.
+     * A violation of one rule.
      *
-     * @param trace all that happened to the call, or around it
+     * @param trace the call's events up to the violation
      */
     public record Broken(String rule, String what, List<Event> trace) {
 
@@ -34,8 +35,8 @@
         }
     }
 
-    private static final String END_FINDS = "an end finds its caller";
-    private static final String LEFT = "nothing is left standing";
+    private static final String END_FINDS = "an end reaches its client";
+    private static final String LEFT = "no established call is left over";
     private static final Set<String> ENDS = Set.of(END_FINDS, LEFT);
     private static final long MILLI = 1_000_000;
     private static final long GAP = 200 * MILLI;
@@ -47,12 +48,12 @@
     private final boolean ended;
     private final long slack;
 
-    /** {@code ended}: the history is whole, and what has not come by its end never came. */
+    /** {@code ended}: the history is complete, so an event that is missing never happened. */
     public Checker(List<Event> history, boolean ended) {
         this(history, ended, Duration.ZERO);
     }
 
-    /** {@code slack}: by how much the history's times may be off, since whoever wrote them did nothing for so long. */
+    /** {@code slack}: max error of the history's timestamps, caused by stalls of the process that recorded them. */
     public Checker(List<Event> history, boolean ended, Duration slack) {
         this.ended = ended;
         this.slack = slack.toNanos();
@@ -68,18 +69,18 @@
         broken.sort(java.util.Comparator.comparingLong(one -> one.trace.get(one.trace.size() - 1).atNanos()));
     }
 
-    /** The same without the ends of these calls: nobody could know of them any more. */
+    /** Ignores missing ends of these calls: no replica of their records survived. */
     public Checker without(Set<String> lost) {
         broken.removeIf(one -> ENDS.contains(one.rule) && lost.contains(one.trace.get(0).call()));
         return this;
     }
 
-    /** Every broken rule, the first first. */
+    /** All violations, in order of time. */
     public List<Broken> broken() {
         return broken;
     }
 
-    /** The first broken rule. */
+    /** The first violation. */
     public Optional<Broken> first() {
         return broken.stream().findFirst();
     }
@@ -110,7 +111,7 @@
                     Long drain = drainTold.get(event.who());
                     if (drain != null && event.atNanos() - drain > DRAIN + slack) {
                         fail("nothing new to a server that drains", call + " reached " + event.who() + " "
-                                + (event.atNanos() - drain) / MILLI + " ms after its drain was told", events, event);
+                                + (event.atNanos() - drain) / MILLI + " ms after its drain was announced", events, event);
                     }
                     out.add(event.who());
                 }
@@ -150,8 +151,8 @@
     }
 
     /**
-     * Guards against what whoever wrote the history saw late: an attempt whose end it notes after the next one's beginning
-     * had ended in time, if it was that slow.
+     * Tolerates ends that were recorded late: an attempt whose end is recorded after the next one's start may have ended in
+     * time if the recording process stalled for that long.
      */
     private void forgetLate(List<Event> events, Event begins, Set<String> at) {
         at.removeIf(server -> events.stream().anyMatch(event -> event.who().equals(server)
@@ -168,10 +169,10 @@
             fail("one final answer", call + " was never answered", events, last);
         }
         if (end.callerHasIt && end.standsAt.isEmpty()) {
-            fail(END_FINDS, call + " is over, and its caller was not told", events, last);
+            fail(END_FINDS, call + " has ended, and its client was not notified", events, last);
         }
         if (!end.standsAt.isEmpty() && !end.callerHasIt) {
-            fail(LEFT, call + " stands at " + end.standsAt + " for nobody", events, last);
+            fail(LEFT, call + " is still established at " + end.standsAt + " without a client", events, last);
         }
     }
 
--- a/lab/src/main/java/pathlane/lab/EventBus.java
+++ b/lab/src/main/java/pathlane/lab/EventBus.java
@@ -12,7 +12,7 @@
 import pathlane.transport.Connection;
 import pathlane.transport.Protocol;
 
-/** The event bus: the list of session servers as numbered events, told to each controller with its own addresses. */
+/** An event bus that publishes the list of session servers as numbered events with per-controller addresses. */
 public final class EventBus {
 
     private static final Duration EACH = Duration.ofSeconds(1);
@@ -24,7 +24,7 @@
     private static final int LOOPBACK = 0x7f000001;
     private static final int WEIGHT = 1000;
 
-    /** A change: a server's place in the list, and its state as on the wire: 0 ready, 1 draining, 2 gone. */
+    /** A change of one server: its index in the list and its state as on the wire: 0 ready, 1 draining, 2 gone. */
     record Change(long id, int place, int state, long startedMillis) {}
 
     private final Scheduler time;
@@ -32,7 +32,7 @@
     private final List<Change> changes = new ArrayList<>();
     private final Set<Line> lines = new LinkedHashSet<>();
 
-    /** {@code port} is where a controller reaches a server, by the controller's name and the server's place. */
+    /** {@code port} returns a server's port as seen by a controller, by the controller's name and the server's index. */
     public EventBus(Scheduler time, BiFunction<String, Integer, Integer> port) {
         this.time = time;
         this.port = port;
@@ -44,7 +44,7 @@
         return new Line(from);
     }
 
-    /** Tells a change to all that are connected, and to the others once they are. */
+    /** Publishes a change to all connected subscribers, and to the others once they connect. */
     public void tell(long id, int place, int state, long startedMillis) {
         changes.add(new Change(id, place, state, startedMillis));
         lines.forEach(line -> line.send(changes.size()));
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Event numbers of changes begin with 2. The first is the whole list before them, which is empty: a controller has it in
-     * its configuration, and is told it where it knows no event.
+     * One subscriber's connection. Event 1 is the complete initial list, which is empty because a controller has it in its
+     * configuration; it is sent to a subscriber that knows no event. Changes are numbered from 2.
      */
     private final class Line implements Protocol {
         private final String from;
--- a/lab/src/main/java/pathlane/lab/Faults.java
+++ b/lab/src/main/java/pathlane/lab/Faults.java
@@ -8,21 +8,20 @@
 import java.util.SplittableRandom;
 
 /**
- * What is wrong with the way from one party to another, in that direction alone. Parties are named; {@code *} stands for
- * all. One thread at a time.
+ * Network faults injected per direction between two named parties. Not safe for threads.
  */
 public final class Faults {
 
-    /** One direction of all connections between two parties. */
+    /** The faults of one direction between two parties, for all connections and datagrams. */
     static final class Way {
         Duration delay = Duration.ZERO;
         boolean cut;
-        /** Bytes a second; 0 for as many as there are. */
+        /** Bytes per second; 0 for unlimited. */
         long throttle;
-        /** Parts of the datagrams that are lost, and that come twice. */
+        /** Fractions of the datagrams that are lost and duplicated. */
         double lost;
         double twice;
-        /** Bytes that were written this way so far. */
+        /** Bytes written in this direction so far. */
         long bytes;
         final List<Runnable> onRestored = new ArrayList<>();
     }
@@ -42,29 +41,29 @@
         paths.remove(path);
     }
 
-    /** Bytes that were written so far from any party whose name begins with the one letter to any of the other. */
+    /** Bytes written so far from all parties whose names begin with one prefix to those whose names begin with the other. */
     public long bytes(String from, String to) {
         return ways.entrySet().stream().filter(one -> one.getKey().startsWith(from) && one.getKey().contains(">" + to))
                 .mapToLong(one -> one.getValue().bytes).sum();
     }
 
-    /** Whether nothing goes this way now. */
+    /** Whether this direction is blocked. */
     public boolean isCut(String from, String to) {
         return way(from, to).cut;
     }
 
-    /** Nothing goes this way any more; what is written waits, as TCP has it, until it is restored or given up. */
+    /** Blocks this direction; as with TCP, written bytes are held until it is restored or the connection is closed. */
     public void cut(String from, String to) {
         way(from, to).cut = true;
     }
 
-    /** The same in both directions. */
+    /** Blocks both directions. */
     public void partition(String one, String other) {
         cut(one, other);
         cut(other, one);
     }
 
-    /** What was held goes on its way. */
+    /** Unblocks this direction and delivers the held bytes. */
     public void restore(String from, String to) {
         Way way = way(from, to);
         way.cut = false;
@@ -73,7 +72,7 @@
         waiting.forEach(Runnable::run);
     }
 
-    /** Nothing is wrong with any way any more. */
+    /** Clears all faults. */
     public void restoreAll() {
         List<Way> all = List.copyOf(ways.values());
         for (Way way : all) {
@@ -90,23 +89,23 @@
         }
     }
 
-    /** Everything takes so much longer this way. */
+    /** Adds latency in this direction. */
     public void delay(String from, String to, Duration delay) {
         way(from, to).delay = delay;
     }
 
-    /** So many bytes a second go this way on each connection; 0 for as many as there are. */
+    /** Limits each connection to this many bytes per second in this direction; 0 for unlimited. */
     public void throttle(String from, String to, long bytesEachSecond) {
         way(from, to).throttle = bytesEachSecond;
     }
 
-    /** Such parts of the datagrams that go this way are lost, and come twice; from 0 to 1. Connections lose nothing. */
+    /** Sets the fractions of datagrams, from 0 to 1, that are lost and duplicated. Connections lose nothing. */
     public void datagrams(String from, String to, double lost, double twice) {
         way(from, to).lost = lost;
         way(from, to).twice = twice;
     }
 
-    /** How often a datagram comes that goes this way now: not at all, once or twice. */
+    /** How many copies of a datagram sent now are delivered: none, one or two. */
     public int copies(String from, String to, SplittableRandom random) {
         Way way = way(from, to);
         boolean lost = random.nextDouble() < way.lost;
@@ -114,27 +113,27 @@
         return way.cut || lost ? 0 : twice ? 2 : 1;
     }
 
-    /** How much longer it takes this way. */
+    /** The added latency of this direction. */
     public Duration delayed(String from, String to) {
         return way(from, to).delay;
     }
 
-    /** All connections between the two are reset. */
+    /** Resets all connections between the two parties. */
     public void reset(String one, String other) {
         List.copyOf(paths).stream().filter(path -> path.joins(one, other)).forEach(Path::reset);
     }
 
-    /** One side of each connection between the two is told that it has ended, and the other is not. */
+    /** Leaves each connection between the two half open: one side sees it closed, the other does not. */
     public void halfClose(String told, String other) {
         List.copyOf(paths).stream().filter(path -> path.joins(told, other)).forEach(path -> path.halfClose(told));
     }
 
-    /** A party's process is gone: each of its connections ends, at the other side. */
+    /** A party's process has died: the peers of its connections see them closed. */
     public void gone(String party) {
         List.copyOf(paths).stream().filter(path -> path.isOf(party)).forEach(path -> path.gone(party));
     }
 
-    /** Connections that are open between two. */
+    /** The number of open connections between two parties. */
     public int open(String one, String other) {
         return (int) paths.stream().filter(path -> path.joins(one, other)).count();
     }
--- a/lab/src/main/java/pathlane/lab/FleetConfig.java
+++ b/lab/src/main/java/pathlane/lab/FleetConfig.java
@@ -4,15 +4,15 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** The configuration of a controller of the rig's, as the platform would write it to {@code RELAY_CONFIG}. */
+/** The configuration of a controller under test, as the platform writes it to {@code RELAY_CONFIG}. */
 public final class FleetConfig {
 
     private FleetConfig() {}
 
     /**
-     * The text.
+     * Returns the JSON text.
      *
-     * @param serverPort where this controller reaches a server, by its place
+     * @param serverPort the port at which this controller reaches a server, by the server's index
      * @param busPort 0 for none
      */
     public static String text(String name, int listenPort, int servers, IntUnaryOperator serverPort, int busPort,
--- a/lab/src/main/java/pathlane/lab/Folders.java
+++ b/lab/src/main/java/pathlane/lab/Folders.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** What runs leave behind. */
+/** Deletes the temporary folders of runs. */
 public final class Folders {
 
     private Folders() {}
 
-    /** Deletes a folder that a run was given, with all that is in it. */
+    /** Deletes a folder and its contents. */
     public static void delete(Path folder) throws IOException {
         List<Path> all;
         try (Stream<Path> walk = Files.walk(folder)) {
--- a/lab/src/main/java/pathlane/lab/History.java
+++ b/lab/src/main/java/pathlane/lab/History.java
@@ -6,19 +6,19 @@
 import java.util.function.Predicate;
 
 /**
- * What the stand-ins saw and what the rig did, in the order in which it happened. Safe for threads: each part writes, and
- * a scenario waits here for what is to come.
+ * The events that the simulated parties observed and the actions of the test bed, in order of time. Safe for threads:
+ * every part records events, and scenarios wait here for expected ones.
  */
 public final class History implements Witness {
 
     /**
-     * One thing that happened.
+     * One recorded event.
      *
-     * @param atNanos since the beginning
-     * @param who the caller, server or process that saw or suffered it
-     * @param peer who is on the other side of it, empty where nobody is
-     * @param call which call, empty where none
-     * @param text more, for people
+     * @param atNanos time since the history was created
+     * @param who the client, server or process that observed or was affected by it
+     * @param peer the other party, empty if there is none
+     * @param call the call's id, empty if there is none
+     * @param text details for people
      */
     public record Event(long atNanos, What what, String who, String peer, String call, String text) {
 
@@ -33,7 +33,7 @@
     private final long startedAt;
     private final List<Event> events = new ArrayList<>();
 
-    /** {@code nanos} is the clock that its times are by. */
+    /** {@code nanos} is the clock of the events' times. */
     public History(LongSupplier nanos) {
         this.nanos = nanos;
         this.startedAt = nanos.getAsLong();
@@ -45,21 +45,20 @@
         notifyAll();
     }
 
-    /** All so far. */
+    /** All events so far. */
     public synchronized List<Event> events() {
         return List.copyOf(events);
     }
 
-    /** How many there are so far. */
+    /** The number of events so far. */
     public synchronized int size() {
         return events.size();
     }
 
     /**
-     * Waits until so many events, from a place on, are like this; the time is a bound for a rig that hangs, not what is
-     * waited for.
+     * Waits until this many events, from an index on, match. The timeout only bounds a run that hangs.
      *
-     * @throws IllegalStateException where that did not come about
+     * @throws IllegalStateException if the timeout expires first
      */
     public synchronized void await(String wanted, int from, int count, long mostMillis, Predicate<Event> like)
             throws InterruptedException {
@@ -74,7 +73,7 @@
             }
             long left = (until - System.nanoTime()) / 1_000_000;
             if (left <= 0) {
-                throw new IllegalStateException("waited for " + wanted + ": " + seen + " of " + count + " came");
+                throw new IllegalStateException("waited for " + wanted + ": " + seen + " of " + count + " events seen");
             }
             wait(left);
         }
--- a/lab/src/main/java/pathlane/lab/LabMain.java
+++ b/lab/src/main/java/pathlane/lab/LabMain.java
@@ -17,14 +17,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The lab by hand: {@code java -jar lab/target/pathlane-lab.jar run SCENARIO}, from the project's root. */
-@Command(name = "lab", description = "Plays groups of call controllers with faults between their parts.",
+/** The command line of the test bed: {@code java -jar lab/target/pathlane-lab.jar run SCENARIO}, from the project's root. */
+@Command(name = "lab", description = "Runs groups of call controllers with faults injected between their parts.",
         subcommands = {LabMain.Run.class, LabMain.Takeover.class, MeasureCommand.class, CapacityCommand.class,
                 ScaleCommand.class},
         mixinStandardHelpOptions = true)
 public final class LabMain implements Runnable {
 
-    /** Runs a command and ends with its status: 0 kept, 1 broken, 2 for a command that can't be used. */
+    /** Runs a command and exits with its status: 0 all rules kept, 1 a rule broken, 2 invalid command. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new LabMain()).setExecutionExceptionHandler((e, line, parsed) -> {
             line.getErr().println("lab: " + e.getMessage());
@@ -37,21 +37,21 @@
         CommandLine.usage(this, System.out);
     }
 
-    /** Plays one scenario with real processes. */
-    @Command(name = "run", description = "Plays a scenario with real processes and says whether all rules were kept.",
+    /** Runs one scenario with real processes. */
+    @Command(name = "run", description = "Runs a scenario with real processes and reports whether all rules were kept.",
             mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
 
-        @Parameters(index = "0", paramLabel = "SCENARIO", description = "its file, as in lab/scenarios")
+        @Parameters(index = "0", paramLabel = "SCENARIO", description = "the scenario file, as in lab/scenarios")
         private Path file;
 
-        @Option(names = "--seed", defaultValue = "1", description = "for the calls' ids and the draws; ${DEFAULT-VALUE}")
+        @Option(names = "--seed", defaultValue = "1", description = "for call ids and random draws; ${DEFAULT-VALUE}")
         private long seed;
 
-        @Option(names = "--home", defaultValue = ".", description = "where the project was built; ${DEFAULT-VALUE}")
+        @Option(names = "--home", defaultValue = ".", description = "root of the built project; ${DEFAULT-VALUE}")
         private Path home;
 
-        @Option(names = "--keep", description = "an empty folder that keeps files and logs; else a temporary one")
+        @Option(names = "--keep", description = "an empty folder to keep files and logs in; otherwise a temporary one")
         private Path keep;
 
         @Override
@@ -70,15 +70,15 @@
         }
     }
 
-    /** Prints figures of takeover. */
-    @Command(name = "takeover", description = "Measures takeover; docs/measurements/takeover.md has what each prints.",
+    /** Prints takeover measurements. */
+    @Command(name = "takeover", description = "Measures takeover; docs/measurements/takeover.md describes the output.",
             mixinStandardHelpOptions = true)
     static final class Takeover implements Runnable {
 
-        @Option(names = "--home", defaultValue = ".", description = "where the project was built; ${DEFAULT-VALUE}")
+        @Option(names = "--home", defaultValue = ".", description = "root of the built project; ${DEFAULT-VALUE}")
         private Path home;
 
-        @Option(names = "--runs", defaultValue = "10", description = "how often; ${DEFAULT-VALUE}")
+        @Option(names = "--runs", defaultValue = "10", description = "number of runs; ${DEFAULT-VALUE}")
         private int runs;
 
         @Override
@@ -86,10 +86,10 @@
             CommandLine.usage(this, System.out);
         }
 
-        @Command(description = "From a kill to the last call owned again.")
+        @Command(description = "Time from killing a controller until the last of its calls is adopted.")
         void owned(@Option(names = "--controllers", defaultValue = "3") int controllers,
                 @Option(names = "--calls", defaultValue = "1000") int calls,
-                @Option(names = "--virtual", description = "in virtual time, in one thread") boolean virtual)
+                @Option(names = "--virtual", description = "in virtual time, on one thread") boolean virtual)
                 throws IOException, InterruptedException {
             Histogram times = virtual ? VirtualTakeover.owned(controllers, calls, runs)
                     : new ProcessTakeover(home).owned(controllers, calls, runs);
@@ -98,7 +98,7 @@
                     times.getValueAtPercentile(50), times.getValueAtPercentile(99), times.getMaxValue());
         }
 
-        @Command(description = "Seven of ten controllers die: how many calls come to their right end, with takeover and "
+        @Command(description = "Seven of ten controllers die: how many calls end correctly, with takeover and "
                 + "without.")
         void herd(@Option(names = "--calls", defaultValue = "100") int calls) throws IOException, InterruptedException {
             for (int run = 1; run <= runs; run++) {
@@ -107,7 +107,7 @@
             }
         }
 
-        @Command(description = "What a call costs its controller, with a group and without, in turn.")
+        @Command(description = "Cost of a call at its controller, alternately with and without a group.")
         void owner(@Option(names = "--calls", defaultValue = "20000") int calls,
                 @Option(names = "--each-second", defaultValue = "1000") int eachSecond)
                 throws IOException, InterruptedException {
@@ -121,7 +121,7 @@
             }
         }
 
-        @Command(description = "What idle controllers say, in virtual time.")
+        @Command(description = "Bytes that idle controllers send, in virtual time.")
         void idle(@Option(names = "--controllers", defaultValue = "120") int controllers) {
             System.out.println("bytes a second of all, to voters, from voters and among members: "
                     + VirtualTakeover.idle(controllers, 60));
--- a/lab/src/main/java/pathlane/lab/MemoryStore.java
+++ b/lab/src/main/java/pathlane/lab/MemoryStore.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** A voter's disk in the virtual fleet: what was written is there for the next process. */
+/** An in-memory Raft store that survives restarts of a simulated voter. */
 final class MemoryStore implements RaftStore {
 
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
@@ -65,10 +65,10 @@
 
     @Override
     public void flush() {
-        // What was written is kept at once.
+        // Every write is durable at once.
     }
 
-    /** What the next process begins with. */
+    /** The state from which a restarted voter recovers. */
     Optional<RestoredRaftState> restored() {
         if (endpoint == null || initial == null) {
             return Optional.empty();
--- a/lab/src/main/java/pathlane/lab/Path.java
+++ b/lab/src/main/java/pathlane/lab/Path.java
@@ -11,8 +11,8 @@
 import pathlane.transport.Protocol;
 
 /**
- * One connection between two state machines, with what is wrong on the way in each direction. Bytes keep their order. A
- * state machine without a socket: the rig puts sockets at its ends, the virtual fleet the machines themselves.
+ * A simulated connection between two protocol state machines, with the faults of each direction applied. Bytes keep their
+ * order. It has no socket of its own: the test bed connects its ends to sockets, the virtual fleet to the state machines.
  */
 public final class Path {
 
@@ -77,14 +77,14 @@
             busyUntil = from.plus(takes);
             Duration after = Duration.between(now, busyUntil).plus(latency).plus(out.delay);
             Instant at = now.plus(after);
-            // Guards the order where a delay is taken back.
+            // Keeps the order when a delay is reduced.
             arrivesAt = at.isAfter(arrivesAt) ? at : arrivesAt;
             onTheWay.add(bytes);
             scheduler.after(Duration.between(now, arrivesAt), () -> arrive(onTheWay.poll()));
         }
 
         private Instant arrivesAt = Instant.MIN;
-        /** In their order, whatever the order in which equal times come. */
+        /** In sending order, even if timers that are due at the same time fire in another order. */
         private final Deque<byte[]> onTheWay = new ArrayDeque<>();
 
         private void arrive(byte[] bytes) {
@@ -118,7 +118,7 @@
     private final End far;
     private int ends;
 
-    /** Opens both ends at once. */
+    /** Opens both ends immediately. */
     public Path(Scheduler scheduler, Faults faults, Duration latency, String nearName, Protocol near, String farName,
             Protocol far) {
         this.scheduler = scheduler;
@@ -157,7 +157,7 @@
         end(near.name.equals(told) ? near : far, CloseReason.RESET);
     }
 
-    /** A process has gone: its side is not told, the other one is once the news gets through. */
+    /** A process has died: its own end is not notified; the peer is once the close reaches it. */
     void gone(String party) {
         End dead = near.name.equals(party) ? near : far;
         if (dead.open) {
--- a/lab/src/main/java/pathlane/lab/ProcessTime.java
+++ b/lab/src/main/java/pathlane/lab/ProcessTime.java
@@ -11,8 +11,8 @@
 import pathlane.transport.Protocol;
 
 /**
- * Time as one process of the virtual fleet sees it: stopped and gone on, or killed, with a monotonic clock of its own that
- * is fast or slow. What is due, and what comes over its connections, waits while it is stopped.
+ * The scheduler of one simulated process, which can be stopped, resumed and killed and has a monotonic clock that may run
+ * fast or slow. Due timers and received bytes are queued while the process is stopped.
  */
 public final class ProcessTime implements Scheduler {
 
@@ -25,29 +25,29 @@
     private Instant stoppedAt;
     private Duration lag = Duration.ZERO;
 
-    /** {@code speed} is how fast its monotonic clock runs, 1 for right. */
+    /** {@code speed} is the rate of its monotonic clock relative to real time. */
     public ProcessTime(Scheduler world, double speed) {
         this.world = world;
         this.speed = speed;
         this.startedAt = world.now();
     }
 
-    /** The monotonic clock. */
+    /** The reading of the monotonic clock. */
     public long nanos() {
         return (long) (Duration.between(startedAt, world.now()).toNanos() * speed);
     }
 
-    /** Whether it was killed. */
+    /** Whether the process was killed. */
     public boolean isDead() {
         return dead;
     }
 
-    /** Whether it is stopped now. */
+    /** Whether the process is stopped. */
     public boolean isStopped() {
         return stopped;
     }
 
-    /** Stops it, as SIGSTOP does. */
+    /** Stops the process, as SIGSTOP does. */
     public void stop() {
         if (!stopped) {
             stopped = true;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Continues it, as SIGCONT does: what waited is run, in its order. */
+    /** Resumes the process, as SIGCONT does, and runs the queued tasks in order. */
     public void goOn() {
         if (stopped) {
             stopped = false;
@@ -69,13 +69,13 @@
         }
     }
 
-    /** Ends it for good. */
+    /** Kills the process. */
     public void kill() {
         dead = true;
         waiting.clear();
     }
 
-    /** Runs something as this process: now, or once it goes on, or never. */
+    /** Runs a task as this process: now, after it resumes if it is stopped, or never if it is dead. */
     public void run(Runnable what) {
         if (dead) {
             return;
@@ -87,7 +87,7 @@
         }
     }
 
-    /** A state machine of this process, which hears nothing while it is stopped and no more once it is dead. */
+    /** Wraps a protocol of this process: it receives events only after the process resumes, and none once it is dead. */
     public Protocol own(Protocol protocol) {
         return new Protocol() {
             @Override
@@ -120,7 +120,7 @@
     @Override
     public Timer after(Duration delay, Runnable task) {
         boolean[] cancelled = new boolean[1];
-        // Its timers go by its own clock.
+        // Timers run on the process's own clock.
         Timer timer = world.after(Duration.ofNanos((long) Math.ceil(Math.max(0, delay.toNanos()) / speed)), () -> run(() -> {
             if (!cancelled[0]) {
                 task.run();
--- a/lab/src/main/java/pathlane/lab/ScriptedCaller.java
+++ b/lab/src/main/java/pathlane/lab/ScriptedCaller.java
@@ -18,7 +18,8 @@
 import pathlane.wire.Message;
 
 /**
- * Callers that come by one front: they ask, release, and are told over any of their connections. One thread at a time.
+ * Simulated clients of one front: they request and release calls and are notified on any of their connections. Not safe
+ * for threads.
  */
 public final class ScriptedCaller {
 
@@ -40,7 +41,7 @@
     private final long base;
     private Consumer<String> onRefused = call -> {};
 
-    /** {@code base} keeps its calls' ids apart from those of others. */
+    /** {@code base} keeps its call ids apart from those of other clients. */
     public ScriptedCaller(String name, long base, Front front, Witness history) {
         this.name = name;
         this.base = base;
@@ -48,12 +49,12 @@
         this.history = history;
     }
 
-    /** Hears of each call that is refused, fails, or whose connection ends under it. */
+    /** Is notified of each request that is refused or failed, or whose connection closes before the answer. */
     public void onRefused(Consumer<String> hears) {
         onRefused = hears;
     }
 
-    /** Opens a connection to a controller where there is none. */
+    /** Opens a connection to a controller if there is none. */
     public void connect(String controller) {
         if (!lines.containsKey(controller)) {
             Line line = new Line(controller);
@@ -62,14 +63,14 @@
         }
     }
 
-    /** Whether a connection to a controller is up. */
+    /** Whether a connection to a controller is open. */
     public boolean isConnected(String controller) {
         return lines.containsKey(controller) && lines.get(controller).connection != null;
     }
 
     /**
-     * Asks for a call at a controller, at the server in this place of the list. Returns its id, or null where it is not
-     * connected.
+     * Requests a call from a controller, for the server with this index in the list. Returns the call's id, or null if the
+     * controller is not connected.
      */
     public String ask(String controller, int place, String callClass, Duration patience) {
         Line line = lines.get(controller);
@@ -79,7 +80,7 @@
         return write(line, base + ++calls, place, callClass, patience);
     }
 
-    /** Asks once more for a call under the id that it had, as a caller does whose connection ended under it. */
+    /** Repeats a request under its old id, as a client does whose connection closed before the answer. */
     public boolean again(String call, String controller, String callClass, Duration patience) {
         Line line = lines.get(controller);
         if (line == null || line.connection == null || open.containsKey(call) || standing.containsKey(call)) {
@@ -101,7 +102,7 @@
         return message.id();
     }
 
-    /** Releases a call that stands, at this controller or, where it is not connected, at another. False where none is. */
+    /** Releases an established call through this controller, or another if it is not connected. False if not possible. */
     public boolean release(String call, String controller) {
         Line line = lines.get(controller);
         if (line == null || line.connection == null) {
@@ -115,12 +116,12 @@
         return true;
     }
 
-    /** Calls that stand, as far as the callers know. */
+    /** The calls that are established as far as the clients know. */
     public Set<String> standing() {
         return new LinkedHashSet<>(standing.keySet());
     }
 
-    /** Set-ups that wait for an answer. */
+    /** The number of requests that wait for an answer. */
     public int open() {
         return open.size();
     }
@@ -129,7 +130,7 @@
         private final String controller;
         private final FrameAssembler assembler = Message.assembler();
         private Connection connection;
-        /** Releases that were written and not heard: another connection gets them if this one ends. */
+        /** Releases sent without a confirmation: they are sent on another connection if this one closes. */
         private final Set<String> unansweredReleases = new LinkedHashSet<>();
 
         Line(String controller) {
--- a/lab/src/main/java/pathlane/lab/SessionServer.java
+++ b/lab/src/main/java/pathlane/lab/SessionServer.java
@@ -18,9 +18,9 @@
 import pathlane.wire.Message;
 
 /**
- * A session server that many controllers share, as the platform's protocol has it: what concerns a call goes on the
- * connection of its set-up, failing that on any open one, and its end on the next that opens as well. Calls end when
- * they are told to, or after the time that they hold.
+ * A simulated session server shared by many controllers. As in the platform's protocol, messages of a call use the
+ * connection of its request or, if that is closed, any open one; the end of a call is also repeated on the next connection
+ * that opens. Calls end on request or after a fixed duration.
  */
 public final class SessionServer {
 
@@ -47,10 +47,10 @@
     private boolean down;
 
     /**
-     * A server that answers each set-up.
+     * A server that answers every call request.
      *
-     * @param work from a set-up to its answer
-     * @param holds from the answer to the call's end; nought: until it is told to
+     * @param work time from a request to its answer
+     * @param holds duration of an established call; zero: until it is released or ended
      */
     public SessionServer(String name, Scheduler time, Duration work, Duration holds, Witness history) {
         this.name = name;
@@ -61,22 +61,22 @@
         time.after(TELLS, this::tell);
     }
 
-    /** The state machine for a connection from a party of this name. */
+    /** Returns the protocol for a connection from the party of this name. */
     public Protocol accept(String from) {
         return new Line(from);
     }
 
-    /** Whether it takes connections. */
+    /** Whether the server accepts connections. */
     public boolean isUp() {
         return !down;
     }
 
-    /** From now on set-ups are taken and not answered, or answered again. */
+    /** Sets whether requests are answered; otherwise they are accepted and left unanswered. */
     public void answers(boolean does) {
         answers = does;
     }
 
-    /** Calls that stand here. */
+    /** The calls that are established at this server. */
     public Set<String> standing() {
         Set<String> standing = new LinkedHashSet<>();
         calls.forEach((id, call) -> {
@@ -87,7 +87,7 @@
         return standing;
     }
 
-    /** Ends a call that stands here. */
+    /** Ends a call that is established at this server. */
     public void end(String id) {
         Call call = calls.get(id);
         if (call != null && call.stands) {
@@ -96,12 +96,12 @@
             Message over = new Message(Message.RELEASE, id).withCause(Cause.OVER);
             send(call.line, over);
             if (!waiting.contains(over)) {
-                waiting.add(over);   // on the next connection that opens as well
+                waiting.add(over);   // repeated on the next connection that opens
             }
         }
     }
 
-    /** The process dies: its connections are reset, and its calls are cut. */
+    /** Simulates a crash: connections are reset and calls are lost. */
     public void die() {
         down = true;
         calls.forEach(
@@ -111,7 +111,7 @@
         List.copyOf(lines).forEach(line -> line.connection.close(CloseReason.RESET));
     }
 
-    /** A new process begins there. */
+    /** Starts a new process of this server. */
     public void start() {
         down = false;
     }
@@ -215,7 +215,7 @@
             List.copyOf(calls.entrySet()).forEach(one -> {
                 if (one.getValue().line == this && !one.getValue().stands) {
                     calls.remove(one.getKey());
-                    history.note(What.GIVEN_UP, name, from, one.getKey(), "its connection ended");
+                    history.note(What.GIVEN_UP, name, from, one.getKey(), "its connection closed");
                 }
             });
         }
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -25,8 +25,9 @@
 import pathlane.transport.RateLimitedLog;
 
 /**
- * A fleet in virtual time and one thread: the real platform front, core, decisions, group and handover in each controller,
- * real voters, and stand-in servers, bus and callers, with faults on every way. The same seed gives the same history.
+ * A fleet simulated in virtual time on one thread: the real platform front, core, decisions, group and handover in each
+ * controller, real voters, and simulated servers, event bus and clients, with fault injection on every link. The same seed
+ * gives the same history.
  */
 public final class VirtualFleet {
 
@@ -38,11 +39,11 @@
     private static final int BUS_PORT = 9092;
     private static final KeyRing KEYS = KeyRing.read("k1 000102030405060708090a0b0c0d0e0f\n");
 
-    /** Figures of a fleet. */
+    /** Sizes and timings of a fleet. */
     public record Shape(int controllers, int servers, int voters, int copies, LeaseTerms lease, Duration work,
             Duration holds, int pace) {}
 
-    /** A controller's process. */
+    /** A simulated controller. */
     public final class Controller {
         final String name;
         final int place;
@@ -55,7 +56,7 @@
             this.name = "n" + (place + 1);
         }
 
-        /** Starts a process under this name. */
+        /** Starts a new process with this controller's name. */
         void start() {
             time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * shape.lease.drift() * 0.9);
             ProcessTime own = time;
@@ -72,7 +73,7 @@
             handover.start(front.controller());
         }
 
-        /** Its process dies. */
+        /** Kills the process. */
         void kill() {
             time.kill();
             faults.gone(name);
@@ -96,7 +97,7 @@
     private final EventBus bus;
     private final ScriptedCaller caller;
 
-    /** Starts everything. */
+    /** Starts all parties. */
     public VirtualFleet(Shape shape, long seed) {
         this.shape = shape;
         this.random = new SplittableRandom(seed);
@@ -149,7 +150,7 @@
         owners.put(port, owner);
     }
 
-    /** A connection from one party to whoever listens at a port; a way that is cut lets none come up. */
+    /** Connects one party to the listener at a port; a blocked direction makes the attempt time out. */
     private void dial(String from, InetSocketAddress address, Duration timeout, Protocol protocol) {
         String to = owners.get(address.getPort());
         Function<String, Protocol> accepts = listeners.get(address.getPort());
@@ -167,7 +168,7 @@
         });
     }
 
-    // ---- what a schedule does with it
+    // ---- used by schedules and measurements
 
     public VirtualTime world() {
         return world;
@@ -201,12 +202,12 @@
         return bus;
     }
 
-    /** Controllers whose processes are there. */
+    /** The controllers whose processes are running. */
     public List<Controller> up() {
         return controllers.stream().filter(Controller::isUp).toList();
     }
 
-    /** Passes time until this holds, looking each 50 ms; false where it did not in so long. */
+    /** Advances time until a condition holds, polling every 50 ms; false if it did not hold within the timeout. */
     public boolean until(Duration most, java.util.function.BooleanSupplier holds) {
         for (long left = most.toMillis(); left > 0 && !holds.getAsBoolean(); left -= 50) {
             world.pass(50);
@@ -214,7 +215,7 @@
         return holds.getAsBoolean();
     }
 
-    /** Tokens that are valid for their holders now, by name: never two under one token. */
+    /** The holder's name of each fencing token whose lease is valid now. */
     public Map<Long, String> sure() {
         Map<Long, String> sure = new HashMap<>();
         for (Controller one : up()) {
--- a/lab/src/main/java/pathlane/lab/VirtualTakeover.java
+++ b/lab/src/main/java/pathlane/lab/VirtualTakeover.java
@@ -7,12 +7,12 @@
 import pathlane.group.LeaseTerms;
 import pathlane.lab.VirtualFleet.Controller;
 
-/** Figures of takeover in virtual time, with the real parts: how long a succession takes, and what an idle group sends. */
+/** Measures takeover in virtual time: how long it takes until calls are adopted, and what an idle group sends. */
 final class VirtualTakeover {
 
     private static final Duration PATIENCE = Duration.ofSeconds(6);
     private static final String OWNER = "n1";
-    /** Set-ups in 10 ms: fewer than a caller's connection may send. */
+    /** Requests per 10 ms: fewer than a client's connection may send. */
     private static final int AT_ONCE = 40;
     private static final int SERVERS = 2;
     private static final int VOTERS = 3;
@@ -26,12 +26,12 @@
                 new VirtualFleet(new VirtualFleet.Shape(controllers, SERVERS, VOTERS, COPIES, LeaseTerms.DEFAULT,
                         Duration.ofMillis(5), Duration.ZERO, 20_000), seed);
         if (!fleet.until(Duration.ofSeconds(60), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated()))) {
-            throw new IllegalStateException("the group did not come about");
+            throw new IllegalStateException("the group did not form");
         }
         return fleet;
     }
 
-    /** From the kill of one with so many calls to the last of them owned again, in milliseconds, over so many runs. */
+    /** Time in milliseconds from killing a controller with this many calls until the last of them is adopted. */
     static Histogram owned(int controllers, int calls, int runs) {
         Histogram times = new Histogram(3);
         for (int run = 1; run <= runs; run++) {
@@ -45,11 +45,11 @@
                 }
                 fleet.world().pass(TICK_MILLIS);
                 if (tries > calls) {
-                    throw new IllegalStateException("the calls do not come to stand");
+                    throw new IllegalStateException("the calls are not established");
                 }
             }
             Controller owner = fleet.controllers().get(0);
-            // The kill falls anywhere between two renewals of the lease.
+            // Spreads the kills over the interval between two lease renewals.
             fleet.until(Duration.ofSeconds(30), owner.handover::isReplicated);
             fleet.world().pass(run * LeaseTerms.DEFAULT.renewInterval().toMillis() / runs);
             owner.kill();
@@ -58,7 +58,7 @@
                 fleet.world().pass(TICK_MILLIS);
                 waited += TICK_MILLIS;
                 if (waited > Duration.ofMinutes(2).toMillis()) {
-                    throw new IllegalStateException("not all calls were taken over");
+                    throw new IllegalStateException("not all calls were adopted");
                 }
             }
             times.recordValue(waited);
@@ -66,10 +66,10 @@
         return times;
     }
 
-    /** Bytes a second that a group of idle controllers writes, in all: members to voters, back, and among members. */
+    /** Total bytes per second of a group of idle controllers: members to voters, voters to members, among members. */
     static List<Long> idle(int controllers, int seconds) {
         VirtualFleet fleet = fleet(controllers, 1);
-        fleet.world().pass(Duration.ofSeconds(20).toMillis());   // until the last newcomer's records are placed
+        fleet.world().pass(Duration.ofSeconds(20).toMillis());   // until the last member's records are replicated
         List<Long> before = written(fleet);
         fleet.world().pass(Duration.ofSeconds(seconds).toMillis());
         List<Long> after = written(fleet);
--- a/lab/src/main/java/pathlane/lab/VirtualVoter.java
+++ b/lab/src/main/java/pathlane/lab/VirtualVoter.java
@@ -13,7 +13,7 @@
 import pathlane.transport.RateLimitedLog;
 import pathlane.voter.RaftLog;
 
-/** A voter of the virtual fleet: the real one, with a disk in memory and messages that are lost where the way is cut. */
+/** A simulated voter: the real implementation with an in-memory store; messages over a blocked link are lost. */
 public final class VirtualVoter {
 
     private static final int NONCE_BYTES = 16;
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Its process dies; its disk stays. */
+    /** Kills the process; its store is kept. */
     void kill() {
         if (isUp()) {
             time.kill();
@@ -103,7 +103,7 @@
         start(voters);
     }
 
-    /** Whether this voter leads. */
+    /** Whether this voter is the Raft leader. */
     public boolean leads() {
         return isUp() && log.isLeader();
     }
--- a/lab/src/main/java/pathlane/lab/Witness.java
+++ b/lab/src/main/java/pathlane/lab/Witness.java
@@ -1,40 +1,40 @@
 package pathlane.lab;
 
-/** Whoever is told what happened; its times are its own. */
+/** Records observed events, with timestamps of its own clock. */
 @FunctionalInterface
 public interface Witness {
 
-    /** What can happen. */
+    /** Kinds of events. */
     enum What {
-        /** A caller has written a set-up whole, to {@code peer}. */
+        /** A client has sent a call request to {@code peer}. */
         ASKED,
-        /** A caller was answered, refused or failed, or its set-up's connection ended. */
+        /** A request was answered, refused or failed, or its connection closed first. */
         ANSWERED, REFUSED, FAILED, BROKEN,
-        /** A caller released a call that stood, to {@code peer}. */
+        /** A client released an established call through {@code peer}. */
         RELEASED,
-        /** A caller was told that a call is over, by {@code peer}. */
+        /** A client was notified by {@code peer} that a call has ended. */
         TOLD_OVER,
-        /** A set-up reached a server, from {@code peer}. */
+        /** An attempt reached a server, from {@code peer}. */
         REACHED,
-        /** A server's attempt came to its end: it stands, was turned away, or was given up. */
+        /** An attempt at a server completed: the call was established, rejected, or the attempt was abandoned. */
         STOOD, TURNED_AWAY, GIVEN_UP,
-        /** A server ended a call that stood there, or lost it with its process. */
+        /** A server ended an established call, or lost it in a crash. */
         ENDED,
-        /** A server heard a release, from {@code peer}. */
+        /** A server received a release from {@code peer}. */
         HEARD_RELEASE,
-        /** A server was told to drain, and the controllers with it; or it has gone. */
+        /** A server's drain was announced to it and the controllers; or the server is gone. */
         DRAIN_TOLD, GONE,
-        /** The rig did something to a process or a link, or read a line of a process's log. */
+        /** The test bed acted on a process or a link, or read a line of a process's log. */
         DID, LOGGED
     }
 
     /**
-     * Notes what happened now.
+     * Records an event that happened now.
      *
-     * @param who the caller, server or process that saw or suffered it
-     * @param peer who is on the other side of it, empty where nobody is
-     * @param call which call, empty where none
-     * @param text more, for people
+     * @param who the client, server or process that observed or was affected by it
+     * @param peer the other party, empty if there is none
+     * @param call the call's id, empty if there is none
+     * @param text details for people
      */
     void note(What what, String who, String peer, String call, String text);
 }
--- a/lab/src/main/java/pathlane/lab/package-info.java
+++ b/lab/src/main/java/pathlane/lab/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fleets with faults between their parts: the program's real parts in virtual time, stand-in servers, a bus and scripted
- * callers, with a way between each two that can be cut, reset, held and throttled; and the checker that judges them.
+ * Simulated fleets with fault injection: the program's real components in virtual time, simulated servers, event bus and
+ * clients, links that can be blocked, reset, delayed and throttled, and a checker of the invariants.
  */
 package pathlane.lab;
--- a/lab/src/main/java/pathlane/lab/rig/DatagramRelay.java
+++ b/lab/src/main/java/pathlane/lab/rig/DatagramRelay.java
@@ -7,8 +7,9 @@
 import pathlane.lab.Faults;
 
 /**
- * A way for datagrams from one party to another, in that direction: what is cut is lost, what is delayed may overtake,
- * and a part is lost or comes twice as the {@link Faults} say. Answers come by a relay of their own. On the rig's loop.
+ * Forwards datagrams from one party to another with the {@link Faults} of that direction: blocked datagrams are lost,
+ * delayed ones may be reordered, and a fraction is lost or duplicated. Answers need a relay of their own. Runs on the test
+ * bed's event loop.
  */
 final class DatagramRelay {
 
@@ -16,14 +17,14 @@
     private final Faults faults;
     private final SplittableRandom random;
 
-    /** The seed decides which datagrams are lost or come twice. */
+    /** The seed decides which datagrams are lost or duplicated. */
     DatagramRelay(RigLoop loop, Faults faults, long seed) {
         this.loop = loop;
         this.faults = faults;
         this.random = new SplittableRandom(seed);
     }
 
-    /** What comes to this port is from the one party, and goes on to the other's address. Off the loop. */
+    /** Forwards datagrams that arrive at this port to the target's address. Must not be called on the event loop. */
     void between(String from, int port, String to, InetSocketAddress target) throws InterruptedException {
         Holder out = new Holder();
         out.send = loop.datagrams(port, (sender, bytes) -> {
--- a/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -23,28 +23,29 @@
 import pathlane.lab.Witness.What;
 
 /**
- * Discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar, an event bus
- * and watch clients of the rig's own, with a {@link Relay} on every link. Knows what the bus has told, and so what every
- * client must end at. Everything it starts it ends, by its own ids. Used from one thread.
+ * Test bed for discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar,
+ * with a simulated event bus and watch clients, and a {@link Relay} on every link. It knows which servers the event bus has
+ * published, and so the state that every client must reach. It ends every process that it starts, by its process id. Used
+ * from one thread.
  */
 public final class DiscoveryRig implements AutoCloseable {
 
-    /** The source's name among the parties. */
+    /** The party name of the source. */
     public static final String SOURCE = "s";
-    /** The event bus's name among the parties. */
+    /** The party name of the event bus. */
     public static final String BUS = "bus";
 
-    /** A relay, and whom it watches. */
+    /** A relay and the publishers it watches. */
     public record RelayShape(String name, String zone, String region, List<String> upstreams) {}
 
-    /** A watch client, whom it may watch, and which services. */
+    /** A watch client, the publishers it may use and the services it watches. */
     public record ClientShape(String name, String zone, String region, List<String> publishers, List<String> services) {}
 
     /**
-     * What there is.
+     * The parties of a test bed.
      *
-     * @param services the services by the cells 0, 1, ...
-     * @param limits lines of the publishers' {@code [limits]}
+     * @param services the services of the cells 0, 1, ...
+     * @param limits the content of the publishers' {@code [limits]} section
      */
     public record Shape(List<String> services, List<RelayShape> relays, List<ClientShape> clients, String limits) {}
 
@@ -66,17 +67,17 @@
     private final ToldServers told;
     private final Map<String, RigProcess> processes = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new HashMap<>();
-    /** Ports that one party alone comes to, by from and to. */
+    /** Listening ports that serve a single link, by {@code from>to}. */
     private final Map<String, RigLoop.Listener> links = new HashMap<>();
     private final WatchClients clients;
     private final Set<String> stopped = new HashSet<>();
 
     /**
-     * Writes the processes' files and starts nothing yet.
+     * Writes the processes' files without starting them.
      *
-     * @param home where the project was built: the relay's jar is there
-     * @param folder for files and logs; empty
-     * @param seed decides the clients' draws
+     * @param home root of the built project, which contains the relay's jar
+     * @param folder empty folder for files and logs
+     * @param seed for the clients' random draws
      */
     public DiscoveryRig(Shape shape, Path home, Path folder, long seed) throws IOException, InterruptedException {
         this.shape = shape;
@@ -132,7 +133,7 @@
         return text.append(WATCH).append(limits()).toString();
     }
 
-    /** A publisher as clients reach it: at its own port, by way of the rig's relay in the rig's own process. */
+    /** A publisher's address for clients: its own port, since clients use the relay within the test bed's process. */
     private PublisherAddress place(String publisher) {
         InetSocketAddress address = new InetSocketAddress(HOST, ports.get(publisher));
         return shape.relays.stream().filter(one -> one.name.equals(publisher)).findFirst()
@@ -142,7 +143,7 @@
 
     private void add(String name, Path jar, String text) throws IOException {
         if (!Files.isReadable(jar)) {
-            throw new IllegalArgumentException(jar + " is not there: build the project first (mvn -q -DskipTests package)");
+            throw new IllegalArgumentException(jar + " is missing: build the project first (mvn -q -DskipTests package)");
         }
         Path file = folder.resolve(name + ".toml");
         Files.writeString(file, text);
@@ -152,7 +153,7 @@
         processes.put(name, new RigProcess(name, command, Map.of(), folder.resolve(name + ".log"), history));
     }
 
-    /** Starts all processes and clients, and waits until every client has what the bus has told. */
+    /** Starts all processes and clients, and waits until every client agrees with the event bus. */
     public void start() throws InterruptedException {
         for (String name : processes.keySet()) {
             start(name);
@@ -161,19 +162,19 @@
         clients.awaitAgreement();
     }
 
-    // ---- the bus
+    // ---- event bus
 
-    /** So many servers come to a service. Returns their ids. */
+    /** Adds this many servers to a service. Returns their ids. */
     public List<Long> serversCome(String service, int count) throws InterruptedException {
         return loop.call(() -> told.come(service, count));
     }
 
-    /** These servers of a service begin to drain. */
+    /** Publishes that these servers of a service are draining. */
     public void serversDrain(String service, List<Long> ids) throws InterruptedException {
         loop.run(() -> ids.forEach(id -> told.tell(id, service, ServerStatus.DRAINING)));
     }
 
-    /** These servers of a service have gone for good. */
+    /** Publishes that these servers of a service are gone. */
     public void serversGo(String service, List<Long> ids) throws InterruptedException {
         loop.run(() -> ids.forEach(id -> told.tell(id, service, ServerStatus.GONE)));
     }
@@ -184,7 +185,7 @@
         return processes.get(name);
     }
 
-    /** Starts a process, and waits until it takes subscribers. */
+    /** Starts a process and waits until it accepts subscribers. */
     public void start(String name) throws InterruptedException {
         int from = history.size();
         process(name).start();
@@ -208,7 +209,7 @@
         process(name).goOn();
     }
 
-    /** Nothing goes between the two any more, in either direction, and no connection comes up. */
+    /** Blocks both directions between two parties; new connections time out. */
     public void cut(String one, String other) throws InterruptedException {
         loop.run(() -> {
             faults.cut(one, other);
@@ -218,7 +219,7 @@
         });
     }
 
-    /** All goes there and back again, with what was held. */
+    /** Unblocks both directions and delivers the held bytes. */
     public void restore(String one, String other) throws InterruptedException {
         loop.run(() -> {
             faults.restore(one, other);
@@ -229,44 +230,44 @@
         });
     }
 
-    /** The first is told that its connections with the other have ended, and the other is not. */
+    /** Leaves the connections between two parties half open: only the first sees them closed. */
     public void halfOpen(String toldSide, String other) throws InterruptedException {
         loop.run(() -> faults.halfClose(toldSide, other));
     }
 
-    /** Everything takes so much longer that way. */
+    /** Adds latency in one direction. */
     public void delay(String from, String to, Duration delay) throws InterruptedException {
         loop.run(() -> faults.delay(from, to, delay));
     }
 
-    // ---- waiting and judging
+    // ---- waiting and checking
 
-    /** How many events the history has: where an {@link #awaitLog} may begin to look. */
+    /** The number of events so far, as a start index for {@link #awaitLog}. */
     public int eventsSoFar() {
         return history.size();
     }
 
-    /** Waits for a line of a process's log that contains a match of this expression, from an event of the history on. */
+    /** Waits for a log line of a process that matches this expression, from an index of the history on. */
     public void awaitLog(String name, String expression, int from) throws InterruptedException {
         Predicate<String> matches = Pattern.compile(expression).asPredicate();
         history.await("'" + expression + "' in the log of " + name, from, 1, MOST_MILLIS,
                 event -> event.what() == What.LOGGED && event.who().equals(name) && matches.test(event.text()));
     }
 
-    /** Waits until so many more bytes have gone from one party to another, over whatever connections. */
+    /** Waits until this many more bytes have been sent from one party to another, over any connections. */
     public void awaitBytes(String from, String to, long more) throws InterruptedException {
         long wanted = loop.call(() -> faults.bytes(from, to)) + more;
         clients.await(more + " bytes from " + from + " to " + to, () -> faults.bytes(from, to) >= wanted);
     }
 
-    /** The watch clients: what they hold, and what is waited for there. */
+    /** The watch clients. */
     public WatchClients clients() {
         return clients;
     }
 
     /**
-     * Makes everything well, waits until every client has what the bus has told, and judges: the rules that any client has
-     * seen broken, in their order.
+     * Clears all faults, waits until every client agrees with the event bus, and returns the violations that the clients
+     * have observed, in order.
      */
     public List<String> judge() throws InterruptedException {
         for (String name : List.copyOf(stopped)) {
@@ -285,12 +286,12 @@
         return clients.broken();
     }
 
-    /** Writes what happened beside the logs. */
+    /** Writes the history to a file beside the logs. */
     public void keepHistory() throws IOException {
         Files.write(folder.resolve("history.txt"), history.events().stream().map(History.Event::toString).toList());
     }
 
-    /** Ends every process that was started, and the rig. */
+    /** Kills every started process and stops the event loop. */
     @Override
     public void close() throws InterruptedException {
         for (RigProcess process : processes.values()) {
--- a/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
+++ b/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
@@ -9,7 +9,7 @@
 import pathlane.group.LeaseTerms;
 import pathlane.lab.Folders;
 
-/** What a group of idle controllers and its register cost, with real processes. */
+/** Measures the cost of a group of idle controllers and its lease registry, with real processes. */
 public final class IdleGroup {
 
     private static final int SERVERS = 2;
@@ -21,7 +21,7 @@
     private IdleGroup() {}
 
     /**
-     * One member's and one voter's second, as a mean over all of them.
+     * Cost per second of one member and one voter, as the mean over all of them.
      *
      * @param memberToVoters bytes that a member writes to voters
      * @param memberToMembers bytes that a member writes to other members
@@ -33,11 +33,11 @@
     public record Second(double memberToVoters, double memberToMembers, double voterToMembers, double voterToVoters,
             double memberCpuMillis, double voterCpuMillis) {}
 
-    /** A group's whole figures so far. */
+    /** Totals over the group so far. */
     private record Totals(long memberToVoters, long memberToMembers, long voterToMembers, long voterToVoters,
             Duration memberCpu, Duration voterCpu) {}
 
-    /** Measures a group of so many members as often as asked, one window after the other. */
+    /** Measures a group of this many members over several consecutive windows. */
     public static List<Second> measure(Path home, int members, int windows) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("pathlane-lab");
         List<Second> seconds = new ArrayList<>();
--- a/lab/src/main/java/pathlane/lab/rig/Ports.java
+++ b/lab/src/main/java/pathlane/lab/rig/Ports.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Ports for processes that come back at the same one: below those that the system gives out by itself, so that no
- * connection takes one meanwhile. Safe for threads.
+ * Allocates ports for processes that restart on the same port: below the system's ephemeral range, so that no outgoing
+ * connection takes a port in between. Safe for threads.
  */
 public final class Ports {
 
@@ -20,12 +20,12 @@
 
     private Ports() {}
 
-    /** One that nobody listens at on 127.0.0.1. */
+    /** Returns a free port on 127.0.0.1. */
     public static int free() {
         return free(InetAddress.getLoopbackAddress().getHostAddress());
     }
 
-    /** One that nobody listens at on this address. */
+    /** Returns a free port on this address. */
     public static int free(String host) {
         for (int tries = 0; tries < LAST - FIRST; tries++) {
             int port = FIRST + NEXT.incrementAndGet() % (LAST - FIRST);
@@ -34,9 +34,9 @@
                 socket.bind(new InetSocketAddress(host, port));
                 return port;
             } catch (IOException e) {
-                continue;   // somebody else's
+                continue;   // in use by another process
             }
         }
-        throw new IllegalStateException("no port is free from " + FIRST + " to " + LAST);
+        throw new IllegalStateException("no free port from " + FIRST + " to " + LAST);
     }
 }
--- a/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
+++ b/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
@@ -17,7 +17,7 @@
 import pathlane.lab.History.Event;
 import pathlane.lab.Witness.What;
 
-/** Figures of takeover with real processes: how long it takes, what it saves, and what it costs an owner. */
+/** Measures takeover with real processes: its duration, the calls it saves, and its cost for a calls' owner. */
 public final class ProcessTakeover {
 
     private static final Duration PATIENCE = Duration.ofSeconds(6);
@@ -30,12 +30,12 @@
 
     private final Path home;
 
-    /** {@code home} is where the project was built. */
+    /** {@code home} is the root of the built project. */
     public ProcessTakeover(Path home) {
         this.home = home;
     }
 
-    /** Something that is measured on a rig that has started. */
+    /** A measurement on a started test bed. */
     private interface Measure<T> {
         T on(Rig rig) throws InterruptedException;
     }
@@ -54,7 +54,7 @@
         return measured;
     }
 
-    /** Asks until so many more stand. */
+    /** Requests calls until this many more are established. */
     private static void stand(Rig rig, String controller, int count) throws InterruptedException {
         int wanted = rig.ask(() -> rig.caller().standing().size()) + count;
         long until = System.nanoTime() + Duration.ofMillis(MOST_MILLIS).toNanos();
@@ -66,7 +66,7 @@
             return rig.caller().standing().size() < wanted;
         })) {
             if (System.nanoTime() > until) {
-                throw new IllegalStateException("the calls do not come to stand");
+                throw new IllegalStateException("the calls are not established");
             }
             Thread.sleep(TICK_MILLIS);
         }
@@ -77,11 +77,11 @@
         return event.what() == What.LOGGED && matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
     }
 
-    /** Waits until so many calls were taken over; returns when the last were. */
+    /** Waits until this many calls are adopted; returns the time of the last adoption. */
     private static long awaitTakenOver(Rig rig, int from, int calls) throws InterruptedException {
         long[] sum = new long[1];
         long[] at = new long[1];
-        rig.history().await(calls + " calls taken over", from, 1, MOST_MILLIS, event -> {
+        rig.history().await(calls + " calls adopted", from, 1, MOST_MILLIS, event -> {
             long more = takenOver(event);
             sum[0] += more;
             at[0] = more > 0 ? event.atNanos() : at[0];
@@ -90,7 +90,7 @@
         return at[0];
     }
 
-    /** From the kill of one with so many calls to the last of them owned again, in milliseconds, over so many runs. */
+    /** Time in milliseconds from killing a controller with this many calls until the last of them is adopted. */
     public Histogram owned(int controllers, int calls, int runs) throws IOException, InterruptedException {
         Histogram times = new Histogram(3);
         for (int run = 1; run <= runs; run++) {
@@ -107,16 +107,16 @@
     }
 
     /**
-     * Calls of killed controllers that came to their right end.
+     * How many calls of killed controllers ended correctly, by the way in which they ended.
      *
-     * @param ended ended by their server: their callers were told
-     * @param released by their callers: their server heard
-     * @param cut by their server's end: their callers were told
-     * @param left that stand at a server for nobody
+     * @param ended ended by their server, and the client was notified
+     * @param released released by their client, and the server received the release
+     * @param cut lost with their server, and the client was notified
+     * @param left still established at a server without a client
      */
     public record Ends(int ended, int ofEnded, int released, int ofReleased, int cut, int ofCut, int left) {}
 
-    /** Seven of ten controllers are killed, with so many calls each; then all calls end, in three ways. */
+    /** Kills seven of ten controllers with this many calls each, then ends all calls in three ways. */
     public Ends herd(int calls, boolean grouped, long seed) throws IOException, InterruptedException {
         return with(10, grouped, seed, rig -> {
             for (String name : rig.processes("n")) {
@@ -153,7 +153,7 @@
             released.forEach(call -> rig.caller().release(call, "n8"));
             rig.gone("s2");
         });
-        // What is to come comes at once; the longest that anything may take is the 8 s in which an end is owed.
+        // Notifications normally arrive at once; the max delay is the 8 s for which the end of a call stays pending.
         Thread.sleep(Duration.ofSeconds(8).toMillis());
         Map<What, Set<String>> seen = new HashMap<>();
         List<Event> events = rig.history().events();
@@ -170,23 +170,23 @@
     }
 
     /**
-     * What a call costs its controller, from its set-up to its release.
+     * Cost of a call at its controller, from request to release.
      *
-     * @param cpuMicros of processor time
-     * @param bytes written to other members
-     * @param answers from set-up to answer, in microseconds
+     * @param cpuMicros processor time in microseconds
+     * @param bytes bytes written to other members
+     * @param answers time from request to answer, in microseconds
      */
     public record Cost(double cpuMicros, double bytes, Histogram answers) {}
 
-    /** So many calls a second for so many calls at one of three controllers, each released as soon as it stands. */
+    /** Sends calls at a fixed rate to one of three controllers and releases each as soon as it is established. */
     public Cost owner(int calls, int eachSecond, boolean grouped, long seed) throws IOException, InterruptedException {
         return with(3, grouped, seed, rig -> {
-            play(rig, calls / 4, eachSecond);   // until the code is compiled
+            play(rig, calls / 4, eachSecond);   // warm-up until the code is JIT-compiled
             Duration cpu = rig.process("n1").cpu();
             long bytes = rig.ask(() -> rig.faults().bytes("n1", "n"));
             int from = rig.history().size();
             play(rig, calls, eachSecond);
-            Thread.sleep(200);   // what waits for the window leaves
+            Thread.sleep(200);   // lets the batch that is still buffered leave
             double used = rig.process("n1").cpu().minus(cpu).toNanos() / (double) MICROS / calls;
             double written = (rig.ask(() -> rig.faults().bytes("n1", "n")) - bytes) / (double) calls;
             Histogram answers = new Histogram(3);
--- a/lab/src/main/java/pathlane/lab/rig/Relay.java
+++ b/lab/src/main/java/pathlane/lab/rig/Relay.java
@@ -14,8 +14,8 @@
 import pathlane.transport.Protocol;
 
 /**
- * Puts a {@link Path} with its faults between sockets of two processes, or between a socket and one of the rig's own
- * stand-ins. On the rig's loop.
+ * Inserts a {@link Path} with its faults between the sockets of two processes, or between a socket and a simulated party
+ * of the test bed. Runs on the test bed's event loop.
  */
 final class Relay {
 
@@ -29,23 +29,23 @@
         this.faults = faults;
     }
 
-    /** For a listening port: connections from a party of this name go on to another process. */
+    /** For a listening port: forwards connections from the party of this name to another process. */
     Protocol between(String from, String to, InetSocketAddress target) {
         return new Begun(first -> Optional.of(from), to, target);
     }
 
-    /** The same where the first bytes tell who it is. */
+    /** The same for connections whose first bytes identify the party. */
     Protocol between(Function<byte[], Optional<String>> from, String to, InetSocketAddress target) {
         return new Begun(from, to, target);
     }
 
-    /** For a listening port: connections from a process go to a stand-in of the rig's. */
+    /** For a listening port: forwards connections from a process to a simulated party. */
     Protocol into(String from, String to, Protocol standIn) {
         Joint joint = new Joint();
         return joint.socketSide(() -> new Path(loop, faults, Duration.ZERO, from, joint.pathSide(), to, standIn));
     }
 
-    /** A stand-in of the rig's comes to a process. */
+    /** Connects a simulated party to a process. */
     void out(String from, Protocol standIn, String to, InetSocketAddress target) {
         Joint joint = new Joint();
         loop.connect(target, DIAL_TIMEOUT, joint.socketSide(
@@ -53,7 +53,7 @@
                 end -> standIn.closed(end)));
     }
 
-    /** Joins one socket to one end of a path. */
+    /** Connects one socket to one end of a path. */
     private static final class Joint {
 
         private Connection socket;
@@ -115,7 +115,7 @@
         }
     }
 
-    /** A connection from a process that waits until it is known whose it is and its target has been dialled. */
+    /** An incoming connection, buffered until its party is identified and the target is connected. */
     private final class Begun implements Protocol {
 
         private final Function<byte[], Optional<String>> from;
--- a/lab/src/main/java/pathlane/lab/rig/Rig.java
+++ b/lab/src/main/java/pathlane/lab/rig/Rig.java
@@ -27,20 +27,20 @@
 import pathlane.transport.Protocol;
 
 /**
- * A group of real processes on loopback: call controllers n1, n2, ... and voters v1, v2, ..., each a process of the built
- * jar, and session servers s1, s2, ..., an event bus and callers of the rig's own, with a {@link Relay} on every link and
- * each direction. Everything it starts it ends, by its own ids. Used from one thread.
+ * Test bed with a group of real processes on loopback: call controllers n1, n2, ... and voters v1, v2, ..., each a process
+ * of a built jar, with simulated session servers s1, s2, ..., event bus and clients, and a {@link Relay} on every link and
+ * direction. It ends every process that it starts, by its process id. Used from one thread.
  */
 public final class Rig implements AutoCloseable {
 
     /**
-     * What there is.
+     * The parties and timings of a test bed.
      *
-     * @param voters of the group's register; with none there is no group
-     * @param copies how many other controllers keep each record
-     * @param work from a set-up at a server to its answer
-     * @param pace calls a second that a successor goes on with
-     * @param orphans how long an attempt that was left open is let be; whole seconds
+     * @param voters number of voters of the lease registry; with none there is no group
+     * @param copies number of other controllers that hold a replica of each record
+     * @param work time from an attempt at a server to its answer
+     * @param pace max calls per second that a successor adopts
+     * @param orphans how long an orphaned attempt is left alone; in full seconds
      */
     public record Shape(int controllers, int servers, int voters, int copies, LeaseTerms lease, Duration work, int pace,
             Duration orphans) {}
@@ -68,14 +68,14 @@
     private final Map<String, Integer> busPorts = new LinkedHashMap<>();
     private final Map<String, List<Integer>> serverPorts = new LinkedHashMap<>();
     private final ScriptedCaller caller;
-    /** Ports that one party alone comes to, by from and to. */
+    /** Listening ports that serve a single link, by {@code from>to}. */
     private final Map<String, RigLoop.Listener> links = new LinkedHashMap<>();
 
     /**
-     * Writes the processes' files and starts nothing yet.
+     * Writes the processes' files without starting them.
      *
-     * @param home where the project was built: {@code daemon/target/pathlane.jar} and the voter's are there
-     * @param folder for files, logs and the voters' disks; empty
+     * @param home root of the built project, which contains {@code daemon/target/pathlane.jar} and the voter's jar
+     * @param folder empty folder for files, logs and the voters' stores
      */
     public Rig(Shape shape, Path home, Path folder, long seed) throws IOException, InterruptedException {
         this.shape = shape;
@@ -129,7 +129,7 @@
         links.put(from + ">" + to, loop.listen(port, protocols));
     }
 
-    /** A port at which one process reaches another. */
+    /** Opens a port through which one process reaches another. */
     private int link(String from, String to, int port) throws InterruptedException {
         int at = Ports.free();
         listen(from, to, at, () -> relay.between(from, to, new InetSocketAddress("127.0.0.1", port)));
@@ -142,7 +142,7 @@
             int members = Ports.free();
             int others = Ports.free();
             callerPorts.put(name, callers);
-            // Members come to the address that the register tells them, the same one for all: who it is they say first.
+            // All members use the one address from the lease registry: they identify themselves in their first bytes.
             loop.listen(others, () -> relay.between(Rig::greeting, name, new InetSocketAddress("127.0.0.1", members)));
             List<Integer> toServers = new ArrayList<>();
             for (Map.Entry<String, SessionServer> server : servers.entrySet()) {
@@ -171,7 +171,7 @@
         }
     }
 
-    /** The name that a member says first, once it is there whole. */
+    /** The name at the start of a member's connection, once it has been received completely. */
     private static Optional<String> greeting(byte[] first) {
         if (first.length <= GREETING) {
             return Optional.empty();
@@ -187,7 +187,7 @@
                 : Optional.of(new String(first, read.position(), name, StandardCharsets.UTF_8));
     }
 
-    /** The command that starts a JVM as the program is meant to run, up to what names the program. */
+    /** The command that starts a JVM with the program's options, without the program itself. */
     public static List<String> programCommand() {
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(JVM);
@@ -196,7 +196,7 @@
 
     private void add(String name, Path jar, List<String> arguments, Map<String, String> environment) {
         if (!Files.isReadable(jar)) {
-            throw new IllegalArgumentException(jar + " is not there: build the project first (mvn -q -DskipTests package)");
+            throw new IllegalArgumentException(jar + " is missing: build the project first (mvn -q -DskipTests package)");
         }
         List<String> command = programCommand();
         command.add("-jar");
@@ -205,7 +205,7 @@
         processes.put(name, new RigProcess(name, command, environment, folder.resolve(name + ".log"), history));
     }
 
-    /** Starts all processes, connects the callers, and waits until the group has come about. */
+    /** Starts all processes, connects the clients, and waits until the group has formed. */
     public void start() throws InterruptedException {
         for (RigProcess process : processes.values()) {
             process.start();
@@ -219,7 +219,7 @@
         }
     }
 
-    /** Callers dial again where a connection was closed: a controller closes what is idle, and ends are told on any. */
+    /** Reopens closed client connections: controllers close idle ones, and notify of ends on any open one. */
     private void keepConnected() {
         for (String name : processes("n")) {
             if (processes.get(name).isUp()) {
@@ -229,20 +229,20 @@
         loop.after(REDIAL, this::keepConnected);
     }
 
-    /** Waits for a line of a process's log with these words, from this event of the history on. */
+    /** Waits for a log line of a process that contains this text, from an index of the history on. */
     void awaitLog(String name, String words, int from) throws InterruptedException {
         history.await("'" + words + "' in the log of " + name, from, 1, MOST_MILLIS,
                 event -> event.what() == What.LOGGED && event.who().equals(name) && event.text().contains(words));
     }
 
-    // ---- what a scenario does with it
+    // ---- used by scenarios and measurements
 
-    /** What happened so far. */
+    /** The history of events. */
     public History history() {
         return history;
     }
 
-    /** How long the rig itself did nothing, at the most: its times may be off by so much. */
+    /** The longest stall of the test bed's event loop, which is the max error of recorded times. */
     public Duration mostLag() throws InterruptedException {
         return loop.call(loop::mostLag);
     }
@@ -250,12 +250,12 @@
     RigProcess process(String name) {
         RigProcess process = processes.get(name);
         if (process == null) {
-            throw new IllegalArgumentException("'" + name + "' is no process; there are " + processes.keySet());
+            throw new IllegalArgumentException("'" + name + "' is not a known process; known processes: " + processes.keySet());
         }
         return process;
     }
 
-    /** The names of all processes whose names begin so. */
+    /** The names of all processes that begin with this prefix. */
     List<String> processes(String letter) {
         return processes.keySet().stream().filter(name -> name.startsWith(letter)).collect(Collectors.toList());
     }
@@ -264,7 +264,7 @@
         return servers;
     }
 
-    /** Runs this on the loop, where all stand-ins and faults belong. */
+    /** Runs a task on the event loop, which owns all simulated parties and faults. */
     void onLoop(Runnable task) throws InterruptedException {
         loop.run(task);
     }
@@ -281,14 +281,14 @@
         return faults;
     }
 
-    /** Nothing goes that way any more, and no connection comes up there. On the loop. */
+    /** Blocks one direction of a link; new connections on it time out. Called on the event loop. */
     void cut(String from, String to) {
         faults.cut(from, to);
         Optional.ofNullable(links.get(from + ">" + to)).ifPresent(RigLoop.Listener::shut);
         Optional.ofNullable(links.get(to + ">" + from)).ifPresent(RigLoop.Listener::shut);
     }
 
-    /** All goes there and back again. On the loop. */
+    /** Unblocks both directions of a link. Called on the event loop. */
     void restore(String one, String other) {
         faults.restore(one, other);
         faults.restore(other, one);
@@ -296,20 +296,20 @@
         Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::reopen);
     }
 
-    /** Nothing is wrong with any way any more. On the loop. */
+    /** Clears all faults. Called on the event loop. */
     void restoreAll() {
         faults.restoreAll();
         links.values().forEach(RigLoop.Listener::reopen);
     }
 
-    /** A server's process has gone for good, and the list says so. On the loop. */
+    /** Crashes a server and publishes that it is gone. Called on the event loop. */
     void gone(String server) {
         servers.get(server).die();
         int place = List.copyOf(servers.keySet()).indexOf(server);
         bus.tell(place + 1, place, GONE, 0);
     }
 
-    /** Ends every process that was started, and the rig. */
+    /** Kills every started process and stops the event loop. */
     @Override
     public void close() throws InterruptedException {
         for (RigProcess process : processes.values()) {
--- a/lab/src/main/java/pathlane/lab/rig/RigLoop.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigLoop.java
@@ -40,13 +40,13 @@
 import pathlane.transport.Protocol;
 
 /**
- * The rig's one thread, its time and its sockets, on loopback alone. Unlike the program's own driver it can break a
- * connection (RST), which is one of the faults. Its lag is how far the rig's own times may be off.
+ * The test bed's event loop: its only thread, its scheduler and its sockets, on loopback only. Unlike the program's own
+ * transport it can reset a connection (RST), which is one of the faults. The measured lag is the max error of recorded times.
  */
 public final class RigLoop implements Scheduler, Connector, AutoCloseable {
 
     private static final Duration BEAT = Duration.ofMillis(5);
-    /** Few, so that it is soon full; the loop takes connections at once. */
+    /** Small, so that it is quickly filled; the event loop accepts connections immediately. */
     private static final int BACKLOG = 8;
     private static final String LOOPBACK = "127.0.0.1";
 
@@ -55,7 +55,7 @@
     private long beatAt = System.nanoTime();
     private long mostLag;
 
-    /** Starts the beat by which own stalls are noticed. */
+    /** Starts the periodic task that measures stalls of the event loop. */
     public RigLoop() {
         loop.scheduleAtFixedRate(() -> {
             long now = System.nanoTime();
@@ -64,7 +64,7 @@
         }, 0, BEAT.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** How long the rig itself did nothing, at the most, since the last call of this; on the loop. */
+    /** The longest stall of the event loop since it was created; must be called on the event loop. */
     public Duration mostLag() {
         return Duration.ofNanos(mostLag);
     }
@@ -76,7 +76,7 @@
 
     @Override
     public Duration lag() {
-        return Duration.ZERO;   // the stand-ins make no allowance for the rig
+        return Duration.ZERO;   // simulated parties ignore the lag of the event loop
     }
 
     @Override
@@ -85,18 +85,18 @@
         return () -> timer.cancel(false);
     }
 
-    /** Runs this on the loop and waits for what it returns; never from the loop itself. */
+    /** Runs a task on the event loop and returns its result; must not be called on the event loop. */
     public <T> T call(Callable<T> task) throws InterruptedException {
         try {
             return loop.submit(task).get(1, TimeUnit.MINUTES);
         } catch (ExecutionException e) {
             throw e.getCause() instanceof RuntimeException cause ? cause : new IllegalStateException(e.getCause());
         } catch (TimeoutException e) {
-            throw new IllegalStateException("the rig's own loop hangs", e);
+            throw new IllegalStateException("the test bed's event loop hangs", e);
         }
     }
 
-    /** Runs this on the loop, and waits until it has run. */
+    /** Runs a task on the event loop and waits for its completion. */
     public void run(Runnable task) throws InterruptedException {
         call(() -> {
             task.run();
@@ -104,7 +104,7 @@
         });
     }
 
-    /** A port at which somebody listens. On the loop. */
+    /** A listening port. Used on the event loop. */
     public final class Listener {
 
         private final Channel channel;
@@ -117,8 +117,8 @@
         }
 
         /**
-         * From now on nobody comes through, as behind a cut: the queue of those that wait to be taken is filled by the
-         * rig itself, and the system then drops what would open a connection, so that whoever dials hears nothing.
+         * Makes connection attempts time out, as in a partition: fills the accept queue with connections of its own, so
+         * that the system drops further SYN packets and a connecting party gets no response.
          */
         public void shut() {
             if (!fillers.isEmpty()) {
@@ -131,7 +131,7 @@
             }
         }
 
-        /** Whoever comes is taken again. */
+        /** Accepts connections again. */
         public void reopen() {
             fillers.forEach(Channel::close);
             fillers.clear();
@@ -139,12 +139,12 @@
         }
     }
 
-    /** Listens on loopback; a protocol of null turns the connection away. */
+    /** Listens on loopback; a null protocol rejects the connection. */
     public Listener listen(int port, Supplier<Protocol> protocols) throws InterruptedException {
         return listen(port, BACKLOG, protocols);
     }
 
-    /** The same with so many connections that may wait to be taken; only one with a few can be {@link Listener#shut}. */
+    /** The same with the given backlog; only a listener with a small backlog supports {@link Listener#shut}. */
     public Listener listen(int port, int backlog, Supplier<Protocol> protocols) throws InterruptedException {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, backlog)
@@ -162,7 +162,7 @@
                     }
                 }).bind(LOOPBACK, port).await();
         if (!bound.isSuccess()) {
-            throw new IllegalStateException("the rig can't listen on port " + port, bound.cause());
+            throw new IllegalStateException("can't listen on port " + port, bound.cause());
         }
         return new Listener(bound.channel());
     }
@@ -178,7 +178,7 @@
                 });
     }
 
-    /** A socket for datagrams on loopback; what comes is told with its sender. Returns how to send from there. */
+    /** Opens a datagram socket on loopback that passes on each datagram with its sender. Returns its send function. */
     BiConsumer<InetSocketAddress, byte[]> datagrams(int port, BiConsumer<InetSocketAddress, byte[]> received)
             throws InterruptedException {
         Channel channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
@@ -198,7 +198,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** One socket of a state machine's. */
+    /** The socket of one protocol state machine. */
     private static final class Socket extends ChannelInboundHandlerAdapter implements Connection {
 
         private final Protocol protocol;
--- a/lab/src/main/java/pathlane/lab/rig/RigProcess.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigProcess.java
@@ -16,8 +16,8 @@
 import pathlane.lab.Witness.What;
 
 /**
- * A process of the rig's, by its own id: started anew under its name, stopped (SIGSTOP), continued, killed, asked to end.
- * Each line of its log is noted in the history and kept in a file. Safe for threads.
+ * A named process of the test bed that can be started, restarted, stopped (SIGSTOP), resumed, killed and terminated, each
+ * by its process id. Each line of its log is recorded in the history and written to a file. Safe for threads.
  */
 final class RigProcess {
 
@@ -43,20 +43,20 @@
         return name;
     }
 
-    /** Whether a process runs under this name; asked on the rig's loop too, which may not wait here. */
+    /** Whether the process is running; does not block, as it is also called on the event loop. */
     boolean isUp() {
         Process now = process;
         return now != null && now.isAlive();
     }
 
-    /** Processor time of the process that runs, user and system. */
+    /** User and system processor time of the running process. */
     synchronized Duration cpu() {
         return process.info().totalCpuDuration().orElseThrow();
     }
 
     synchronized void start() {
         if (isUp()) {
-            throw new IllegalStateException(name + " runs already");
+            throw new IllegalStateException(name + " is already running");
         }
         history.note(What.DID, name, "", "", "started");
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** SIGKILL. Returns once the process is gone. */
+    /** Sends SIGKILL. Returns once the process has exited. */
     synchronized void kill() throws InterruptedException {
         if (isUp()) {
             signal("KILL", "killed");
@@ -92,36 +92,36 @@
         }
     }
 
-    /** SIGTERM. Returns at once. */
+    /** Sends SIGTERM. Returns immediately. */
     void term() throws InterruptedException {
         signal("TERM", "asked to end");
     }
 
-    /** Waits for the end of the process. */
+    /** Waits until the process has exited. */
     synchronized void awaitEnd() throws InterruptedException {
         if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
-            throw new IllegalStateException(name + " does not end");
+            throw new IllegalStateException(name + " does not exit");
         }
         reader.join(END_SECONDS * 1000L);
     }
 
-    /** SIGSTOP: it does nothing more, and its connections stay open. */
+    /** Sends SIGSTOP: the process is suspended and its connections stay open. */
     void stop() throws InterruptedException {
         signal("STOP", "stopped");
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT. */
     void goOn() throws InterruptedException {
         signal("CONT", "continued");
     }
 
-    /** By the system's own command: the JDK's ways to end a process close its log unread. */
+    /** Uses the system's {@code kill}: the JDK's methods to end a process close its output before it is read. */
     private synchronized void signal(String signal, String did) throws InterruptedException {
         history.note(What.DID, name, "", "", did);
         try {
             int status = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
             if (status != 0) {
-                throw new IllegalStateException(name + " was not " + did + ": kill ended with " + status);
+                throw new IllegalStateException(name + " was not " + did + ": kill exited with " + status);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/lab/src/main/java/pathlane/lab/rig/Scenario.java
+++ b/lab/src/main/java/pathlane/lab/rig/Scenario.java
@@ -13,9 +13,9 @@
 import pathlane.group.LeaseTerms;
 
 /**
- * A scenario's file, in TOML: the group's shape, and steps one after the other, each a line as docs/LAB.md has them.
+ * A scenario read from a TOML file: the group's shape and a sequence of steps, whose syntax docs/LAB.md describes.
  *
- * @param title what it shows, in one sentence
+ * @param title what the scenario tests, in one sentence
  */
 public record Scenario(String title, Rig.Shape shape, List<String> steps) {
 
@@ -26,9 +26,9 @@
     private static final int MOST_PROCESSES = 64;
 
     /**
-     * Reads a file.
+     * Reads a scenario file.
      *
-     * @throws IllegalArgumentException with one sentence that says what is wrong, and where
+     * @throws IllegalArgumentException with one sentence that names the fault and its place
      */
     public static Scenario read(Path file) {
         TomlParseResult toml;
@@ -43,13 +43,13 @@
         }
         for (String key : toml.keySet()) {
             if (!KNOWN.contains(key)) {
-                throw new IllegalArgumentException(file + ": '" + key + "' is no key; there are "
+                throw new IllegalArgumentException(file + ": '" + key + "' is not a known key; known keys: "
                         + String.join(", ", KNOWN.stream().sorted().toList()));
             }
         }
         TomlArray lines = toml.getArray("steps");
         if (lines == null || lines.isEmpty() || !lines.toList().stream().allMatch(String.class::isInstance)) {
-            throw new IllegalArgumentException(file + ": 'steps' is not a list of texts in quotes");
+            throw new IllegalArgumentException(file + ": 'steps' is not a list of strings");
         }
         List<String> steps = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
@@ -72,7 +72,7 @@
             return usual;
         }
         if (!(value instanceof Long number) || number < least || number > most) {
-            throw new IllegalArgumentException(file + ": '" + key + "' is " + value + "; right would be a whole number from "
+            throw new IllegalArgumentException(file + ": '" + key + "' is " + value + "; expected an integer from "
                     + least + " to " + most);
         }
         return (int) (long) number;
--- a/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
+++ b/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
@@ -22,20 +22,21 @@
 import pathlane.lab.Witness.What;
 
 /**
- * Plays one scenario on a {@link Rig}: starts the group, does its steps, makes everything well, lets all calls end, and
- * has the {@link Checker} judge. Steps wait for events, never for a time; a bound ends a run that hangs. Used once.
+ * Runs one scenario on a {@link Rig}: starts the group, executes the steps, clears all faults, ends all calls and checks
+ * the history with a {@link Checker}. Steps wait for events, never for a fixed time; a timeout ends a run that hangs. Used
+ * once.
  */
 public final class ScenarioRun {
 
     private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
     private static final long LOOK_MILLIS = 50;
-    /** Set-ups at once: fewer than a caller's connection may send. */
+    /** Requests per poll: fewer than a client's connection may send. */
     private static final int AT_ONCE = 25;
     private static final Duration PATIENCE = Duration.ofSeconds(6);
     private static final String CLASS = "status-check";
     private static final Pattern TAKEN_OVER = Pattern.compile("adopted=(\\d+)");
     private static final Pattern COVERED = Pattern.compile("lease_valid=true replicated=true members=\\d+ records=(\\d+) ");
-    /** Words for what may be counted. */
+    /** Event names in scenario steps that count events. */
     private static final Map<String, What> COUNTED = Map.of("answered", What.ANSWERED, "refused", What.REFUSED,
             "broken", What.BROKEN, "told", What.TOLD_OVER, "heard", What.HEARD_RELEASE, "reached", What.REACHED,
             "stood", What.STOOD, "given-up", What.GIVEN_UP, "ended", What.ENDED, "failed", What.FAILED);
@@ -44,7 +45,7 @@
     private final Rig rig;
     private final History history;
     private final Set<String> stopped = new HashSet<>();
-    /** Where the last step began that did something: awaits look from there. */
+    /** Index in the history at which the last action step began; await steps search from there. */
     private int from;
 
     private ScenarioRun(Scenario scenario, Rig rig) {
@@ -54,11 +55,11 @@
     }
 
     /**
-     * Plays it; empty where all rules were kept, else the first broken one with its trace, or the step that failed.
+     * Runs a scenario. Empty if all rules were kept, otherwise the first violation with its trace, or the step that failed.
      *
-     * @param home where the project was built
-     * @param folder for its files; empty
-     * @param seed decides the calls' ids and the controllers' draws
+     * @param home root of the built project
+     * @param folder empty folder for the run's files
+     * @param seed for call ids and the controllers' random draws
      */
     public static Optional<String> play(Scenario scenario, Path home, Path folder, long seed)
             throws IOException, InterruptedException {
@@ -71,7 +72,7 @@
                     at = step;
                     run.step(step);
                 }
-                at = "everything is made well";
+                at = "clearing all faults";
                 run.finish();
             } catch (IllegalStateException | IllegalArgumentException e) {
                 run.keepHistory(folder);
@@ -107,10 +108,10 @@
         }
         for (int tries = 0; !isOver(); tries++) {
             if (tries * LOOK_MILLIS > MOST_MILLIS) {
-                throw new IllegalStateException("calls are left: " + left());
+                throw new IllegalStateException("calls remain: " + left());
             }
             rig.onLoop(this::endSome);
-            Thread.sleep(LOOK_MILLIS);   // how often is looked; what is waited for is that nothing is left
+            Thread.sleep(LOOK_MILLIS);   // poll interval; the loop waits until no calls remain
         }
     }
 
@@ -121,7 +122,7 @@
 
     private String left() throws InterruptedException {
         return rig.ask(() -> {
-            StringBuilder text = new StringBuilder("callers have " + some(rig.caller().standing()) + " and wait for "
+            StringBuilder text = new StringBuilder("clients have " + some(rig.caller().standing()) + " and await answers for "
                     + rig.caller().open());
             rig.servers().forEach((name, server) -> text.append(", ").append(name).append(" has ")
                     .append(some(server.standing())));
@@ -133,7 +134,7 @@
         return calls.size() + calls.stream().limit(3).toList().toString();
     }
 
-    /** What stands on both sides is released by its caller or ended by its server, in turn. */
+    /** Ends calls that are established on both sides, alternately by a release of the client and an end by the server. */
     private void endSome() {
         for (String controller : rig.processes("n")) {
             rig.caller().connect(controller);
@@ -166,7 +167,7 @@
             case "expect" -> expect(words);
             case "ask" -> ask(number(words, 1), word(words, 3));
             case "stand" -> stand(number(words, 1), word(words, 3));
-            case "hold" -> Thread.sleep(number(words, 1));   // how long a fault lasts at the least
+            case "hold" -> Thread.sleep(number(words, 1));   // min duration of a fault
             case "again" -> again(word(words, 2));
             case "release" -> release(number(words, 1), words.length > 3 ? words[3] : "n1");
             case "end" -> end(number(words, 1), word(words, 3));
@@ -190,7 +191,7 @@
             case "delay" -> ways(words, (one, other) -> rig.faults().delay(one, other, Duration.ofMillis(number(words, 3))));
             case "throttle" -> ways(words, (one, other) -> rig.faults().throttle(one, other, number(words, 3)));
             case "server" -> server(word(words, 1), word(words, 2));
-            default -> throw new IllegalArgumentException("'" + words[0] + "' is no step");
+            default -> throw new IllegalArgumentException("'" + words[0] + "' is not a known step");
         }
     }
 
@@ -208,7 +209,7 @@
 
     private static String word(String[] words, int place) {
         if (words.length <= place) {
-            throw new IllegalArgumentException("a word is missing behind '" + String.join(" ", words) + "'");
+            throw new IllegalArgumentException("an argument is missing in '" + String.join(" ", words) + "'");
         }
         return words[place];
     }
@@ -217,11 +218,11 @@
         try {
             return Integer.parseInt(word(words, place));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'" + words[place] + "' is no whole number", e);
+            throw new IllegalArgumentException("'" + words[place] + "' is not an integer", e);
         }
     }
 
-    /** A name, or a word for several. */
+    /** Resolves a party name, a comma-separated list of names, or a keyword for a set of parties. */
     private List<String> names(String word) {
         return switch (word) {
             case "members" -> rig.processes("n");
@@ -267,9 +268,9 @@
     private void ask(int count, String controller) throws InterruptedException {
         for (int tries = 0; !rig.ask(() -> askNow(count, controller)); tries++) {
             if (tries * LOOK_MILLIS > MOST_MILLIS) {
-                throw new IllegalStateException("callers can't connect to " + controller);
+                throw new IllegalStateException("clients can't connect to " + controller);
             }
-            Thread.sleep(LOOK_MILLIS);   // its connection was closed as idle, and is dialled again
+            Thread.sleep(LOOK_MILLIS);   // its connection was closed as idle and is being reopened
         }
     }
 
@@ -280,7 +281,7 @@
         return rig.caller().isConnected(controller);
     }
 
-    /** Asks until so many more stand: what is refused is asked for again. */
+    /** Requests calls until this many more are established; refused ones are requested again. */
     private void stand(int count, String controller) throws InterruptedException {
         int wanted = rig.ask(() -> rig.caller().standing().size()) + count;
         for (int tries = 0; tries * LOOK_MILLIS < MOST_MILLIS; tries++) {
@@ -292,7 +293,7 @@
             }
             Thread.sleep(LOOK_MILLIS);
         }
-        throw new IllegalStateException("the calls do not come to stand: " + left());
+        throw new IllegalStateException("the calls are not established: " + left());
     }
 
     private void again(String controller) throws InterruptedException {
@@ -308,11 +309,11 @@
 
     private void release(int count, String controller) throws InterruptedException {
         rig.onLoop(() -> {
-            // What its server has ended is on its way, and what its caller released is: those would meet.
+            // Skips calls that their server has already ended: the release and the end would cross on the way.
             List<String> standing = rig.caller().standing().stream().filter(call -> rig.servers().values().stream()
                     .anyMatch(server -> server.standing().contains(call))).limit(count).toList();
             if (standing.size() < count) {
-                throw new IllegalStateException("only " + standing.size() + " calls stand");
+                throw new IllegalStateException("only " + standing.size() + " calls are established");
             }
             standing.forEach(call -> rig.caller().release(call, controller));
         });
@@ -321,13 +322,13 @@
     private void end(int count, String server) throws InterruptedException {
         SessionServer one = rig.servers().get(server);
         if (one == null) {
-            throw new IllegalArgumentException("'" + server + "' is no server; there are " + rig.servers().keySet());
+            throw new IllegalArgumentException("'" + server + "' is not a known server; known servers: " + rig.servers().keySet());
         }
         rig.onLoop(() -> {
             Set<String> known = rig.caller().standing();
             List<String> standing = one.standing().stream().filter(known::contains).limit(count).toList();
             if (standing.size() < count) {
-                throw new IllegalStateException("only " + standing.size() + " calls stand at " + server);
+                throw new IllegalStateException("only " + standing.size() + " calls are established at " + server);
             }
             standing.forEach(one::end);
         });
@@ -342,12 +343,12 @@
                 case "dies" -> one.die();
                 case "begins" -> one.start();
                 case "gone" -> rig.gone(name);
-                default -> throw new IllegalArgumentException("'" + what + "' is nothing that a server does");
+                default -> throw new IllegalArgumentException("'" + what + "' is not a known server action");
             }
         });
     }
 
-    // ---- waiting and looking
+    // ---- await and expect
 
     private void await(String[] words, String line) throws InterruptedException {
         switch (word(words, 1)) {
@@ -369,7 +370,7 @@
             case "taken-over" -> {
                 int calls = number(words, 2);
                 Map<String, Integer> each = new HashMap<>();
-                history.await(calls + " calls taken over", 0, 1, MOST_MILLIS, event -> takenOver(each, event) >= calls);
+                history.await(calls + " calls adopted", 0, 1, MOST_MILLIS, event -> takenOver(each, event) >= calls);
             }
             case "end" -> rig.process(word(words, 2)).awaitEnd();
             default -> {
@@ -387,11 +388,11 @@
         return each.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** What is counted, as in {@code heard} or {@code heard at s1}. */
+    /** Parses the events to count, such as {@code heard} or {@code heard at s1}. */
     private Predicate<History.Event> counted(String[] words, int place) {
         What what = COUNTED.get(word(words, place));
         if (what == null) {
-            throw new IllegalArgumentException("'" + words[place] + "' is nothing that is counted; there are "
+            throw new IllegalArgumentException("'" + words[place] + "' is not a known event; known events: "
                     + COUNTED.keySet().stream().sorted().toList());
         }
         Set<String> where = words.length > place + 2 ? new HashSet<>(names(words[place + 2])) : Set.of();
@@ -414,7 +415,7 @@
                 history.events().forEach(event -> takenOver(each, event));
                 int sum = each.values().stream().mapToInt(Integer::intValue).sum();
                 if (sum != number(words, 2)) {
-                    throw new IllegalStateException(String.format(Locale.ROOT, "%d calls were taken over, not %s: %s", sum,
+                    throw new IllegalStateException(String.format(Locale.ROOT, "%d calls were adopted, not %s: %s", sum,
                             words[2], each));
                 }
             }
--- a/lab/src/main/java/pathlane/lab/rig/ToldServers.java
+++ b/lab/src/main/java/pathlane/lab/rig/ToldServers.java
@@ -14,7 +14,7 @@
 import pathlane.lab.EventBus;
 import pathlane.transport.Protocol;
 
-/** The event bus and what it has told of each service's servers: what every watch client must end at. On the rig's loop. */
+/** The event bus and the servers it has published: the state that every watch client must reach. On the event loop. */
 final class ToldServers {
 
     private static final String HOST = "127.0.0.1";
@@ -26,19 +26,19 @@
     private final Set<Long> gone = new HashSet<>();
     private long lastId;
 
-    /** The services have the cells 0, 1, ... in their order. */
+    /** The services have the cells 0, 1, ... in this order. */
     ToldServers(RigLoop loop, List<String> services) {
         this.services = services;
         this.bus = new EventBus(loop, (follower, cell) -> FIRST_PORT + cell);
         services.forEach(service -> servers.put(service, new TreeMap<>()));
     }
 
-    /** The bus's side of a follower's connection. */
+    /** The event bus's side of a subscriber's connection. */
     Protocol accept(String follower) {
         return bus.accept(follower);
     }
 
-    /** So many new servers run for a service. Returns their ids. */
+    /** Publishes this many new servers of a service. Returns their ids. */
     List<Long> come(String service, int count) {
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -48,7 +48,7 @@
         return ids;
     }
 
-    /** Tells a server's state. */
+    /** Publishes a server's state. */
     void tell(long id, String service, ServerStatus mode) {
         int cell = services.indexOf(service);
         if (mode == ServerStatus.GONE) {
@@ -62,12 +62,12 @@
         bus.tell(id, cell, mode.ordinal(), 0);
     }
 
-    /** The servers that a service has by now, in ascending order of their ids. */
+    /** The current servers of a service, in ascending order of their ids. */
     List<ServerEndpoint> endpoints(String service) {
         return List.copyOf(servers.get(service).values());
     }
 
-    /** Whether the bus has told that this server is gone. */
+    /** Whether the event bus has published that this server is gone. */
     boolean hasGone(long id) {
         return gone.contains(id);
     }
--- a/lab/src/main/java/pathlane/lab/rig/WatchClients.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchClients.java
@@ -23,8 +23,8 @@
 import pathlane.transport.RateLimitedLog;
 
 /**
- * Real watch clients on the rig's loop, each with a {@link WatchWitness}; they reach publishers by the rig's {@link Relay}.
- * Waits for what they hold, which is looked at on the loop. Used from one thread.
+ * Real watch clients on the test bed's event loop, each with a {@link WatchWitness}; they reach publishers through its
+ * {@link Relay}. Waits for conditions on their state, which is read on the event loop. Used from one thread.
  */
 public final class WatchClients {
 
@@ -51,7 +51,7 @@
         this.random = random;
     }
 
-    /** Adds a client that may use these publishers. */
+    /** Adds a client of these publishers. */
     void add(ClientShape shape, List<PublisherAddress> publishers) {
         Map<InetSocketAddress, String> names = new HashMap<>();
         publishers.forEach(publisher -> names.put(publisher.address(), publisher.name()));
@@ -75,37 +75,37 @@
         loop.run(() -> clients.values().forEach(watching -> watching.client.start()));
     }
 
-    // ---- what they hold
+    // ---- state of the clients
 
-    /** The state that a client has of a service. */
+    /** A client's state of a service. */
     public Optional<ServiceState> state(String client, String service) throws InterruptedException {
         return loop.call(() -> clients.get(client).client.state(service));
     }
 
-    /** How many endpoints of a service a client has. */
+    /** The number of endpoints of a service at a client. */
     public int endpoints(String client, String service) throws InterruptedException {
         return state(client, service).map(state -> state.endpoints().size()).orElse(0);
     }
 
-    /** How many deltas a client has been sent. */
+    /** The number of deltas that a client has received. */
     public long deltas(String client) throws InterruptedException {
         return loop.call(() -> clients.get(client).client.counters().deltas());
     }
 
-    /** The rules that any client has seen broken so far. */
+    /** All violations that the clients have observed so far. */
     public List<String> broken() throws InterruptedException {
         return loop.call(() -> clients.values().stream().flatMap(watching -> watching.witness.broken().stream()).toList());
     }
 
     // ---- waiting
 
-    /** Waits until every one of these clients has exactly what the bus has told; with none named, until all have. */
+    /** Waits until these clients (all, if none is named) have exactly the servers that the event bus has published. */
     public void awaitAgreement(String... names) throws InterruptedException {
         List<String> who = names.length == 0 ? List.copyOf(clients.keySet()) : List.of(names);
         await("agreement of " + who, () -> who.stream().allMatch(name -> difference(clients.get(name)).isEmpty()));
     }
 
-    /** In what a client differs from what the bus has told. */
+    /** The difference between a client's state and the servers that the event bus has published. */
     private Optional<String> difference(Watching watching) {
         for (String service : watching.shape.services()) {
             List<ServerEndpoint> expected = told.endpoints(service);
@@ -124,26 +124,26 @@
         await(client + " at " + publisher, () -> clients.get(client).client.publisher().equals(Optional.of(publisher)));
     }
 
-    /** Waits until a client has heard that its publisher has lost its way to the source. */
+    /** Waits until a client is informed that its publisher has lost its connection to the source. */
     public void awaitStale(String client) throws InterruptedException {
-        await(client + " hears that it is stale", () -> clients.get(client).witness.status()
+        await(client + " is informed that it is stale", () -> clients.get(client).witness.status()
                 .filter(status -> !status.staleFor().isZero()).isPresent());
     }
 
-    /** Waits until a client has been sent so many more messages, whatever they say. */
+    /** Waits until a client has received this many more messages of any kind. */
     public void awaitMessages(String client, int more) throws InterruptedException {
         WatchClient one = clients.get(client).client;
         long wanted = loop.call(() -> one.counters().messagesReceived()) + more;
         await(more + " messages at " + client, () -> one.counters().messagesReceived() >= wanted);
     }
 
-    /** Waits until this holds on the loop. */
+    /** Waits until a condition, evaluated on the event loop, holds. */
     void await(String what, Callable<Boolean> holds) throws InterruptedException {
         for (int looks = 0; !loop.call(holds); looks++) {
             if (looks * LOOK_MILLIS > MOST_MILLIS) {
-                throw new IllegalStateException("never came: " + what + "; " + loop.call(this::differences));
+                throw new IllegalStateException("timed out waiting for " + what + "; " + loop.call(this::differences));
             }
-            Thread.sleep(LOOK_MILLIS);   // how often is looked; what is waited for is the event
+            Thread.sleep(LOOK_MILLIS);   // poll interval
         }
     }
 
--- a/lab/src/main/java/pathlane/lab/rig/WatchWitness.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchWitness.java
@@ -17,8 +17,8 @@
 import pathlane.discovery.WatchListener;
 
 /**
- * Judges what one watch client is told: no service's revision goes backwards, each state has its digest, and no endpoint is
- * taken away that the bus has not told to be gone. On the rig's loop.
+ * Checks the updates that one watch client receives: no service's revision goes backwards, each state matches its digest,
+ * and no endpoint is removed unless the event bus has published that it is gone. Runs on the test bed's event loop.
  */
 final class WatchWitness implements WatchListener {
 
@@ -29,18 +29,18 @@
     private final List<String> broken = new ArrayList<>();
     private Optional<PublisherStatus> status = Optional.empty();
 
-    /** {@code hasGone} says of an endpoint's id whether the bus has told that it is gone. */
+    /** {@code hasGone} returns whether the event bus has published that the endpoint with this id is gone. */
     WatchWitness(String client, LongPredicate hasGone) {
         this.client = client;
         this.hasGone = hasGone;
     }
 
-    /** The rules that were broken, in their order. */
+    /** The violations, in order of time. */
     List<String> broken() {
         return broken;
     }
 
-    /** What the publisher last said of itself; empty while none is connected. */
+    /** The last status of the connected publisher; empty while none is connected. */
     Optional<PublisherStatus> status() {
         return status;
     }
@@ -85,7 +85,7 @@
         }
         for (ServerEndpoint endpoint : before.endpoints()) {
             if (!kept.contains(endpoint.id()) && !hasGone.test(endpoint.id())) {
-                broken.add(client + ": endpoint " + endpoint.id() + " of " + before.service() + " was taken away at "
+                broken.add(client + ": endpoint " + endpoint.id() + " of " + before.service() + " was removed at "
                         + revision + " and is not gone");
             }
         }
--- a/lab/src/main/java/pathlane/lab/rig/package-info.java
+++ b/lab/src/main/java/pathlane/lab/rig/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Several processes of the real program on loopback, with a relay on every link between them: what is done to links and
- * processes, and scenarios that say it. Knows nothing of what the processes decide.
+ * Test bed with several processes of the real program on loopback and a relay on every link between them, for faults of
+ * links and processes, and the scenarios that script them. Independent of the processes' decision logic.
  */
 package pathlane.lab.rig;
--- a/lab/src/test/java/pathlane/lab/Schedule.java
+++ b/lab/src/test/java/pathlane/lab/Schedule.java
@@ -13,8 +13,9 @@
 import pathlane.lab.VirtualFleet.Controller;
 
 /**
- * One seeded schedule: calls come, stand and end while parts of a virtual fleet fail, one after the other and at once; then
- * all is made well, and judged. What a kill took the last copy of is lost by right, and left out of the judgement of ends.
+ * One seeded schedule: calls are requested, established and ended while parts of a virtual fleet fail, one after another and
+ * at the same time; then all faults are cleared and the history is checked. Calls whose last replica was lost in a kill may
+ * be lost, and are exempt from the rules about ends.
  */
 final class Schedule {
 
@@ -38,12 +39,12 @@
                 seed);
     }
 
-    /** Plays it; empty where all rules were kept. */
+    /** Runs the schedule; empty if all rules were kept, otherwise the violation. */
     Optional<String> play() {
         boolean ready =
                 fleet.until(Duration.ofSeconds(10), () -> fleet.up().stream().allMatch(one -> one.handover.isLeaseValid()));
         if (!ready) {
-            return Optional.of("the group did not come about");
+            return Optional.of("the group did not form");
         }
         fleet.controllers().forEach(one -> fleet.caller().connect(one.name));
         fleet.world().pass(20);
@@ -69,7 +70,7 @@
         }
     }
 
-    /** No two controllers may act on one call at one time, whatever they believe of the rest. */
+    /** No two controllers may act on one call at the same time. */
     private void checkLeases() {
         Map<String, String> acting = new HashMap<>();
         for (Controller one : fleet.up()) {
@@ -133,12 +134,12 @@
                 stopped.put(one.place, one);
             }
             case 3 -> {
-                did("cut " + one.name + " from the group");
+                did("isolate " + one.name + " from the group");
                 fleet.voters().forEach(each -> cut(one.name, each.name(), random.nextBoolean()));
                 fleet.controllers().forEach(each -> cut(one.name, each.name, random.nextBoolean()));
             }
             case 4 -> {
-                did("cut " + one.name + " and " + other.name);
+                did("block " + one.name + " and " + other.name);
                 cut(one.name, other.name, random.nextBoolean());
             }
             case 5 -> {
@@ -151,7 +152,7 @@
                 voter.kill();
             }
             case 7 -> {
-                did("cut voter " + voter.name());
+                did("isolate voter " + voter.name());
                 fleet.controllers().forEach(each -> cut(each.name, voter.name(), random.nextBoolean()));
             }
             default -> {
@@ -163,7 +164,7 @@
         }
     }
 
-    /** Kills one; calls of which nobody else knows as much are lost by right. */
+    /** Kills a controller; calls whose state no surviving record matches may be lost. */
     private void kill(Controller one) {
         Map<String, Integer> before = known();
         one.kill();
@@ -175,7 +176,7 @@
         });
     }
 
-    /** How far each call has come by the freshest record that is left of it. */
+    /** The progress of each call according to its most recent surviving record. */
     private Map<String, Integer> known() {
         Map<String, Integer> ranks = new HashMap<>();
         for (Controller one : fleet.up()) {
@@ -205,9 +206,9 @@
         }
     }
 
-    /** Everything comes back; what stands is ended by its caller or its server. */
+    /** Clears all faults, then ends every established call from its client or its server. */
     private void heal() {
-        did("all is made well");
+        did("all faults are cleared");
         List<String> parties = new ArrayList<>();
         fleet.controllers().forEach(one -> parties.add(one.name));
         fleet.voters().forEach(one -> parties.add(one.name()));
@@ -221,7 +222,7 @@
         pass(2000);
         fleet.until(Duration.ofSeconds(20), () -> fleet.up().stream().allMatch(one -> one.handover.isLeaseValid()
                 && one.handover.register().orphans().isEmpty()));
-        pass(4500);   // attempts that were out have ended, and those that nobody claims have been ended
+        pass(4500);   // in-flight attempts have completed, and unclaimed ones have been ended
         fleet.controllers().forEach(one -> fleet.caller().connect(one.name));
         pass(500);
         List<String> standing = new ArrayList<>(fleet.caller().standing());
--- a/lab/src/test/java/pathlane/lab/ScheduleTest.java
+++ b/lab/src/test/java/pathlane/lab/ScheduleTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded schedules of crashes, stalls, restarts, partitions and resets over a fleet in virtual time, with the rules as
- * invariants. A failing seed names itself: {@code -Dseed=N} plays it alone.
+ * Runs seeded schedules of crashes, stalls, restarts, partitions and resets over a fleet in virtual time and checks the
+ * invariants. Failures report their seed: {@code -Dseed=N} runs one alone.
  */
 class ScheduleTest {
 
--- a/lab/src/test/java/pathlane/lab/TakeoverTest.java
+++ b/lab/src/test/java/pathlane/lab/TakeoverTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** A succession from its beginning to its end, in virtual time with the real parts. */
+/** Takeover of a dead controller's calls, in virtual time with the real components. */
 class TakeoverTest {
 
     @BeforeAll
@@ -36,7 +36,7 @@
             fleet.world().pass(50);
         }
         int standing = fleet.caller().standing().size();
-        assertTrue(standing > 10, standing + " stand");
+        assertTrue(standing > 10, standing + " are established");
         long token = fleet.controllers().get(0).handover.token();
         fleet.voters().subList(0, 2).forEach(voter -> voter.time().stop());
         assertTrue(fleet.until(Duration.ofSeconds(10),
@@ -45,10 +45,10 @@
         fleet.voters().subList(0, 2).forEach(voter -> voter.time().goOn());
         assertTrue(
                 fleet.until(Duration.ofSeconds(20), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated())));
-        assertEquals(token, fleet.controllers().get(0).handover.token(), "its lease outlived the time without agreement");
+        assertEquals(token, fleet.controllers().get(0).handover.token(), "its lease survived the loss of the quorum");
         fleet.controllers().get(0).kill();
         assertTrue(fleet.until(Duration.ofSeconds(10), () -> fleet.up().stream().mapToLong(one -> one.handover.adopted())
-                .sum() == standing), "taken over: " + fleet.up().stream().mapToLong(one -> one.handover.adopted()).sum());
+                .sum() == standing), "adopted: " + fleet.up().stream().mapToLong(one -> one.handover.adopted()).sum());
     }
 
     @Test
@@ -80,12 +80,12 @@
         for (int millis = 0; millis < 20_000; millis += 100) {
             fleet.world().pass(100);
             long now = fleet.up().stream().mapToLong(one -> one.handover.adopted()).sum();
-            assertTrue(now - before <= 3 * 11, (now - before) + " calls in 100 ms by three, each at 100 a second");
+            assertTrue(now - before <= 3 * 11, (now - before) + " calls in 100 ms by three, each limited to 100 a second");
             before = now;
         }
-        // Three copies of each, and seven of ten die: where all of a slot's keepers died, its calls are lost with them.
-        assertTrue(before > theirs / 2 && before <= theirs, before + " of " + theirs + " were taken over, " + standing
-                + " stand in all");
+        // Three replicas of each record, and seven of ten die: a shard's calls are lost if all its replica holders died.
+        assertTrue(before > theirs / 2 && before <= theirs, before + " of " + theirs + " were adopted, " + standing
+                + " established in total");
         for (VirtualFleet.Controller one : fleet.up()) {
             for (int server = 1; server <= 2; server++) {
                 assertTrue(fleet.faults().open(one.name, "s" + server) <= 4, "connections from " + one.name);
--- a/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
+++ b/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
@@ -21,9 +21,10 @@
 import pathlane.lab.rig.DiscoveryRig.Shape;
 
 /**
- * Discovery with real processes and faults between them. Each scenario waits for events, never for a time; at its end every
- * client must hold what the bus has told, digest for digest, and must have seen no revision go backwards and no endpoint
- * taken away that is not gone. {@code -Dscenario=NAME} plays one alone, {@code -Dseed=N} with another seed.
+ * Discovery with real processes and faults between them. Each scenario waits for events, never for a fixed time; at its end
+ * every client must have the endpoints that the event bus has published, with the same digests, and must have seen no
+ * revision go backwards and no endpoint removed that is not gone. {@code -Dscenario=NAME} runs one scenario alone,
+ * {@code -Dseed=N} uses another seed.
  */
 class DiscoveryScenarioTest {
 
@@ -32,16 +33,16 @@
     private static final String PAYMENTS = "payments";
     private static final List<String> SERVICES = List.of(ACCOUNTS, PAYMENTS);
     private static final String BRISK = "bookmark-ms = 100\n";
-    /** So little that a subscriber which reads slowly is behind at once. */
+    /** So small that a subscriber that reads slowly falls behind immediately. */
     private static final String SMALL_WINDOW = BRISK + "unacknowledged-bytes = 4096\nupdate-bytes = 4096\n";
 
-    /** What a publisher sends to a client that connects, finds it empty and leaves, a few times over. */
+    /** Bytes that a publisher without data sends to a client over a few connections, each of which the client closes. */
     private static final long SOME_TRIES = 600;
 
     @TempDir
     Path folder;
 
-    /** What is done to a rig that has started. */
+    /** The steps on a started test bed. */
     private interface Story {
         void play(DiscoveryRig rig) throws InterruptedException;
     }
@@ -56,7 +57,7 @@
         return new RelayShape(name, zone, region, List.of(upstreams));
     }
 
-    /** Two relays in two zones of a region, and three clients in each zone that may use both. */
+    /** Two relays in two zones of one region, and three clients in each zone that may use both. */
     private static Shape twoRelays(String limits) {
         List<ClientShape> clients = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
@@ -66,7 +67,7 @@
         return new Shape(SERVICES, List.of(relay("ra", "za", "r", "s"), relay("rb", "zb", "r", "s")), clients, limits);
     }
 
-    /** A region with a relay of its own below the first region's. */
+    /** A second region whose relay subscribes to the relay of the first. */
     private static Shape twoRegions() {
         return new Shape(SERVICES, List.of(relay("ra", "za", "near", "s"), relay("rf", "zf", "far", "ra")),
                 List.of(client("a1", "za", "near", "ra"), client("f1", "zf", "far", "rf"), client("f2", "zf", "far", "rf")),
@@ -74,7 +75,7 @@
     }
 
     private static final Map<String, Scenario> SCENARIOS = new TreeMap<>(Map.of(
-            "a relay is killed, and comes back", new Scenario(twoRelays(BRISK), rig -> {
+            "a relay is killed and restarts", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.clients().awaitPublisher("a1", "ra");
@@ -87,7 +88,7 @@
                 rig.serversCome(PAYMENTS, 3);
                 rig.clients().awaitPublisher("a1", "ra");
             }),
-            "a relay is stalled, and goes on", new Scenario(twoRelays(BRISK), rig -> {
+            "a relay is stopped and resumes", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.clients().awaitPublisher("a1", "ra");
@@ -110,7 +111,7 @@
                 rig.awaitLog("ra", "publisher s is lost: SILENT", from);
                 rig.clients().awaitAgreement("a1", "a2", "a3", "b1");
             }),
-            "the source is started anew", new Scenario(twoRelays(BRISK), rig -> {
+            "the source restarts", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.kill("s");
@@ -121,7 +122,7 @@
                 rig.clients().awaitAgreement();
                 assertEquals(2, rig.clients().state("a1", ACCOUNTS).orElseThrow().revision().epoch());
             }),
-            "the source is started anew before its bus can be reached", new Scenario(twoRelays(BRISK), rig -> {
+            "the source restarts before its event bus is reachable", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.kill("s");
@@ -135,7 +136,7 @@
                 rig.serversGo(ACCOUNTS, servers.subList(0, 15));
                 rig.restore("s", "bus");
             }),
-            "a region is cut off, and comes back", new Scenario(twoRegions(), rig -> {
+            "a region is partitioned and reconnects", new Scenario(twoRegions(), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.cut("rf", "ra");
@@ -162,7 +163,7 @@
                 rig.clients().awaitAgreement();
                 long slow = rig.clients().deltas("a1") - slowBefore;
                 long prompt = rig.clients().deltas("a2") - promptBefore;
-                assertTrue(slow * 2 <= prompt, slow + " deltas went to the slow one, " + prompt + " to the prompt one");
+                assertTrue(slow * 2 <= prompt, slow + " deltas were sent to the slow client, " + prompt + " to the prompt one");
             }),
             "a relay starts empty", new Scenario(twoRelays(BRISK), rig -> {
                 List<Long> servers = rig.serversCome(ACCOUNTS, 20);
@@ -184,7 +185,7 @@
         long seed = Long.getLong("seed", 1);
         Map<String, Scenario> chosen = new TreeMap<>(SCENARIOS);
         chosen.keySet().removeIf(name -> !name.startsWith(only));
-        assertTrue(!chosen.isEmpty(), "no scenario is called " + only);
+        assertTrue(!chosen.isEmpty(), "no scenario is named " + only);
         Map<String, String> broken = new ConcurrentSkipListMap<>();
         ExecutorService players = Executors.newFixedThreadPool(AT_ONCE);
         List<Future<?>> plays = new ArrayList<>();
--- a/lab/src/test/java/pathlane/lab/rig/ScenarioTest.java
+++ b/lab/src/test/java/pathlane/lab/rig/ScenarioTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Each scenario of lab/scenarios with processes of the built jars: {@code -Dscenario=NAME} plays one alone,
- * {@code -Dseed=N} with another seed.
+ * Runs the scenarios of lab/scenarios with processes of the built jars: {@code -Dscenario=PREFIX} selects those whose file
+ * names begin so, {@code -Dseed=N} uses another seed.
  */
 class ScenarioTest {
 
@@ -39,7 +39,7 @@
         try (Stream<Path> all = Files.list(Path.of("scenarios"))) {
             files = all.filter(file -> file.getFileName().toString().startsWith(only)).sorted().toList();
         }
-        assertTrue(!files.isEmpty(), "no scenario is called " + only);
+        assertTrue(!files.isEmpty(), "no scenario is named " + only);
         Map<String, String> broken = new ConcurrentSkipListMap<>();
         ExecutorService players = Executors.newFixedThreadPool(AT_ONCE);
         List<Future<?>> plays = new ArrayList<>();
@@ -63,7 +63,7 @@
         Path file = folder.resolve("bad.toml");
         Files.writeString(file, "controlers = 3\nsteps = [\"kill n1\"]\n");
         assertTrue(assertThrows(IllegalArgumentException.class, () -> Scenario.read(file)).getMessage()
-                .contains("'controlers' is no key"));
+                .contains("'controlers' is not a known key"));
         Files.writeString(file, "controllers = 0\nsteps = [\"kill n1\"]\n");
         assertTrue(assertThrows(IllegalArgumentException.class, () -> Scenario.read(file)).getMessage()
                 .contains("from 1 to 64"));
