--- a/lab/src/main/java/pathlane/lab/Checker.java
+++ b/lab/src/main/java/pathlane/lab/Checker.java
@@ -25,128 +25,132 @@
      *
      * @param trace the call's events up to the violation
      */
-    public record Broken(String rule, String what, List<Event> trace) {
+    public record Violation(String rule, String description, List<Event> trace) {
 
         @Override
         public String toString() {
-            StringBuilder text = new StringBuilder(rule).append(": ").append(what);
+            StringBuilder text = new StringBuilder(rule).append(": ").append(description);
             trace.forEach(event -> text.append("\n    ").append(event));
             return text.toString();
         }
     }
 
-    private static final String END_FINDS = "an end reaches its client";
-    private static final String LEFT = "no established call is left over";
-    private static final Set<String> ENDS = Set.of(END_FINDS, LEFT);
-    private static final long MILLI = 1_000_000;
-    private static final long GAP = 200 * MILLI;
-    private static final long DRAIN = 1_050 * MILLI;
+    private static final String END_NOTIFIED = "an end reaches its client";
+    private static final String NONE_LEFT_OVER = "no established call is left over";
+    private static final Set<String> END_RULES = Set.of(END_NOTIFIED, NONE_LEFT_OVER);
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long MIN_RETRY_GAP_NANOS = 200 * NANOS_PER_MILLI;
+    private static final long MAX_DRAIN_DELAY_NANOS = 1_050 * NANOS_PER_MILLI;
 
     private final Map<String, List<Event>> byCall = new LinkedHashMap<>();
-    private final Map<String, Long> drainTold = new HashMap<>();
-    private final List<Broken> broken = new ArrayList<>();
-    private final boolean ended;
-    private final long slack;
+    private final Map<String, Long> drainAnnouncedAt = new HashMap<>();
+    private final List<Violation> violations = new ArrayList<>();
+    private final boolean isComplete;
+    private final long toleranceNanos;
 
     /** {@code ended}: the history is complete, so an event that is missing never happened. */
-    public Checker(List<Event> history, boolean ended) {
-        this(history, ended, Duration.ZERO);
+    public Checker(List<Event> history, boolean isComplete) {
+        this(history, isComplete, Duration.ZERO);
     }
 
     /** {@code slack}: max error of the history's timestamps, caused by stalls of the process that recorded them. */
-    public Checker(List<Event> history, boolean ended, Duration slack) {
-        this.ended = ended;
-        this.slack = slack.toNanos();
+    public Checker(List<Event> history, boolean isComplete, Duration tolerance) {
+        this.isComplete = isComplete;
+        this.toleranceNanos = tolerance.toNanos();
         for (Event event : history) {
             if (event.what() == What.DRAIN_TOLD) {
-                drainTold.putIfAbsent(event.who(), event.atNanos());
+                drainAnnouncedAt.putIfAbsent(event.who(), event.atNanos());
             }
             if (!event.call().isEmpty()) {
                 byCall.computeIfAbsent(event.call(), call -> new ArrayList<>()).add(event);
             }
         }
-        byCall.forEach(this::judge);
-        broken.sort(java.util.Comparator.comparingLong(one -> one.trace.get(one.trace.size() - 1).atNanos()));
+        byCall.forEach(this::checkCall);
+        violations.sort(java.util.Comparator.comparingLong(one -> one.trace.get(one.trace.size() - 1).atNanos()));
     }
 
     /** Ignores missing ends of these calls: no replica of their records survived. */
-    public Checker without(Set<String> lost) {
-        broken.removeIf(one -> ENDS.contains(one.rule) && lost.contains(one.trace.get(0).call()));
+    public Checker excludingEndsOf(Set<String> lost) {
+        violations.removeIf(one -> END_RULES.contains(one.rule) && lost.contains(one.trace.get(0).call()));
         return this;
     }
 
     /** All violations, in order of time. */
-    public List<Broken> broken() {
-        return broken;
+    public List<Violation> violations() {
+        return violations;
     }
 
     /** The first violation. */
-    public Optional<Broken> first() {
-        return broken.stream().findFirst();
+    public Optional<Violation> firstViolation() {
+        return violations.stream().findFirst();
     }
 
-    private void judge(String call, List<Event> events) {
-        Set<String> out = new HashSet<>();
-        Set<String> standsAt = new HashSet<>();
+    private void checkCall(String call, List<Event> events) {
+        Set<String> inFlightAt = new HashSet<>();
+        Set<String> establishedAt = new HashSet<>();
         long lostAt = Long.MIN_VALUE;
-        int answers = 0;
-        int told = 0;
-        boolean asked = false;
-        boolean callerHasIt = false;
-        boolean callerLeft = false;
+        int answerCount = 0;
+        int notifications = 0;
+        boolean isRequested = false;
+        boolean clientHasCall = false;
+        boolean clientDisconnected = false;
         for (Event event : events) {
             switch (event.what()) {
-                case ASKED -> asked = true;
+                case ASKED -> isRequested = true;
                 case REACHED -> {
-                    forgetLate(events, event, out);
-                    forgetLate(events, event, standsAt);
-                    if (!out.isEmpty() || !standsAt.isEmpty()) {
-                        fail("one attempt at a time", call + " reached " + event.who() + " while it was at " + out
-                                + standsAt, events, event);
+                    discardLateEnds(events, event, inFlightAt);
+                    discardLateEnds(events, event, establishedAt);
+                    if (!inFlightAt.isEmpty() || !establishedAt.isEmpty()) {
+                        addViolation("one attempt at a time",
+                                call + " reached " + event.who() + " while it was at " + inFlightAt
+                                        + establishedAt,
+                                events, event);
                     }
-                    if (lostAt != Long.MIN_VALUE && event.atNanos() - lostAt < GAP - slack) {
-                        fail("200 ms after a lost attempt", call + " reached " + event.who() + " "
-                                + (event.atNanos() - lostAt) / MILLI + " ms after", events, event);
+                    if (lostAt != Long.MIN_VALUE && event.atNanos() - lostAt < MIN_RETRY_GAP_NANOS - toleranceNanos) {
+                        addViolation("200 ms after a lost attempt", call + " reached " + event.who() + " "
+                                + (event.atNanos() - lostAt) / NANOS_PER_MILLI + " ms after", events, event);
                     }
-                    Long drain = drainTold.get(event.who());
-                    if (drain != null && event.atNanos() - drain > DRAIN + slack) {
-                        fail("nothing new to a server that drains", call + " reached " + event.who() + " "
-                                + (event.atNanos() - drain) / MILLI + " ms after its drain was announced", events, event);
+                    Long announcedAt = drainAnnouncedAt.get(event.who());
+                    if (announcedAt != null && event.atNanos() - announcedAt > MAX_DRAIN_DELAY_NANOS + toleranceNanos) {
+                        addViolation("nothing new to a server that drains", call + " reached " + event.who() + " "
+                                + (event.atNanos() - announcedAt) / NANOS_PER_MILLI + " ms after its drain was announced",
+                                events, event);
                     }
-                    out.add(event.who());
+                    inFlightAt.add(event.who());
                 }
                 case STOOD -> {
-                    out.remove(event.who());
-                    standsAt.add(event.who());
+                    inFlightAt.remove(event.who());
+                    establishedAt.add(event.who());
                 }
-                case TURNED_AWAY -> out.remove(event.who());
+                case TURNED_AWAY -> inFlightAt.remove(event.who());
                 case GIVEN_UP -> {
-                    if (out.remove(event.who())) {
+                    if (inFlightAt.remove(event.who())) {
                         lostAt = event.atNanos();
                     }
                 }
-                case ENDED, HEARD_RELEASE -> standsAt.remove(event.who());
+                case ENDED, HEARD_RELEASE -> establishedAt.remove(event.who());
                 case GONE -> {}
                 case ANSWERED, REFUSED, FAILED -> {
-                    if (++answers > 1) {
-                        fail("one final answer", call + " was answered again", events, event);
+                    if (++answerCount > 1) {
+                        addViolation("one final answer", call + " was answered again", events, event);
                     }
-                    callerHasIt = event.what() == What.ANSWERED;
+                    clientHasCall = event.what() == What.ANSWERED;
                 }
-                case BROKEN -> callerLeft = true;
+                case BROKEN -> clientDisconnected = true;
                 case RELEASED -> {
-                    callerHasIt = false;
-                    told++;
+                    clientHasCall = false;
+                    notifications++;
                 }
                 case TOLD_OVER -> {
-                    callerHasIt = false;
-                    told++;
+                    clientHasCall = false;
+                    notifications++;
                 }
                 default -> {}
             }
         }
-        if (ended) {
-            judgeEnd(call, events, new End(asked, answers, told, callerHasIt, callerLeft, standsAt));
+        if (isComplete) {
+            checkFinalState(call, events, new FinalState(isRequested, answerCount, notifications, clientHasCall,
+                    clientDisconnected, establishedAt));
         }
     }
 
@@ -154,29 +158,32 @@
      * Tolerates ends that were recorded late: an attempt whose end is recorded after the next one's start may have ended in
      * time if the recording process stalled for that long.
      */
-    private void forgetLate(List<Event> events, Event begins, Set<String> at) {
-        at.removeIf(server -> events.stream().anyMatch(event -> event.who().equals(server)
+    private void discardLateEnds(List<Event> events, Event start, Set<String> servers) {
+        servers.removeIf(server -> events.stream().anyMatch(event -> event.who().equals(server)
                 && (event.what() == What.GIVEN_UP || event.what() == What.HEARD_RELEASE)
-                && event.atNanos() >= begins.atNanos() && event.atNanos() - begins.atNanos() <= slack - GAP));
+                && event.atNanos() >= start.atNanos()
+                && event.atNanos() - start.atNanos() <= toleranceNanos - MIN_RETRY_GAP_NANOS));
     }
 
-    private record End(boolean asked, int answers, int told, boolean callerHasIt, boolean callerLeft,
-            Set<String> standsAt) {}
+    private record FinalState(boolean isRequested, int answerCount, int notifications, boolean clientHasCall,
+            boolean clientDisconnected,
+            Set<String> establishedAt) {}
 
-    private void judgeEnd(String call, List<Event> events, End end) {
+    private void checkFinalState(String call, List<Event> events, FinalState end) {
         Event last = events.get(events.size() - 1);
-        if (end.asked && end.answers == 0 && !end.callerLeft) {
-            fail("one final answer", call + " was never answered", events, last);
+        if (end.isRequested && end.answerCount == 0 && !end.clientDisconnected) {
+            addViolation("one final answer", call + " was never answered", events, last);
         }
-        if (end.callerHasIt && end.standsAt.isEmpty()) {
-            fail(END_FINDS, call + " has ended, and its client was not notified", events, last);
+        if (end.clientHasCall && end.establishedAt.isEmpty()) {
+            addViolation(END_NOTIFIED, call + " has ended, and its client was not notified", events, last);
         }
-        if (!end.standsAt.isEmpty() && !end.callerHasIt) {
-            fail(LEFT, call + " is still established at " + end.standsAt + " without a client", events, last);
+        if (!end.establishedAt.isEmpty() && !end.clientHasCall) {
+            addViolation(NONE_LEFT_OVER, call + " is still established at " + end.establishedAt + " without a client",
+                    events, last);
         }
     }
 
-    private void fail(String rule, String what, List<Event> events, Event at) {
-        broken.add(new Broken(rule, what, List.copyOf(events.subList(0, events.indexOf(at) + 1))));
+    private void addViolation(String rule, String what, List<Event> events, Event last) {
+        violations.add(new Violation(rule, what, List.copyOf(events.subList(0, events.indexOf(last) + 1))));
     }
 }
--- a/lab/src/main/java/pathlane/lab/Faults.java
+++ b/lab/src/main/java/pathlane/lab/Faults.java
@@ -13,24 +13,24 @@
 public final class Faults {
 
     /** The faults of one direction between two parties, for all connections and datagrams. */
-    static final class Way {
+    static final class Direction {
         Duration delay = Duration.ZERO;
-        boolean cut;
+        boolean isBlocked;
         /** Bytes per second; 0 for unlimited. */
-        long throttle;
+        long bytesPerSecond;
         /** Fractions of the datagrams that are lost and duplicated. */
-        double lost;
-        double twice;
+        double lossRate;
+        double duplicationRate;
         /** Bytes written in this direction so far. */
-        long bytes;
+        long bytesWritten;
         final List<Runnable> onRestored = new ArrayList<>();
     }
 
-    private final Map<String, Way> ways = new HashMap<>();
+    private final Map<String, Direction> directions = new HashMap<>();
     private final List<Path> paths = new ArrayList<>();
 
-    Way way(String from, String to) {
-        return ways.computeIfAbsent(from + ">" + to, any -> new Way());
+    Direction direction(String from, String to) {
+        return directions.computeIfAbsent(from + ">" + to, any -> new Direction());
     }
 
     void opened(Path path) {
@@ -43,18 +43,18 @@
 
     /** Bytes written so far from all parties whose names begin with one prefix to those whose names begin with the other. */
     public long bytes(String from, String to) {
-        return ways.entrySet().stream().filter(one -> one.getKey().startsWith(from) && one.getKey().contains(">" + to))
-                .mapToLong(one -> one.getValue().bytes).sum();
+        return directions.entrySet().stream().filter(one -> one.getKey().startsWith(from) && one.getKey().contains(">" + to))
+                .mapToLong(one -> one.getValue().bytesWritten).sum();
     }
 
     /** Whether this direction is blocked. */
     public boolean isCut(String from, String to) {
-        return way(from, to).cut;
+        return direction(from, to).isBlocked;
     }
 
     /** Blocks this direction; as with TCP, written bytes are held until it is restored or the connection is closed. */
     public void cut(String from, String to) {
-        way(from, to).cut = true;
+        direction(from, to).isBlocked = true;
     }
 
     /** Blocks both directions. */
@@ -65,76 +65,76 @@
 
     /** Unblocks this direction and delivers the held bytes. */
     public void restore(String from, String to) {
-        Way way = way(from, to);
-        way.cut = false;
-        List<Runnable> waiting = List.copyOf(way.onRestored);
-        way.onRestored.clear();
+        Direction direction = direction(from, to);
+        direction.isBlocked = false;
+        List<Runnable> waiting = List.copyOf(direction.onRestored);
+        direction.onRestored.clear();
         waiting.forEach(Runnable::run);
     }
 
     /** Clears all faults. */
     public void restoreAll() {
-        List<Way> all = List.copyOf(ways.values());
-        for (Way way : all) {
-            way.cut = false;
-            way.delay = Duration.ZERO;
-            way.throttle = 0;
-            way.lost = 0;
-            way.twice = 0;
+        List<Direction> all = List.copyOf(directions.values());
+        for (Direction direction : all) {
+            direction.isBlocked = false;
+            direction.delay = Duration.ZERO;
+            direction.bytesPerSecond = 0;
+            direction.lossRate = 0;
+            direction.duplicationRate = 0;
         }
-        for (Way way : all) {
-            List<Runnable> waiting = List.copyOf(way.onRestored);
-            way.onRestored.clear();
+        for (Direction direction : all) {
+            List<Runnable> waiting = List.copyOf(direction.onRestored);
+            direction.onRestored.clear();
             waiting.forEach(Runnable::run);
         }
     }
 
     /** Adds latency in this direction. */
     public void delay(String from, String to, Duration delay) {
-        way(from, to).delay = delay;
+        direction(from, to).delay = delay;
     }
 
     /** Limits each connection to this many bytes per second in this direction; 0 for unlimited. */
-    public void throttle(String from, String to, long bytesEachSecond) {
-        way(from, to).throttle = bytesEachSecond;
+    public void throttle(String from, String to, long bytesPerSecond) {
+        direction(from, to).bytesPerSecond = bytesPerSecond;
     }
 
     /** Sets the fractions of datagrams, from 0 to 1, that are lost and duplicated. Connections lose nothing. */
-    public void datagrams(String from, String to, double lost, double twice) {
-        way(from, to).lost = lost;
-        way(from, to).twice = twice;
+    public void setDatagramFaults(String from, String to, double lossRate, double duplicationRate) {
+        direction(from, to).lossRate = lossRate;
+        direction(from, to).duplicationRate = duplicationRate;
     }
 
     /** How many copies of a datagram sent now are delivered: none, one or two. */
-    public int copies(String from, String to, SplittableRandom random) {
-        Way way = way(from, to);
-        boolean lost = random.nextDouble() < way.lost;
-        boolean twice = random.nextDouble() < way.twice;
-        return way.cut || lost ? 0 : twice ? 2 : 1;
+    public int deliveredCopies(String from, String to, SplittableRandom random) {
+        Direction direction = direction(from, to);
+        boolean isLost = random.nextDouble() < direction.lossRate;
+        boolean isDuplicated = random.nextDouble() < direction.duplicationRate;
+        return direction.isBlocked || isLost ? 0 : isDuplicated ? 2 : 1;
     }
 
     /** The added latency of this direction. */
-    public Duration delayed(String from, String to) {
-        return way(from, to).delay;
+    public Duration addedDelay(String from, String to) {
+        return direction(from, to).delay;
     }
 
     /** Resets all connections between the two parties. */
     public void reset(String one, String other) {
-        List.copyOf(paths).stream().filter(path -> path.joins(one, other)).forEach(Path::reset);
+        List.copyOf(paths).stream().filter(path -> path.connects(one, other)).forEach(Path::reset);
     }
 
     /** Leaves each connection between the two half open: one side sees it closed, the other does not. */
-    public void halfClose(String told, String other) {
-        List.copyOf(paths).stream().filter(path -> path.joins(told, other)).forEach(path -> path.halfClose(told));
+    public void halfClose(String notified, String other) {
+        List.copyOf(paths).stream().filter(path -> path.connects(notified, other)).forEach(path -> path.halfClose(notified));
     }
 
     /** A party's process has died: the peers of its connections see them closed. */
     public void gone(String party) {
-        List.copyOf(paths).stream().filter(path -> path.isOf(party)).forEach(path -> path.gone(party));
+        List.copyOf(paths).stream().filter(path -> path.involves(party)).forEach(path -> path.processDied(party));
     }
 
     /** The number of open connections between two parties. */
-    public int open(String one, String other) {
-        return (int) paths.stream().filter(path -> path.joins(one, other)).count();
+    public int openConnections(String one, String other) {
+        return (int) paths.stream().filter(path -> path.connects(one, other)).count();
     }
 }
--- a/lab/src/main/java/pathlane/lab/FleetConfig.java
+++ b/lab/src/main/java/pathlane/lab/FleetConfig.java
@@ -17,9 +17,9 @@
      */
     public static String text(String name, int listenPort, int servers, IntUnaryOperator serverPort, int busPort,
             int controllers, long seed) {
-        String hosts = IntStream.range(0, servers).mapToObj(place -> String.format("{\"host\":\"s-%08x\","
+        String hosts = IntStream.range(0, servers).mapToObj(index -> String.format("{\"host\":\"s-%08x\","
                 + "\"dial\":\"127.0.0.1:%d\",\"site\":\"here\",\"class\":\"std\",\"block\":%d,\"health\":\"SERVING\","
-                + "\"share\":1,\"born_ms\":0}", place + 1, serverPort.applyAsInt(place), place))
+                + "\"share\":1,\"born_ms\":0}", index + 1, serverPort.applyAsInt(index), index))
                 .collect(Collectors.joining(","));
         return "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:" + listenPort + "\",\"seed\":\"" + Long.toHexString(seed)
                 + "\"," + (busPort == 0 ? "" : "\"bus\":\"127.0.0.1:" + busPort + "\",")
--- a/lab/src/main/java/pathlane/lab/Folders.java
+++ b/lab/src/main/java/pathlane/lab/Folders.java
@@ -18,8 +18,8 @@
         try (Stream<Path> walk = Files.walk(folder)) {
             all = walk.sorted(Comparator.reverseOrder()).toList();
         }
-        for (Path one : all) {
-            Files.delete(one);
+        for (Path path : all) {
+            Files.delete(path);
         }
     }
 }
--- a/lab/src/main/java/pathlane/lab/History.java
+++ b/lab/src/main/java/pathlane/lab/History.java
@@ -60,20 +60,20 @@
      *
      * @throws IllegalStateException if the timeout expires first
      */
-    public synchronized void await(String wanted, int from, int count, long mostMillis, Predicate<Event> like)
+    public synchronized void await(String description, int from, int count, long timeoutMillis, Predicate<Event> matches)
             throws InterruptedException {
-        long until = System.nanoTime() + mostMillis * 1_000_000;
+        long deadline = System.nanoTime() + timeoutMillis * 1_000_000;
         int seen = 0;
-        int at = from;
+        int index = from;
         while (true) {
-            for (; at < events.size(); at++) {
-                if (like.test(events.get(at)) && ++seen >= count) {
+            for (; index < events.size(); index++) {
+                if (matches.test(events.get(index)) && ++seen >= count) {
                     return;
                 }
             }
-            long left = (until - System.nanoTime()) / 1_000_000;
+            long left = (deadline - System.nanoTime()) / 1_000_000;
             if (left <= 0) {
-                throw new IllegalStateException("waited for " + wanted + ": " + seen + " of " + count + " events seen");
+                throw new IllegalStateException("waited for " + description + ": " + seen + " of " + count + " events seen");
             }
             wait(left);
         }
--- a/lab/src/main/java/pathlane/lab/LabMain.java
+++ b/lab/src/main/java/pathlane/lab/LabMain.java
@@ -49,24 +49,25 @@
         private long seed;
 
         @Option(names = "--home", defaultValue = ".", description = "root of the built project; ${DEFAULT-VALUE}")
-        private Path home;
+        private Path projectRoot;
 
         @Option(names = "--keep", description = "an empty folder to keep files and logs in; otherwise a temporary one")
-        private Path keep;
+        private Path keptFolder;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
             Scenario scenario = Scenario.read(file);
-            Path folder = keep == null ? Files.createTempDirectory("pathlane-lab") : Files.createDirectories(keep);
-            Optional<String> broken = ScenarioRun.play(scenario, home, folder, seed);
-            System.out.println(scenario.title() + ", seed " + seed + ": " + (broken.isEmpty() ? "kept" : "BROKEN"));
-            broken.ifPresent(System.out::println);
-            if (keep == null && broken.isEmpty()) {
+            Path folder =
+                    keptFolder == null ? Files.createTempDirectory("pathlane-lab") : Files.createDirectories(keptFolder);
+            Optional<String> violation = ScenarioRun.run(scenario, projectRoot, folder, seed);
+            System.out.println(scenario.title() + ", seed " + seed + ": " + (violation.isEmpty() ? "kept" : "BROKEN"));
+            violation.ifPresent(System.out::println);
+            if (keptFolder == null && violation.isEmpty()) {
                 Folders.delete(folder);
             } else {
                 System.out.println("logs are in " + folder);
             }
-            return broken.isEmpty() ? 0 : 1;
+            return violation.isEmpty() ? 0 : 1;
         }
     }
 
@@ -76,7 +77,7 @@
     static final class Takeover implements Runnable {
 
         @Option(names = "--home", defaultValue = ".", description = "root of the built project; ${DEFAULT-VALUE}")
-        private Path home;
+        private Path projectRoot;
 
         @Option(names = "--runs", defaultValue = "10", description = "number of runs; ${DEFAULT-VALUE}")
         private int runs;
@@ -91,8 +92,8 @@
                 @Option(names = "--calls", defaultValue = "1000") int calls,
                 @Option(names = "--virtual", description = "in virtual time, on one thread") boolean virtual)
                 throws IOException, InterruptedException {
-            Histogram times = virtual ? VirtualTakeover.owned(controllers, calls, runs)
-                    : new ProcessTakeover(home).owned(controllers, calls, runs);
+            Histogram times = virtual ? VirtualTakeover.measureAdoption(controllers, calls, runs)
+                    : new ProcessTakeover(projectRoot).measureAdoption(controllers, calls, runs);
             System.out.printf("%d controllers, %d calls, %d runs%s: median %d ms, p99 %d ms, most %d ms%n",
                     controllers, calls, runs, virtual ? " in virtual time" : "",
                     times.getValueAtPercentile(50), times.getValueAtPercentile(99), times.getMaxValue());
@@ -102,8 +103,8 @@
                 + "without.")
         void herd(@Option(names = "--calls", defaultValue = "100") int calls) throws IOException, InterruptedException {
             for (int run = 1; run <= runs; run++) {
-                System.out.println("with    " + new ProcessTakeover(home).herd(calls, true, run));
-                System.out.println("without " + new ProcessTakeover(home).herd(calls, false, run));
+                System.out.println("with    " + new ProcessTakeover(projectRoot).measureMassFailure(calls, true, run));
+                System.out.println("without " + new ProcessTakeover(projectRoot).measureMassFailure(calls, false, run));
             }
         }
 
@@ -113,7 +114,8 @@
                 throws IOException, InterruptedException {
             for (int run = 1; run <= runs; run++) {
                 for (boolean grouped : new boolean[] {true, false}) {
-                    ProcessTakeover.Cost cost = new ProcessTakeover(home).owner(calls, eachSecond, grouped, run);
+                    ProcessTakeover.Cost cost =
+                            new ProcessTakeover(projectRoot).measureOwnerCost(calls, eachSecond, grouped, run);
                     System.out.printf("%s %.1f us of processor time and %.0f bytes to others a call; answers p50 %d us, "
                             + "p99 %d us%n", grouped ? "with   " : "without", cost.cpuMicros(), cost.bytes(),
                             cost.answers().getValueAtPercentile(50), cost.answers().getValueAtPercentile(99));
@@ -124,7 +126,7 @@
         @Command(description = "Bytes that idle controllers send, in virtual time.")
         void idle(@Option(names = "--controllers", defaultValue = "120") int controllers) {
             System.out.println("bytes a second of all, to voters, from voters and among members: "
-                    + VirtualTakeover.idle(controllers, 60));
+                    + VirtualTakeover.measureIdleTraffic(controllers, 60));
         }
     }
 }
--- a/lab/src/main/java/pathlane/lab/MemoryStore.java
+++ b/lab/src/main/java/pathlane/lab/MemoryStore.java
@@ -20,7 +20,7 @@
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private final TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
     private RaftEndpointPersistentState endpoint;
-    private RaftGroupMembersView initial;
+    private RaftGroupMembersView initialMembers;
     private RaftTermPersistentState term;
 
     @Override
@@ -30,7 +30,7 @@
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) {
-        initial = members;
+        initialMembers = members;
     }
 
     @Override
@@ -70,7 +70,7 @@
 
     /** The state from which a restarted voter recovers. */
     Optional<RestoredRaftState> restored() {
-        if (endpoint == null || initial == null) {
+        if (endpoint == null || initialMembers == null) {
             return Optional.empty();
         }
         DefaultRaftModelFactory models = new DefaultRaftModelFactory();
@@ -84,7 +84,7 @@
         }
         long from = snapshot == null ? 0 : snapshot.getIndex();
         RaftTermPersistentState at = term == null ? models.createRaftTermPersistentStateBuilder().setTerm(0).build() : term;
-        return Optional.of(new RestoredRaftState(endpoint, initial, at, snapshot,
+        return Optional.of(new RestoredRaftState(endpoint, initialMembers, at, snapshot,
                 new ArrayList<>(entries.tailMap(from, false).values())));
     }
 }
--- a/lab/src/main/java/pathlane/lab/Path.java
+++ b/lab/src/main/java/pathlane/lab/Path.java
@@ -16,82 +16,83 @@
  */
 public final class Path {
 
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    private final class End implements Connection {
+    private final class Side implements Connection {
         final String name;
         final Protocol protocol;
-        final Faults.Way out;
-        final Deque<byte[]> held = new ArrayDeque<>();
-        End other;
+        final Faults.Direction direction;
+        final Deque<byte[]> heldBytes = new ArrayDeque<>();
+        Side other;
         boolean open = true;
         Instant busyUntil = Instant.MIN;
 
-        End(String name, Protocol protocol, Faults.Way out) {
+        Side(String name, Protocol protocol, Faults.Direction direction) {
             this.name = name;
             this.protocol = protocol;
-            this.out = out;
+            this.direction = direction;
         }
 
         @Override
         public void write(byte[] bytes) {
             if (open && bytes.length > 0) {
-                out.bytes += bytes.length;
+                direction.bytesWritten += bytes.length;
                 enqueue(bytes);
             }
         }
 
         @Override
-        public void close(CloseReason why) {
+        public void close(CloseReason reason) {
             if (open) {
                 open = false;
-                enqueue(CLOSE);
-                scheduler.after(Duration.ZERO, () -> ended(this, why));
+                enqueue(CLOSE_MARKER);
+                scheduler.after(Duration.ZERO, () -> sideClosed(this, reason));
             }
         }
 
         private void enqueue(byte[] bytes) {
-            if (out.cut || !held.isEmpty()) {
-                if (held.isEmpty()) {
-                    out.onRestored.add(this::handOn);
+            if (direction.isBlocked || !heldBytes.isEmpty()) {
+                if (heldBytes.isEmpty()) {
+                    direction.onRestored.add(this::sendHeld);
                 }
-                held.add(bytes);
+                heldBytes.add(bytes);
             } else {
-                leave(bytes);
+                transmit(bytes);
             }
         }
 
-        private void handOn() {
-            while (!held.isEmpty() && !out.cut) {
-                leave(held.poll());
+        private void sendHeld() {
+            while (!heldBytes.isEmpty() && !direction.isBlocked) {
+                transmit(heldBytes.poll());
             }
-            if (!held.isEmpty()) {
-                out.onRestored.add(this::handOn);
+            if (!heldBytes.isEmpty()) {
+                direction.onRestored.add(this::sendHeld);
             }
         }
 
-        private void leave(byte[] bytes) {
+        private void transmit(byte[] bytes) {
             Instant now = scheduler.now();
-            Instant from = busyUntil.isAfter(now) ? busyUntil : now;
-            Duration takes = out.throttle == 0 ? Duration.ZERO : Duration.ofNanos(bytes.length * SECOND / out.throttle);
-            busyUntil = from.plus(takes);
-            Duration after = Duration.between(now, busyUntil).plus(latency).plus(out.delay);
-            Instant at = now.plus(after);
+            Instant start = busyUntil.isAfter(now) ? busyUntil : now;
+            Duration transmission = direction.bytesPerSecond == 0 ? Duration.ZERO
+                    : Duration.ofNanos(bytes.length * NANOS_PER_SECOND / direction.bytesPerSecond);
+            busyUntil = start.plus(transmission);
+            Duration delay = Duration.between(now, busyUntil).plus(latency).plus(direction.delay);
+            Instant arrival = now.plus(delay);
             // Keeps the order when a delay is reduced.
-            arrivesAt = at.isAfter(arrivesAt) ? at : arrivesAt;
-            onTheWay.add(bytes);
-            scheduler.after(Duration.between(now, arrivesAt), () -> arrive(onTheWay.poll()));
+            arrivesAt = arrival.isAfter(arrivesAt) ? arrival : arrivesAt;
+            inTransit.add(bytes);
+            scheduler.after(Duration.between(now, arrivesAt), () -> arrive(inTransit.poll()));
         }
 
         private Instant arrivesAt = Instant.MIN;
         /** In sending order, even if timers that are due at the same time fire in another order. */
-        private final Deque<byte[]> onTheWay = new ArrayDeque<>();
+        private final Deque<byte[]> inTransit = new ArrayDeque<>();
 
         private void arrive(byte[] bytes) {
-            if (bytes == CLOSE) {
+            if (bytes == CLOSE_MARKER) {
                 if (other.open) {
                     other.open = false;
-                    ended(other, CloseReason.CLOSED_BY_PEER);
+                    sideClosed(other, CloseReason.CLOSED_BY_PEER);
                 }
             } else if (other.open) {
                 other.protocol.received(ByteBuffer.wrap(bytes));
@@ -100,7 +101,7 @@
 
         @Override
         public boolean isBlocked() {
-            return !held.isEmpty();
+            return !heldBytes.isEmpty();
         }
 
         @Override
@@ -109,14 +110,14 @@
         }
     }
 
-    private static final byte[] CLOSE = {};
+    private static final byte[] CLOSE_MARKER = {};
 
     private final Scheduler scheduler;
     private final Faults faults;
     private final Duration latency;
-    private final End near;
-    private final End far;
-    private int ends;
+    private final Side near;
+    private final Side far;
+    private int closedSides;
 
     /** Opens both ends immediately. */
     public Path(Scheduler scheduler, Faults faults, Duration latency, String nearName, Protocol near, String farName,
@@ -124,8 +125,8 @@
         this.scheduler = scheduler;
         this.faults = faults;
         this.latency = latency;
-        this.near = new End(nearName, near, faults.way(nearName, farName));
-        this.far = new End(farName, far, faults.way(farName, nearName));
+        this.near = new Side(nearName, near, faults.direction(nearName, farName));
+        this.far = new Side(farName, far, faults.direction(farName, nearName));
         this.near.other = this.far;
         this.far.other = this.near;
         faults.opened(this);
@@ -133,47 +134,47 @@
         near.opened(this.near);
     }
 
-    private void ended(End end, CloseReason why) {
-        if (++ends == 2) {
+    private void sideClosed(Side side, CloseReason reason) {
+        if (++closedSides == 2) {
             faults.closed(this);
         }
-        end.protocol.closed(why);
+        side.protocol.closed(reason);
     }
 
-    boolean isOf(String party) {
+    boolean involves(String party) {
         return near.name.equals(party) || far.name.equals(party);
     }
 
-    boolean joins(String one, String other) {
+    boolean connects(String one, String other) {
         return near.name.equals(one) && far.name.equals(other) || near.name.equals(other) && far.name.equals(one);
     }
 
     void reset() {
-        end(near, CloseReason.RESET);
-        end(far, CloseReason.RESET);
+        closeSide(near, CloseReason.RESET);
+        closeSide(far, CloseReason.RESET);
     }
 
-    void halfClose(String told) {
-        end(near.name.equals(told) ? near : far, CloseReason.RESET);
+    void halfClose(String notified) {
+        closeSide(near.name.equals(notified) ? near : far, CloseReason.RESET);
     }
 
     /** A process has died: its own end is not notified; the peer is once the close reaches it. */
-    void gone(String party) {
-        End dead = near.name.equals(party) ? near : far;
+    void processDied(String party) {
+        Side dead = near.name.equals(party) ? near : far;
         if (dead.open) {
             dead.open = false;
-            ends++;
-            dead.enqueue(CLOSE);
-            if (ends == 2) {
+            closedSides++;
+            dead.enqueue(CLOSE_MARKER);
+            if (closedSides == 2) {
                 faults.closed(this);
             }
         }
     }
 
-    private void end(End end, CloseReason why) {
-        if (end.open) {
-            end.open = false;
-            ended(end, why);
+    private void closeSide(Side side, CloseReason reason) {
+        if (side.open) {
+            side.open = false;
+            sideClosed(side, reason);
         }
     }
 }
--- a/lab/src/main/java/pathlane/lab/ProcessTime.java
+++ b/lab/src/main/java/pathlane/lab/ProcessTime.java
@@ -18,23 +18,23 @@
 
     private final Scheduler world;
     private final Instant startedAt;
-    private final double speed;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
+    private final double clockRate;
+    private final Deque<Runnable> queued = new ArrayDeque<>();
     private boolean stopped;
     private boolean dead;
     private Instant stoppedAt;
     private Duration lag = Duration.ZERO;
 
     /** {@code speed} is the rate of its monotonic clock relative to real time. */
-    public ProcessTime(Scheduler world, double speed) {
+    public ProcessTime(Scheduler world, double clockRate) {
         this.world = world;
-        this.speed = speed;
+        this.clockRate = clockRate;
         this.startedAt = world.now();
     }
 
     /** The reading of the monotonic clock. */
     public long nanos() {
-        return (long) (Duration.between(startedAt, world.now()).toNanos() * speed);
+        return (long) (Duration.between(startedAt, world.now()).toNanos() * clockRate);
     }
 
     /** Whether the process was killed. */
@@ -60,7 +60,7 @@
         if (stopped) {
             stopped = false;
             lag = Duration.between(stoppedAt, world.now());
-            for (Runnable next = waiting.poll(); next != null && !stopped; next = waiting.poll()) {
+            for (Runnable next = queued.poll(); next != null && !stopped; next = queued.poll()) {
                 if (!dead) {
                     next.run();
                 }
@@ -72,18 +72,18 @@
     /** Kills the process. */
     public void kill() {
         dead = true;
-        waiting.clear();
+        queued.clear();
     }
 
     /** Runs a task as this process: now, after it resumes if it is stopped, or never if it is dead. */
-    public void run(Runnable what) {
+    public void run(Runnable task) {
         if (dead) {
             return;
         }
         if (stopped) {
-            waiting.add(what);
+            queued.add(task);
         } else {
-            what.run();
+            task.run();
         }
     }
 
@@ -121,11 +121,12 @@
     public Timer after(Duration delay, Runnable task) {
         boolean[] cancelled = new boolean[1];
         // Timers run on the process's own clock.
-        Timer timer = world.after(Duration.ofNanos((long) Math.ceil(Math.max(0, delay.toNanos()) / speed)), () -> run(() -> {
-            if (!cancelled[0]) {
-                task.run();
-            }
-        }));
+        Timer timer =
+                world.after(Duration.ofNanos((long) Math.ceil(Math.max(0, delay.toNanos()) / clockRate)), () -> run(() -> {
+                    if (!cancelled[0]) {
+                        task.run();
+                    }
+                }));
         return () -> {
             cancelled[0] = true;
             timer.cancel();
--- a/lab/src/main/java/pathlane/lab/ScriptedCaller.java
+++ b/lab/src/main/java/pathlane/lab/ScriptedCaller.java
@@ -23,7 +23,7 @@
  */
 public final class ScriptedCaller {
 
-    private static final int OVER = 16;
+    private static final int CAUSE_NORMAL_END = 16;
     private static final int RADIX = 16;
 
     /** Opens a connection to a controller. */
@@ -34,112 +34,112 @@
     private final String name;
     private final Front front;
     private final Witness history;
-    private final Map<String, Line> lines = new HashMap<>();
-    private final Map<String, String> open = new LinkedHashMap<>();
-    private final Map<String, String> standing = new LinkedHashMap<>();
-    private long calls;
-    private final long base;
+    private final Map<String, Link> links = new HashMap<>();
+    private final Map<String, String> pending = new LinkedHashMap<>();
+    private final Map<String, String> established = new LinkedHashMap<>();
+    private long requestCount;
+    private final long firstId;
     private Consumer<String> onRefused = call -> {};
 
     /** {@code base} keeps its call ids apart from those of other clients. */
-    public ScriptedCaller(String name, long base, Front front, Witness history) {
+    public ScriptedCaller(String name, long firstId, Front front, Witness history) {
         this.name = name;
-        this.base = base;
+        this.firstId = firstId;
         this.front = front;
         this.history = history;
     }
 
     /** Is notified of each request that is refused or failed, or whose connection closes before the answer. */
-    public void onRefused(Consumer<String> hears) {
-        onRefused = hears;
+    public void onRefused(Consumer<String> listener) {
+        onRefused = listener;
     }
 
     /** Opens a connection to a controller if there is none. */
     public void connect(String controller) {
-        if (!lines.containsKey(controller)) {
-            Line line = new Line(controller);
-            lines.put(controller, line);
-            front.connect(controller, line);
+        if (!links.containsKey(controller)) {
+            Link link = new Link(controller);
+            links.put(controller, link);
+            front.connect(controller, link);
         }
     }
 
     /** Whether a connection to a controller is open. */
     public boolean isConnected(String controller) {
-        return lines.containsKey(controller) && lines.get(controller).connection != null;
+        return links.containsKey(controller) && links.get(controller).connection != null;
     }
 
     /**
      * Requests a call from a controller, for the server with this index in the list. Returns the call's id, or null if the
      * controller is not connected.
      */
-    public String ask(String controller, int place, String callClass, Duration patience) {
-        Line line = lines.get(controller);
-        if (line == null || line.connection == null) {
+    public String ask(String controller, int index, String callClass, Duration deadline) {
+        Link link = links.get(controller);
+        if (link == null || link.connection == null) {
             return null;
         }
-        return write(line, base + ++calls, place, callClass, patience);
+        return write(link, firstId + ++requestCount, index, callClass, deadline);
     }
 
     /** Repeats a request under its old id, as a client does whose connection closed before the answer. */
-    public boolean again(String call, String controller, String callClass, Duration patience) {
-        Line line = lines.get(controller);
-        if (line == null || line.connection == null || open.containsKey(call) || standing.containsKey(call)) {
+    public boolean repeat(String call, String controller, String callClass, Duration deadline) {
+        Link link = links.get(controller);
+        if (link == null || link.connection == null || pending.containsKey(call) || established.containsKey(call)) {
             return false;
         }
-        write(line, Long.parseLong(call, RADIX), 0, callClass, patience);
+        write(link, Long.parseLong(call, RADIX), 0, callClass, deadline);
         return true;
     }
 
-    private String write(Line line, long id, int place, String callClass, Duration patience) {
+    private String write(Link link, long id, int index, String callClass, Duration deadline) {
         Message message = new Message(Message.SET_UP, id).with(Message.CLASS, callClass)
-                .with(Message.PATIENCE, Long.toString(patience.toMillis()))
+                .with(Message.PATIENCE, Long.toString(deadline.toMillis()))
                 .with(Message.NUMBER, "n" + id)
-                .with(Message.FIGURES, "dest:" + place + ";width:1;via:-1")
+                .with(Message.FIGURES, "dest:" + index + ";width:1;via:-1")
                 .with(Message.DESCRIPTION, new byte[] {1, 2});
-        open.put(message.id(), line.controller);
-        history.note(What.ASKED, name, line.controller, message.id(), "");
-        line.connection.write(message.bytes());
+        pending.put(message.id(), link.controller);
+        history.note(What.ASKED, name, link.controller, message.id(), "");
+        link.connection.write(message.bytes());
         return message.id();
     }
 
     /** Releases an established call through this controller, or another if it is not connected. False if not possible. */
     public boolean release(String call, String controller) {
-        Line line = lines.get(controller);
-        if (line == null || line.connection == null) {
-            line = lines.values().stream().filter(one -> one.connection != null).findFirst().orElse(null);
+        Link link = links.get(controller);
+        if (link == null || link.connection == null) {
+            link = links.values().stream().filter(one -> one.connection != null).findFirst().orElse(null);
         }
-        if (line == null || standing.remove(call) == null) {
+        if (link == null || established.remove(call) == null) {
             return false;
         }
-        history.note(What.RELEASED, name, line.controller, call, "");
-        line.release(call);
+        history.note(What.RELEASED, name, link.controller, call, "");
+        link.release(call);
         return true;
     }
 
     /** The calls that are established as far as the clients know. */
-    public Set<String> standing() {
-        return new LinkedHashSet<>(standing.keySet());
+    public Set<String> established() {
+        return new LinkedHashSet<>(established.keySet());
     }
 
     /** The number of requests that wait for an answer. */
     public int open() {
-        return open.size();
+        return pending.size();
     }
 
-    private final class Line implements Protocol {
+    private final class Link implements Protocol {
         private final String controller;
         private final FrameAssembler assembler = Message.assembler();
         private Connection connection;
         /** Releases sent without a confirmation: they are sent on another connection if this one closes. */
-        private final Set<String> unansweredReleases = new LinkedHashSet<>();
+        private final Set<String> unconfirmedReleases = new LinkedHashSet<>();
 
-        Line(String controller) {
+        Link(String controller) {
             this.controller = controller;
         }
 
         @Override
-        public void opened(Connection up) {
-            connection = up;
+        public void opened(Connection opened) {
+            connection = opened;
         }
 
         @Override
@@ -148,42 +148,42 @@
         }
 
         void release(String call) {
-            unansweredReleases.add(call);
-            connection.write(new Message(Message.RELEASE, call).withCause(OVER).bytes());
+            unconfirmedReleases.add(call);
+            connection.write(new Message(Message.RELEASE, call).withCause(CAUSE_NORMAL_END).bytes());
         }
 
         private void message(Message message) {
             String call = message.id();
             if (message.type == Message.ANSWER) {
-                open.remove(call);
-                standing.put(call, controller);
+                pending.remove(call);
+                established.put(call, controller);
                 history.note(What.ANSWERED, name, controller, call, "");
-            } else if (message.type == Message.RELEASE && open.remove(call) != null) {
+            } else if (message.type == Message.RELEASE && pending.remove(call) != null) {
                 int cause = message.cause();
                 history.note(cause == 34 || cause == 42 || cause == 102 ? What.REFUSED : What.FAILED, name, controller, call,
                         "cause " + cause);
                 onRefused.accept(call);
             } else if (message.type == Message.RELEASE) {
-                standing.remove(call);
+                established.remove(call);
                 history.note(What.TOLD_OVER, name, controller, call, "cause " + message.cause());
             }
         }
 
         @Override
-        public void closed(CloseReason end) {
+        public void closed(CloseReason reason) {
             connection = null;
-            lines.remove(controller, this);
-            lines.values().stream().filter(one -> one.connection != null).findFirst()
-                    .ifPresent(other -> unansweredReleases.forEach(other::release));
+            links.remove(controller, this);
+            links.values().stream().filter(one -> one.connection != null).findFirst()
+                    .ifPresent(other -> unconfirmedReleases.forEach(other::release));
             List<String> broken = new ArrayList<>();
-            open.forEach((call, at) -> {
+            pending.forEach((call, at) -> {
                 if (at.equals(controller)) {
                     broken.add(call);
                 }
             });
             broken.forEach(call -> {
-                open.remove(call);
-                history.note(What.BROKEN, name, controller, call, end.toString());
+                pending.remove(call);
+                history.note(What.BROKEN, name, controller, call, reason.toString());
                 onRefused.accept(call);
             });
         }
--- a/lab/src/main/java/pathlane/lab/SessionServer.java
+++ b/lab/src/main/java/pathlane/lab/SessionServer.java
@@ -24,125 +24,126 @@
  */
 public final class SessionServer {
 
-    private static final Duration TELLS = Duration.ofSeconds(1);
+    private static final Duration CAPACITY_REPORT_INTERVAL = Duration.ofSeconds(1);
 
     private static final class Call {
-        final Line line;
-        boolean stands;
+        final Link link;
+        boolean isEstablished;
 
-        Call(Line line) {
-            this.line = line;
+        Call(Link link) {
+            this.link = link;
         }
     }
 
     private final String name;
-    private final Scheduler time;
-    private final Duration work;
-    private final Duration holds;
+    private final Scheduler scheduler;
+    private final Duration answerDelay;
+    private final Duration callDuration;
     private final Witness history;
     private final Map<String, Call> calls = new LinkedHashMap<>();
-    private final Set<Line> lines = new LinkedHashSet<>();
-    private final List<Message> waiting = new ArrayList<>();
-    private boolean answers = true;
-    private boolean down;
+    private final Set<Link> links = new LinkedHashSet<>();
+    private final List<Message> undelivered = new ArrayList<>();
+    private boolean isAnswering = true;
+    private boolean isDown;
 
     /**
      * A server that answers every call request.
      *
-     * @param work time from a request to its answer
-     * @param holds duration of an established call; zero: until it is released or ended
+     * @param answerDelay time from a request to its answer
+     * @param callDuration duration of an established call; zero: until it is released or ended
      */
-    public SessionServer(String name, Scheduler time, Duration work, Duration holds, Witness history) {
+    public SessionServer(String name, Scheduler scheduler, Duration answerDelay, Duration callDuration, Witness history) {
         this.name = name;
-        this.time = time;
-        this.work = work;
-        this.holds = holds;
+        this.scheduler = scheduler;
+        this.answerDelay = answerDelay;
+        this.callDuration = callDuration;
         this.history = history;
-        time.after(TELLS, this::tell);
+        scheduler.after(CAPACITY_REPORT_INTERVAL, this::reportCapacity);
     }
 
     /** Returns the protocol for a connection from the party of this name. */
     public Protocol accept(String from) {
-        return new Line(from);
+        return new Link(from);
     }
 
     /** Whether the server accepts connections. */
     public boolean isUp() {
-        return !down;
+        return !isDown;
     }
 
     /** Sets whether requests are answered; otherwise they are accepted and left unanswered. */
-    public void answers(boolean does) {
-        answers = does;
+    public void setAnswering(boolean isAnswering) {
+        isAnswering = isAnswering;
     }
 
     /** The calls that are established at this server. */
-    public Set<String> standing() {
-        Set<String> standing = new LinkedHashSet<>();
+    public Set<String> established() {
+        Set<String> established = new LinkedHashSet<>();
         calls.forEach((id, call) -> {
-            if (call.stands) {
-                standing.add(id);
+            if (call.isEstablished) {
+                established.add(id);
             }
         });
-        return standing;
+        return established;
     }
 
     /** Ends a call that is established at this server. */
     public void end(String id) {
         Call call = calls.get(id);
-        if (call != null && call.stands) {
+        if (call != null && call.isEstablished) {
             calls.remove(id);
-            history.note(What.ENDED, name, call.line.from, id, "");
-            Message over = new Message(Message.RELEASE, id).withCause(Cause.OVER);
-            send(call.line, over);
-            if (!waiting.contains(over)) {
-                waiting.add(over);   // repeated on the next connection that opens
+            history.note(What.ENDED, name, call.link.from, id, "");
+            Message released = new Message(Message.RELEASE, id).withCause(Cause.OVER);
+            send(call.link, released);
+            if (!undelivered.contains(released)) {
+                undelivered.add(released);   // repeated on the next connection that opens
             }
         }
     }
 
     /** Simulates a crash: connections are reset and calls are lost. */
-    public void die() {
-        down = true;
+    public void crash() {
+        isDown = true;
         calls.forEach(
-                (id, call) -> history.note(call.stands ? What.ENDED : What.GIVEN_UP, name, "", id, "the process died"));
+                (id, call) -> history.note(call.isEstablished ? What.ENDED : What.GIVEN_UP, name, "", id,
+                        "the process died"));
         calls.clear();
-        waiting.clear();
-        List.copyOf(lines).forEach(line -> line.connection.close(CloseReason.RESET));
+        undelivered.clear();
+        List.copyOf(links).forEach(line -> line.connection.close(CloseReason.RESET));
     }
 
     /** Starts a new process of this server. */
     public void start() {
-        down = false;
+        isDown = false;
     }
 
-    private void tell() {
-        if (!down) {
-            lines.forEach(this::tell);
+    private void reportCapacity() {
+        if (!isDown) {
+            links.forEach(this::reportCapacity);
         }
-        time.after(TELLS, this::tell);
+        scheduler.after(CAPACITY_REPORT_INTERVAL, this::reportCapacity);
     }
 
-    private void tell(Line line) {
-        line.write(new Message(Message.GROUP_STATE, 0).with(Message.STATE, "free:100000;size:100000"));
+    private void reportCapacity(Link link) {
+        link.write(new Message(Message.GROUP_STATE, 0).with(Message.STATE, "free:100000;size:100000"));
     }
 
-    private void send(Line own, Message message) {
-        Line way = own.open ? own : lines.stream().findFirst().orElse(null);
-        if (way == null) {
-            waiting.add(message);
+    private void send(Link preferred, Message message) {
+        Link link = preferred.open ? preferred : links.stream().findFirst().orElse(null);
+        if (link == null) {
+            undelivered.add(message);
         } else {
-            way.write(message);
+            link.write(message);
         }
     }
 
-    private final class Line implements Protocol {
+    private final class Link implements Protocol {
         private final String from;
         private final FrameAssembler assembler = Message.assembler();
         private Connection connection;
         private boolean open;
 
-        Line(String from) {
+        Link(String from) {
             this.from = from;
         }
 
@@ -151,14 +152,14 @@
         }
 
         @Override
-        public void opened(Connection up) {
-            connection = up;
+        public void opened(Connection opened) {
+            connection = opened;
             open = true;
-            lines.add(this);
-            tell(this);
-            List<Message> kept = List.copyOf(waiting);
-            waiting.clear();
-            kept.forEach(this::write);
+            links.add(this);
+            reportCapacity(this);
+            List<Message> messages = List.copyOf(undelivered);
+            undelivered.clear();
+            messages.forEach(this::write);
         }
 
         @Override
@@ -169,11 +170,11 @@
         private void message(Message message) {
             String id = message.id();
             switch (message.type) {
-                case Message.SET_UP -> setUp(id, message);
+                case Message.SET_UP -> startAttempt(id, message);
                 case Message.RELEASE -> {
                     Call call = calls.remove(id);
                     if (call != null) {
-                        history.note(call.stands ? What.HEARD_RELEASE : What.GIVEN_UP, name, from, id, "");
+                        history.note(call.isEstablished ? What.HEARD_RELEASE : What.GIVEN_UP, name, from, id, "");
                     }
                     write(new Message(Message.RELEASE_HEARD, id));
                 }
@@ -182,25 +183,25 @@
             }
         }
 
-        private void setUp(String id, Message message) {
+        private void startAttempt(String id, Message message) {
             history.note(What.REACHED, name, from, id, "");
             Call call = new Call(this);
             calls.put(id, call);
-            if (answers) {
+            if (isAnswering) {
                 byte[] description = message.value(Message.DESCRIPTION);
-                time.after(work, () -> stand(id, call, description));
+                scheduler.after(answerDelay, () -> establish(id, call, description));
             }
         }
 
-        private void stand(String id, Call call, byte[] description) {
+        private void establish(String id, Call call, byte[] description) {
             if (calls.get(id) != call) {
                 return;
             }
-            call.stands = true;
+            call.isEstablished = true;
             history.note(What.STOOD, name, from, id, "");
             send(this, new Message(Message.ANSWER, id).with(Message.DESCRIPTION, description));
-            if (!holds.isZero()) {
-                time.after(holds, () -> {
+            if (!callDuration.isZero()) {
+                scheduler.after(callDuration, () -> {
                     if (calls.get(id) == call) {
                         end(id);
                     }
@@ -209,11 +210,11 @@
         }
 
         @Override
-        public void closed(CloseReason end) {
+        public void closed(CloseReason reason) {
             open = false;
-            lines.remove(this);
+            links.remove(this);
             List.copyOf(calls.entrySet()).forEach(one -> {
-                if (one.getValue().line == this && !one.getValue().stands) {
+                if (one.getValue().link == this && !one.getValue().isEstablished) {
                     calls.remove(one.getKey());
                     history.note(What.GIVEN_UP, name, from, one.getKey(), "its connection closed");
                 }
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -40,35 +40,39 @@
     private static final KeyRing KEYS = KeyRing.read("k1 000102030405060708090a0b0c0d0e0f\n");
 
     /** Sizes and timings of a fleet. */
-    public record Shape(int controllers, int servers, int voters, int copies, LeaseTerms lease, Duration work,
-            Duration holds, int pace) {}
+    public record Shape(int controllers, int servers, int voters, int replicas, LeaseTerms lease, Duration answerDelay,
+            Duration callDuration, int adoptionRate) {}
 
     /** A simulated controller. */
     public final class Controller {
         final String name;
-        final int place;
+        final int index;
         ProcessTime time;
         PlatformFront front;
         Handover handover;
 
-        Controller(int place) {
-            this.place = place;
-            this.name = "n" + (place + 1);
+        Controller(int index) {
+            this.index = index;
+            this.name = "n" + (index + 1);
         }
 
         /** Starts a new process with this controller's name. */
         void start() {
             time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * shape.lease.drift() * 0.9);
-            ProcessTime own = time;
-            Connector dialer = (address, timeout, protocol) -> dial(name, address, timeout, own.own(protocol));
-            AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> KEYS, () -> bytes(random),
-                    own, new RateLimitedLog("group", own));
+            ProcessTime processTime = time;
+            Connector connector = (address, timeout, protocol) -> connect(name, address, timeout, processTime.own(protocol));
+            AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> KEYS, () -> nonce(random),
+                    processTime, new RateLimitedLog("group", processTime));
             handover =
-                    new Handover(new HandoverSettings(name, "127.0.0.1:" + (MEMBER_PORT + place), shape.copies, shape.lease,
-                            Duration.ofMillis(5), Set.of(), Duration.ofMillis(200), shape.pace, Duration.ofSeconds(2),
-                            Duration.ofMillis(215)), random.nextLong(), voterAddresses(), dialer, common, own::nanos);
-            front = new PlatformFront(NodeConfig.parse(FleetConfig.text(name, CALLER_PORT + place, shape.servers,
-                    server -> SERVER_PORT + server, BUS_PORT, shape.controllers, random.nextLong() >>> 1)), dialer, own,
+                    new Handover(
+                            new HandoverSettings(name, "127.0.0.1:" + (MEMBER_PORT + index), shape.replicas, shape.lease,
+                                    Duration.ofMillis(5), Set.of(), Duration.ofMillis(200), shape.adoptionRate,
+                                    Duration.ofSeconds(2),
+                                    Duration.ofMillis(215)),
+                            random.nextLong(), voterAddresses(), connector, common, processTime::nanos);
+            front = new PlatformFront(NodeConfig.parse(FleetConfig.text(name, CALLER_PORT + index, shape.servers,
+                    server -> SERVER_PORT + server, BUS_PORT, shape.controllers, random.nextLong() >>> 1)), connector,
+                    processTime,
                     () -> true, Optional::empty, handover);
             handover.start(front.controller());
         }
@@ -92,10 +96,10 @@
     private final List<Controller> controllers = new ArrayList<>();
     private final List<SessionServer> servers = new ArrayList<>();
     private final Map<Integer, Function<String, Protocol>> listeners = new HashMap<>();
-    private final Map<Integer, String> owners = new HashMap<>();
+    private final Map<Integer, String> ownerByPort = new HashMap<>();
     private final List<VirtualVoter> voters = new ArrayList<>();
     private final EventBus bus;
-    private final ScriptedCaller caller;
+    private final ScriptedCaller clients;
 
     /** Starts all parties. */
     public VirtualFleet(Shape shape, long seed) {
@@ -106,7 +110,7 @@
         this.bus = new EventBus(world, (controller, place) -> SERVER_PORT + place);
         listen(BUS_PORT, "bus", bus::accept);
         for (int i = 0; i < shape.servers; i++) {
-            SessionServer server = new SessionServer("s" + (i + 1), world, shape.work, shape.holds, history);
+            SessionServer server = new SessionServer("s" + (i + 1), world, shape.answerDelay, shape.callDuration, history);
             servers.add(server);
             listen(SERVER_PORT + i, "s" + (i + 1), from -> server.isUp() ? server.accept(from) : null);
         }
@@ -125,13 +129,13 @@
                     ? controller.time.own(controller.handover.accept()) : null);
             controller.start();
         }
-        caller = new ScriptedCaller("callers", 0x1000, (name, protocol) -> {
+        clients = new ScriptedCaller("callers", 0x1000, (name, protocol) -> {
             int place = Integer.parseInt(name.substring(1)) - 1;
-            dial("callers", new InetSocketAddress("127.0.0.1", CALLER_PORT + place), Duration.ofMillis(500), protocol);
+            connect("callers", new InetSocketAddress("127.0.0.1", CALLER_PORT + place), Duration.ofMillis(500), protocol);
         }, history);
     }
 
-    private static byte[] bytes(SplittableRandom random) {
+    private static byte[] nonce(SplittableRandom random) {
         byte[] bytes = new byte[16];
         random.nextBytes(bytes);
         return bytes;
@@ -147,23 +151,23 @@
 
     private void listen(int port, String owner, Function<String, Protocol> accepts) {
         listeners.put(port, accepts);
-        owners.put(port, owner);
+        ownerByPort.put(port, owner);
     }
 
     /** Connects one party to the listener at a port; a blocked direction makes the attempt time out. */
-    private void dial(String from, InetSocketAddress address, Duration timeout, Protocol protocol) {
-        String to = owners.get(address.getPort());
+    private void connect(String from, InetSocketAddress address, Duration timeout, Protocol protocol) {
+        String to = ownerByPort.get(address.getPort());
         Function<String, Protocol> accepts = listeners.get(address.getPort());
         world.after(LATENCY, () -> {
-            if (to != null && (faults.way(from, to).cut || faults.way(to, from).cut)) {
+            if (to != null && (faults.direction(from, to).isBlocked || faults.direction(to, from).isBlocked)) {
                 world.after(timeout, () -> protocol.closed(CloseReason.CONNECT_TIMED_OUT));
                 return;
             }
-            Protocol far = accepts == null ? null : accepts.apply(from);
-            if (far == null) {
+            Protocol accepted = accepts == null ? null : accepts.apply(from);
+            if (accepted == null) {
                 protocol.closed(CloseReason.REFUSED);
             } else {
-                new Path(world, faults, LATENCY, from, protocol, to, far);
+                new Path(world, faults, LATENCY, from, protocol, to, accepted);
             }
         });
     }
@@ -194,8 +198,8 @@
         return voters;
     }
 
-    public ScriptedCaller caller() {
-        return caller;
+    public ScriptedCaller clients() {
+        return clients;
     }
 
     public EventBus bus() {
@@ -203,26 +207,26 @@
     }
 
     /** The controllers whose processes are running. */
-    public List<Controller> up() {
+    public List<Controller> running() {
         return controllers.stream().filter(Controller::isUp).toList();
     }
 
     /** Advances time until a condition holds, polling every 50 ms; false if it did not hold within the timeout. */
-    public boolean until(Duration most, java.util.function.BooleanSupplier holds) {
-        for (long left = most.toMillis(); left > 0 && !holds.getAsBoolean(); left -= 50) {
+    public boolean advanceUntil(Duration timeout, java.util.function.BooleanSupplier condition) {
+        for (long left = timeout.toMillis(); left > 0 && !condition.getAsBoolean(); left -= 50) {
             world.pass(50);
         }
-        return holds.getAsBoolean();
+        return condition.getAsBoolean();
     }
 
     /** The holder's name of each fencing token whose lease is valid now. */
-    public Map<Long, String> sure() {
-        Map<Long, String> sure = new HashMap<>();
-        for (Controller one : up()) {
+    public Map<Long, String> validLeaseHolders() {
+        Map<Long, String> holders = new HashMap<>();
+        for (Controller one : running()) {
             if (!one.time.isStopped() && one.handover.isLeaseValid()) {
-                sure.put(one.handover.token(), one.name);
+                holders.put(one.handover.token(), one.name);
             }
         }
-        return sure;
+        return holders;
     }
 }
--- a/lab/src/main/java/pathlane/lab/VirtualTakeover.java
+++ b/lab/src/main/java/pathlane/lab/VirtualTakeover.java
@@ -10,38 +10,39 @@
 /** Measures takeover in virtual time: how long it takes until calls are adopted, and what an idle group sends. */
 final class VirtualTakeover {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(6);
+    private static final Duration REQUEST_DEADLINE = Duration.ofSeconds(6);
     private static final String OWNER = "n1";
     /** Requests per 10 ms: fewer than a client's connection may send. */
-    private static final int AT_ONCE = 40;
+    private static final int MAX_REQUESTS_PER_TICK = 40;
     private static final int SERVERS = 2;
     private static final int VOTERS = 3;
-    private static final int COPIES = 3;
+    private static final int REPLICAS = 3;
     private static final int TICK_MILLIS = 10;
 
     private VirtualTakeover() {}
 
     private static VirtualFleet fleet(int controllers, long seed) {
         VirtualFleet fleet =
-                new VirtualFleet(new VirtualFleet.Shape(controllers, SERVERS, VOTERS, COPIES, LeaseTerms.DEFAULT,
+                new VirtualFleet(new VirtualFleet.Shape(controllers, SERVERS, VOTERS, REPLICAS, LeaseTerms.DEFAULT,
                         Duration.ofMillis(5), Duration.ZERO, 20_000), seed);
-        if (!fleet.until(Duration.ofSeconds(60), () -> fleet.up().stream().allMatch(one -> one.handover.isReplicated()))) {
+        if (!fleet.advanceUntil(Duration.ofSeconds(60),
+                () -> fleet.running().stream().allMatch(one -> one.handover.isReplicated()))) {
             throw new IllegalStateException("the group did not form");
         }
         return fleet;
     }
 
     /** Time in milliseconds from killing a controller with this many calls until the last of them is adopted. */
-    static Histogram owned(int controllers, int calls, int runs) {
+    static Histogram measureAdoption(int controllers, int calls, int runs) {
         Histogram times = new Histogram(3);
         for (int run = 1; run <= runs; run++) {
             VirtualFleet fleet = fleet(controllers, run);
-            fleet.caller().connect(OWNER);
+            fleet.clients().connect(OWNER);
             fleet.world().pass(TICK_MILLIS);
-            for (int tries = 0; fleet.caller().standing().size() < calls; tries++) {
-                int missing = calls - fleet.caller().standing().size() - fleet.caller().open();
-                for (int i = Math.min(missing, AT_ONCE); i > 0; i--) {
-                    fleet.caller().ask(OWNER, i % SERVERS, "status-check", PATIENCE);
+            for (int tries = 0; fleet.clients().established().size() < calls; tries++) {
+                int missing = calls - fleet.clients().established().size() - fleet.clients().open();
+                for (int i = Math.min(missing, MAX_REQUESTS_PER_TICK); i > 0; i--) {
+                    fleet.clients().ask(OWNER, i % SERVERS, "status-check", REQUEST_DEADLINE);
                 }
                 fleet.world().pass(TICK_MILLIS);
                 if (tries > calls) {
@@ -50,37 +51,37 @@
             }
             Controller owner = fleet.controllers().get(0);
             // Spreads the kills over the interval between two lease renewals.
-            fleet.until(Duration.ofSeconds(30), owner.handover::isReplicated);
+            fleet.advanceUntil(Duration.ofSeconds(30), owner.handover::isReplicated);
             fleet.world().pass(run * LeaseTerms.DEFAULT.renewInterval().toMillis() / runs);
             owner.kill();
-            long waited = 0;
-            while (fleet.up().stream().mapToLong(one -> one.handover.adopted()).sum() < calls) {
+            long waitedMillis = 0;
+            while (fleet.running().stream().mapToLong(one -> one.handover.adopted()).sum() < calls) {
                 fleet.world().pass(TICK_MILLIS);
-                waited += TICK_MILLIS;
-                if (waited > Duration.ofMinutes(2).toMillis()) {
+                waitedMillis += TICK_MILLIS;
+                if (waitedMillis > Duration.ofMinutes(2).toMillis()) {
                     throw new IllegalStateException("not all calls were adopted");
                 }
             }
-            times.recordValue(waited);
+            times.recordValue(waitedMillis);
         }
         return times;
     }
 
     /** Total bytes per second of a group of idle controllers: members to voters, voters to members, among members. */
-    static List<Long> idle(int controllers, int seconds) {
+    static List<Long> measureIdleTraffic(int controllers, int seconds) {
         VirtualFleet fleet = fleet(controllers, 1);
         fleet.world().pass(Duration.ofSeconds(20).toMillis());   // until the last member's records are replicated
-        List<Long> before = written(fleet);
+        List<Long> before = bytesWritten(fleet);
         fleet.world().pass(Duration.ofSeconds(seconds).toMillis());
-        List<Long> after = written(fleet);
-        List<Long> each = new ArrayList<>();
+        List<Long> after = bytesWritten(fleet);
+        List<Long> rates = new ArrayList<>();
         for (int i = 0; i < before.size(); i++) {
-            each.add((after.get(i) - before.get(i)) / seconds);
+            rates.add((after.get(i) - before.get(i)) / seconds);
         }
-        return each;
+        return rates;
     }
 
-    private static List<Long> written(VirtualFleet fleet) {
+    private static List<Long> bytesWritten(VirtualFleet fleet) {
         return List.of(fleet.faults().bytes("n", "v"), fleet.faults().bytes("v", "n"), fleet.faults().bytes("n", "n"));
     }
 }
--- a/lab/src/main/java/pathlane/lab/VirtualVoter.java
+++ b/lab/src/main/java/pathlane/lab/VirtualVoter.java
@@ -56,29 +56,29 @@
         return time.own(voter.accept());
     }
 
-    void start(List<VirtualVoter> among) {
-        voters = among;
+    void start(List<VirtualVoter> group) {
+        voters = group;
         time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * lease.drift() * 0.9);
-        ProcessTime own = time;
+        ProcessTime processTime = time;
         AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
-        }, own, new RateLimitedLog("register", own));
-        voter = new Voter(lease, common, own::nanos);
-        log = new RaftLog(name, voters.stream().map(VirtualVoter::name).toList(), voter, own, own::nanos,
+        }, processTime, new RateLimitedLog("register", processTime));
+        voter = new Voter(lease, common, processTime::nanos);
+        log = new RaftLog(name, voters.stream().map(VirtualVoter::name).toList(), voter, processTime, processTime::nanos,
                 new RaftLog.Sender() {
                     @Override
                     public void send(String to, RaftMessage message) {
                         VirtualVoter other = voters.get(Integer.parseInt(to.substring(1)) - 1);
-                        if (!faults.way(name, to).cut) {
+                        if (!faults.direction(name, to).isBlocked) {
                             world.after(VirtualFleet.LATENCY, () -> other.received(message));
                         }
                     }
 
                     @Override
                     public boolean isReachable(String to) {
-                        return !faults.way(name, to).cut;
+                        return !faults.direction(name, to).isBlocked;
                     }
                 }, store, store.restored(), new Random(random.nextLong()));
         log.start();
@@ -104,7 +104,7 @@
     }
 
     /** Whether this voter is the Raft leader. */
-    public boolean leads() {
+    public boolean isLeader() {
         return isUp() && log.isLeader();
     }
 }
--- a/lab/src/main/java/pathlane/lab/rig/DatagramRelay.java
+++ b/lab/src/main/java/pathlane/lab/rig/DatagramRelay.java
@@ -25,15 +25,15 @@
     }
 
     /** Forwards datagrams that arrive at this port to the target's address. Must not be called on the event loop. */
-    void between(String from, int port, String to, InetSocketAddress target) throws InterruptedException {
-        Holder out = new Holder();
-        out.send = loop.datagrams(port, (sender, bytes) -> {
-            for (int copies = faults.copies(from, to, random); copies > 0; copies--) {
-                Duration delay = faults.delayed(from, to);
+    void forward(String from, int port, String to, InetSocketAddress target) throws InterruptedException {
+        Holder holder = new Holder();
+        holder.send = loop.openDatagramSocket(port, (sender, bytes) -> {
+            for (int copies = faults.deliveredCopies(from, to, random); copies > 0; copies--) {
+                Duration delay = faults.addedDelay(from, to);
                 if (delay.isZero()) {
-                    out.send.accept(target, bytes);
+                    holder.send.accept(target, bytes);
                 } else {
-                    loop.after(delay, () -> out.send.accept(target, bytes));
+                    loop.after(delay, () -> holder.send.accept(target, bytes));
                 }
             }
         });
--- a/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -49,12 +49,13 @@
      */
     public record Shape(List<String> services, List<RelayShape> relays, List<ClientShape> clients, String limits) {}
 
-    private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
+    private static final long TIMEOUT_MILLIS = Long.getLong("lab.most-ms", 60_000);
     private static final String HOST = "127.0.0.1";
     static final String KEYS = "k1 " + "5a".repeat(32) + "\n";
-    private static final String WATCH = "[watch]\nbackoff-first-ms = 50\nbackoff-most-ms = 400\nsilent-after-ms = 2000\n"
-            + "return-within-ms = 200\n";
-    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto",
+    private static final String WATCH_SECTION =
+            "[watch]\nbackoff-first-ms = 50\nbackoff-most-ms = 400\nsilent-after-ms = 2000\n"
+                    + "return-within-ms = 200\n";
+    private static final List<String> JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto",
             "-Xmx128m", "-Xss512k", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true");
 
     private final Shape shape;
@@ -64,91 +65,93 @@
     private final History history = new History(System::nanoTime);
     private final Faults faults = new Faults();
     private final Relay relay = new Relay(loop, faults);
-    private final ToldServers told;
+    private final PublishedServers publishedServers;
     private final Map<String, RigProcess> processes = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new HashMap<>();
     /** Listening ports that serve a single link, by {@code from>to}. */
     private final Map<String, RigLoop.Listener> links = new HashMap<>();
     private final WatchClients clients;
-    private final Set<String> stopped = new HashSet<>();
+    private final Set<String> stoppedProcesses = new HashSet<>();
 
     /**
      * Writes the processes' files without starting them.
      *
-     * @param home root of the built project, which contains the relay's jar
+     * @param projectRoot root of the built project, which contains the relay's jar
      * @param folder empty folder for files and logs
      * @param seed for the clients' random draws
      */
-    public DiscoveryRig(Shape shape, Path home, Path folder, long seed) throws IOException, InterruptedException {
+    public DiscoveryRig(Shape shape, Path projectRoot, Path folder, long seed) throws IOException, InterruptedException {
         this.shape = shape;
         this.folder = folder;
         this.random = new SplittableRandom(seed);
         Files.writeString(folder.resolve("discovery.keys"), KEYS);
-        told = new ToldServers(loop, shape.services);
-        clients = new WatchClients(loop, told, relay, random);
-        Path jar = home.resolve("relay/target/pathlane-relay.jar");
+        publishedServers = new PublishedServers(loop, shape.services);
+        clients = new WatchClients(loop, publishedServers, relay, random);
+        Path jar = projectRoot.resolve("relay/target/pathlane-relay.jar");
         ports.put(SOURCE, Ports.free());
         for (RelayShape one : shape.relays) {
             ports.put(one.name, Ports.free());
         }
-        add(SOURCE, jar, source());
+        addProcess(SOURCE, jar, sourceSettings());
         for (RelayShape one : shape.relays) {
-            add(one.name, jar, relayText(one));
+            addProcess(one.name, jar, relaySettings(one));
         }
-        shape.clients.forEach(one -> clients.add(one, one.publishers.stream().map(this::place).toList()));
+        shape.clients.forEach(one -> clients.add(one, one.publishers.stream().map(this::publisherAddress).toList()));
     }
 
-    private String common(String role, String name) {
+    private String commonSettings(String role, String name) {
         return "role = '" + role + "'\nname = '" + name + "'\nlisten = '" + HOST + ":" + ports.get(name)
                 + "'\nkeys = 'discovery.keys'\n";
     }
 
-    private String limits() {
+    private String limitsSection() {
         return "[limits]\n" + shape.limits;
     }
 
-    private String source() throws InterruptedException {
+    private String sourceSettings() throws InterruptedException {
         int port = Ports.free();
-        links.put(SOURCE + ">" + BUS, loop.listen(port, () -> relay.into(SOURCE, BUS, told.accept(SOURCE))));
+        links.put(SOURCE + ">" + BUS,
+                loop.listen(port, () -> relay.forwardTo(SOURCE, BUS, publishedServers.accept(SOURCE))));
         StringBuilder services = new StringBuilder("[services]\n");
         for (int cell = 0; cell < shape.services.size(); cell++) {
             services.append(shape.services.get(cell)).append(" = [").append(cell).append("]\n");
         }
-        return common("source", SOURCE) + "epoch-file = 's.epoch'\nbus = '" + HOST + ":" + port + "'\n" + services
-                + limits();
+        return commonSettings("source", SOURCE) + "epoch-file = 's.epoch'\nbus = '" + HOST + ":" + port + "'\n" + services
+                + limitsSection();
     }
 
-    private String relayText(RelayShape one) throws InterruptedException {
-        StringBuilder text = new StringBuilder(common("relay", one.name)).append("zone = '").append(one.zone)
+    private String relaySettings(RelayShape one) throws InterruptedException {
+        StringBuilder text = new StringBuilder(commonSettings("relay", one.name)).append("zone = '").append(one.zone)
                 .append("'\nregion = '").append(one.region).append("'\n");
         for (String upstream : one.upstreams) {
             int port = Ports.free();
             InetSocketAddress target = new InetSocketAddress(HOST, ports.get(upstream));
-            links.put(one.name + ">" + upstream, loop.listen(port, () -> relay.between(one.name, upstream, target)));
-            PublisherAddress place = place(upstream);
+            links.put(one.name + ">" + upstream, loop.listen(port, () -> relay.forward(one.name, upstream, target)));
+            PublisherAddress address = publisherAddress(upstream);
             text.append("[[publishers]]\nname = '").append(upstream).append("'\naddress = '").append(HOST).append(':')
-                    .append(port).append("'\nzone = '").append(place.zone()).append("'\nregion = '").append(place.region())
+                    .append(port).append("'\nzone = '").append(address.zone()).append("'\nregion = '")
+                    .append(address.region())
                     .append("'\n");
         }
-        return text.append(WATCH).append(limits()).toString();
+        return text.append(WATCH_SECTION).append(limitsSection()).toString();
     }
 
     /** A publisher's address for clients: its own port, since clients use the relay within the test bed's process. */
-    private PublisherAddress place(String publisher) {
+    private PublisherAddress publisherAddress(String publisher) {
         InetSocketAddress address = new InetSocketAddress(HOST, ports.get(publisher));
         return shape.relays.stream().filter(one -> one.name.equals(publisher)).findFirst()
                 .map(one -> new PublisherAddress(publisher, address, one.zone, one.region))
                 .orElse(new PublisherAddress(publisher, address, "", ""));
     }
 
-    private void add(String name, Path jar, String text) throws IOException {
+    private void addProcess(String name, Path jar, String text) throws IOException {
         if (!Files.isReadable(jar)) {
             throw new IllegalArgumentException(jar + " is missing: build the project first (mvn -q -DskipTests package)");
         }
         Path file = folder.resolve(name + ".toml");
         Files.writeString(file, text);
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        command.addAll(JVM);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of("-jar", jar.toString(), file.toString()));
         processes.put(name, new RigProcess(name, command, Map.of(), folder.resolve(name + ".log"), history));
     }
@@ -165,18 +168,18 @@
     // ---- event bus
 
     /** Adds this many servers to a service. Returns their ids. */
-    public List<Long> serversCome(String service, int count) throws InterruptedException {
-        return loop.call(() -> told.come(service, count));
+    public List<Long> addServers(String service, int count) throws InterruptedException {
+        return loop.call(() -> publishedServers.add(service, count));
     }
 
     /** Publishes that these servers of a service are draining. */
-    public void serversDrain(String service, List<Long> ids) throws InterruptedException {
-        loop.run(() -> ids.forEach(id -> told.tell(id, service, ServerStatus.DRAINING)));
+    public void drainServers(String service, List<Long> ids) throws InterruptedException {
+        loop.run(() -> ids.forEach(id -> publishedServers.publish(id, service, ServerStatus.DRAINING)));
     }
 
     /** Publishes that these servers of a service are gone. */
-    public void serversGo(String service, List<Long> ids) throws InterruptedException {
-        loop.run(() -> ids.forEach(id -> told.tell(id, service, ServerStatus.GONE)));
+    public void removeServers(String service, List<Long> ids) throws InterruptedException {
+        loop.run(() -> ids.forEach(id -> publishedServers.publish(id, service, ServerStatus.GONE)));
     }
 
     // ---- processes and links
@@ -200,22 +203,22 @@
     /** SIGSTOP. */
     public void stop(String name) throws InterruptedException {
         process(name).stop();
-        stopped.add(name);
+        stoppedProcesses.add(name);
     }
 
     /** SIGCONT. */
-    public void goOn(String name) throws InterruptedException {
-        stopped.remove(name);
-        process(name).goOn();
+    public void resume(String name) throws InterruptedException {
+        stoppedProcesses.remove(name);
+        process(name).resume();
     }
 
     /** Blocks both directions between two parties; new connections time out. */
-    public void cut(String one, String other) throws InterruptedException {
+    public void block(String one, String other) throws InterruptedException {
         loop.run(() -> {
             faults.cut(one, other);
             faults.cut(other, one);
-            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::shut);
-            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::shut);
+            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::stopAccepting);
+            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::stopAccepting);
         });
     }
 
@@ -225,14 +228,14 @@
             faults.restore(one, other);
             faults.restore(other, one);
             faults.delay(one, other, Duration.ZERO);
-            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::reopen);
-            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::reopen);
+            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::resumeAccepting);
+            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::resumeAccepting);
         });
     }
 
     /** Leaves the connections between two parties half open: only the first sees them closed. */
-    public void halfOpen(String toldSide, String other) throws InterruptedException {
-        loop.run(() -> faults.halfClose(toldSide, other));
+    public void halfOpen(String notified, String other) throws InterruptedException {
+        loop.run(() -> faults.halfClose(notified, other));
     }
 
     /** Adds latency in one direction. */
@@ -243,14 +246,14 @@
     // ---- waiting and checking
 
     /** The number of events so far, as a start index for {@link #awaitLog}. */
-    public int eventsSoFar() {
+    public int eventCount() {
         return history.size();
     }
 
     /** Waits for a log line of a process that matches this expression, from an index of the history on. */
     public void awaitLog(String name, String expression, int from) throws InterruptedException {
         Predicate<String> matches = Pattern.compile(expression).asPredicate();
-        history.await("'" + expression + "' in the log of " + name, from, 1, MOST_MILLIS,
+        history.await("'" + expression + "' in the log of " + name, from, 1, TIMEOUT_MILLIS,
                 event -> event.what() == What.LOGGED && event.who().equals(name) && matches.test(event.text()));
     }
 
@@ -269,13 +272,13 @@
      * Clears all faults, waits until every client agrees with the event bus, and returns the violations that the clients
      * have observed, in order.
      */
-    public List<String> judge() throws InterruptedException {
-        for (String name : List.copyOf(stopped)) {
-            goOn(name);
+    public List<String> clearFaultsAndCheck() throws InterruptedException {
+        for (String name : List.copyOf(stoppedProcesses)) {
+            resume(name);
         }
         loop.run(() -> {
             faults.restoreAll();
-            links.values().forEach(RigLoop.Listener::reopen);
+            links.values().forEach(RigLoop.Listener::resumeAccepting);
         });
         for (String name : processes.keySet()) {
             if (!process(name).isUp()) {
@@ -283,11 +286,11 @@
             }
         }
         clients.awaitAgreement();
-        return clients.broken();
+        return clients.violations();
     }
 
     /** Writes the history to a file beside the logs. */
-    public void keepHistory() throws IOException {
+    public void writeHistory() throws IOException {
         Files.write(folder.resolve("history.txt"), history.events().stream().map(History.Event::toString).toList());
     }
 
--- a/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
+++ b/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
@@ -14,8 +14,8 @@
 
     private static final int SERVERS = 2;
     private static final int VOTERS = 3;
-    private static final int COPIES = 2;
-    private static final Duration SETTLED = Duration.ofSeconds(2);
+    private static final int REPLICAS = 2;
+    private static final Duration WARM_UP = Duration.ofSeconds(2);
     private static final Duration WINDOW = Duration.ofSeconds(2);
 
     private IdleGroup() {}
@@ -38,14 +38,14 @@
             Duration memberCpu, Duration voterCpu) {}
 
     /** Measures a group of this many members over several consecutive windows. */
-    public static List<Second> measure(Path home, int members, int windows) throws IOException, InterruptedException {
+    public static List<Second> measure(Path projectRoot, int members, int windows) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("pathlane-lab");
         List<Second> seconds = new ArrayList<>();
-        Rig.Shape shape = new Rig.Shape(members, SERVERS, VOTERS, COPIES, LeaseTerms.DEFAULT, Duration.ofMillis(5), 20_000,
+        Rig.Shape shape = new Rig.Shape(members, SERVERS, VOTERS, REPLICAS, LeaseTerms.DEFAULT, Duration.ofMillis(5), 20_000,
                 Duration.ofSeconds(5));
-        try (Rig rig = new Rig(shape, home, folder, members)) {
+        try (Rig rig = new Rig(shape, projectRoot, folder, members)) {
             rig.start();
-            Thread.sleep(SETTLED.toMillis());
+            Thread.sleep(WARM_UP.toMillis());
             for (int window = 0; window < windows; window++) {
                 Totals before = totals(rig);
                 Thread.sleep(WINDOW.toMillis());
@@ -57,12 +57,12 @@
     }
 
     private static Totals totals(Rig rig) throws InterruptedException {
-        return rig.ask(() -> new Totals(rig.faults().bytes("n", "v"), rig.faults().bytes("n", "n"),
+        return rig.callOnLoop(() -> new Totals(rig.faults().bytes("n", "v"), rig.faults().bytes("n", "n"),
                 rig.faults().bytes("v", "n"), rig.faults().bytes("v", "v"), cpu(rig, "n"), cpu(rig, "v")));
     }
 
-    private static Duration cpu(Rig rig, String letter) {
-        return rig.processes(letter).stream().map(name -> rig.process(name).cpu()).reduce(Duration.ZERO, Duration::plus);
+    private static Duration cpu(Rig rig, String prefix) {
+        return rig.processNames(prefix).stream().map(name -> rig.process(name).cpu()).reduce(Duration.ZERO, Duration::plus);
     }
 
     private static Second second(Totals before, Totals after, int members) {
--- a/lab/src/main/java/pathlane/lab/rig/ToldServers.java
+++ b/lab/src/main/java/pathlane/lab/rig/PublishedServers.java
@@ -15,7 +15,7 @@
 import pathlane.transport.Protocol;
 
 /** The event bus and the servers it has published: the state that every watch client must reach. On the event loop. */
-final class ToldServers {
+final class PublishedServers {
 
     private static final String HOST = "127.0.0.1";
     private static final int FIRST_PORT = 20_000;
@@ -23,43 +23,43 @@
     private final List<String> services;
     private final EventBus bus;
     private final Map<String, TreeMap<Long, ServerEndpoint>> servers = new HashMap<>();
-    private final Set<Long> gone = new HashSet<>();
+    private final Set<Long> goneIds = new HashSet<>();
     private long lastId;
 
     /** The services have the cells 0, 1, ... in this order. */
-    ToldServers(RigLoop loop, List<String> services) {
+    PublishedServers(RigLoop loop, List<String> services) {
         this.services = services;
         this.bus = new EventBus(loop, (follower, cell) -> FIRST_PORT + cell);
         services.forEach(service -> servers.put(service, new TreeMap<>()));
     }
 
     /** The event bus's side of a subscriber's connection. */
-    Protocol accept(String follower) {
-        return bus.accept(follower);
+    Protocol accept(String subscriber) {
+        return bus.accept(subscriber);
     }
 
     /** Publishes this many new servers of a service. Returns their ids. */
-    List<Long> come(String service, int count) {
+    List<Long> add(String service, int count) {
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             ids.add(++lastId);
-            tell(lastId, service, ServerStatus.RUNNING);
+            publish(lastId, service, ServerStatus.RUNNING);
         }
         return ids;
     }
 
     /** Publishes a server's state. */
-    void tell(long id, String service, ServerStatus mode) {
+    void publish(long id, String service, ServerStatus status) {
         int cell = services.indexOf(service);
-        if (mode == ServerStatus.GONE) {
-            gone.add(id);
+        if (status == ServerStatus.GONE) {
+            goneIds.add(id);
             servers.get(service).remove(id);
         } else {
             servers.get(service).put(id,
-                    new ServerEndpoint(id, new InetSocketAddress(HOST, FIRST_PORT + cell), mode, cell, 1,
+                    new ServerEndpoint(id, new InetSocketAddress(HOST, FIRST_PORT + cell), status, cell, 1,
                             Instant.EPOCH));
         }
-        bus.tell(id, cell, mode.ordinal(), 0);
+        bus.tell(id, cell, status.ordinal(), 0);
     }
 
     /** The current servers of a service, in ascending order of their ids. */
@@ -68,7 +68,7 @@
     }
 
     /** Whether the event bus has published that this server is gone. */
-    boolean hasGone(long id) {
-        return gone.contains(id);
+    boolean isGone(long id) {
+        return goneIds.contains(id);
     }
 }
--- a/lab/src/main/java/pathlane/lab/rig/Relay.java
+++ b/lab/src/main/java/pathlane/lab/rig/Relay.java
@@ -19,7 +19,7 @@
  */
 final class Relay {
 
-    private static final Duration DIAL_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
     private final RigLoop loop;
     private final Faults faults;
@@ -30,41 +30,41 @@
     }
 
     /** For a listening port: forwards connections from the party of this name to another process. */
-    Protocol between(String from, String to, InetSocketAddress target) {
-        return new Begun(first -> Optional.of(from), to, target);
+    Protocol forward(String from, String to, InetSocketAddress target) {
+        return new PendingConnection(first -> Optional.of(from), to, target);
     }
 
     /** The same for connections whose first bytes identify the party. */
-    Protocol between(Function<byte[], Optional<String>> from, String to, InetSocketAddress target) {
-        return new Begun(from, to, target);
+    Protocol forward(Function<byte[], Optional<String>> from, String to, InetSocketAddress target) {
+        return new PendingConnection(from, to, target);
     }
 
     /** For a listening port: forwards connections from a process to a simulated party. */
-    Protocol into(String from, String to, Protocol standIn) {
-        Joint joint = new Joint();
-        return joint.socketSide(() -> new Path(loop, faults, Duration.ZERO, from, joint.pathSide(), to, standIn));
+    Protocol forwardTo(String from, String to, Protocol standIn) {
+        Junction junction = new Junction();
+        return junction.socketSide(() -> new Path(loop, faults, Duration.ZERO, from, junction.pathSide(), to, standIn));
     }
 
     /** Connects a simulated party to a process. */
-    void out(String from, Protocol standIn, String to, InetSocketAddress target) {
-        Joint joint = new Joint();
-        loop.connect(target, DIAL_TIMEOUT, joint.socketSide(
-                () -> new Path(loop, faults, Duration.ZERO, from, standIn, to, joint.pathSide()),
+    void connect(String from, Protocol standIn, String to, InetSocketAddress target) {
+        Junction junction = new Junction();
+        loop.connect(target, CONNECT_TIMEOUT, junction.socketSide(
+                () -> new Path(loop, faults, Duration.ZERO, from, standIn, to, junction.pathSide()),
                 end -> standIn.closed(end)));
     }
 
     /** Connects one socket to one end of a path. */
-    private static final class Joint {
+    private static final class Junction {
 
         private Connection socket;
         private Connection path;
-        private CloseReason socketEnd;
+        private CloseReason socketCloseReason;
 
         Protocol socketSide(Runnable opened) {
             return socketSide(opened, end -> {});
         }
 
-        Protocol socketSide(Runnable opened, java.util.function.Consumer<CloseReason> neverUp) {
+        Protocol socketSide(Runnable opened, java.util.function.Consumer<CloseReason> connectFailed) {
             return new Protocol() {
                 @Override
                 public void opened(Connection up) {
@@ -81,11 +81,11 @@
 
                 @Override
                 public void closed(CloseReason end) {
-                    socketEnd = end;
+                    socketCloseReason = end;
                     if (path != null) {
                         path.close(end);
                     } else {
-                        neverUp.accept(end);
+                        connectFailed.accept(end);
                     }
                 }
             };
@@ -107,7 +107,7 @@
 
                 @Override
                 public void closed(CloseReason end) {
-                    if (socketEnd == null) {
+                    if (socketCloseReason == null) {
                         socket.close(end);
                     }
                 }
@@ -116,19 +116,19 @@
     }
 
     /** An incoming connection, buffered until its party is identified and the target is connected. */
-    private final class Begun implements Protocol {
+    private final class PendingConnection implements Protocol {
 
         private final Function<byte[], Optional<String>> from;
         private final String to;
         private final InetSocketAddress target;
-        private final List<byte[]> before = new ArrayList<>();
-        private final Joint near = new Joint();
+        private final List<byte[]> buffered = new ArrayList<>();
+        private final Junction near = new Junction();
         private final Protocol onSocket = near.socketSide(() -> {});
-        private boolean dialled;
-        private boolean joined;
-        private boolean closed;
+        private boolean isConnecting;
+        private boolean isJoined;
+        private boolean isClosed;
 
-        Begun(Function<byte[], Optional<String>> from, String to, InetSocketAddress target) {
+        PendingConnection(Function<byte[], Optional<String>> from, String to, InetSocketAddress target) {
             this.from = from;
             this.to = to;
             this.target = target;
@@ -137,49 +137,49 @@
         @Override
         public void opened(Connection up) {
             onSocket.opened(up);
-            look();
+            connectIfIdentified();
         }
 
-        private byte[] all() {
-            ByteBuffer all = ByteBuffer.allocate(before.stream().mapToInt(part -> part.length).sum());
-            before.forEach(all::put);
+        private byte[] bufferedBytes() {
+            ByteBuffer all = ByteBuffer.allocate(buffered.stream().mapToInt(part -> part.length).sum());
+            buffered.forEach(all::put);
             return all.array();
         }
 
-        private void look() {
-            Optional<String> name = dialled ? Optional.empty() : from.apply(all());
+        private void connectIfIdentified() {
+            Optional<String> name = isConnecting ? Optional.empty() : from.apply(bufferedBytes());
             if (name.isEmpty()) {
                 return;
             }
-            dialled = true;
-            Joint far = new Joint();
-            loop.connect(target, DIAL_TIMEOUT, far.socketSide(() -> {
-                if (closed) {
+            isConnecting = true;
+            Junction far = new Junction();
+            loop.connect(target, CONNECT_TIMEOUT, far.socketSide(() -> {
+                if (isClosed) {
                     far.socket.close(CloseReason.RESET);
                     return;
                 }
                 new Path(loop, faults, Duration.ZERO, name.get(), near.pathSide(), to, far.pathSide());
-                joined = true;
-                before.forEach(part -> onSocket.received(ByteBuffer.wrap(part)));
-                before.clear();
+                isJoined = true;
+                buffered.forEach(part -> onSocket.received(ByteBuffer.wrap(part)));
+                buffered.clear();
             }, end -> near.socket.close(CloseReason.RESET)));
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            if (joined) {
+            if (isJoined) {
                 onSocket.received(bytes);
             } else {
                 byte[] copy = new byte[bytes.remaining()];
                 bytes.get(copy);
-                before.add(copy);
-                look();
+                buffered.add(copy);
+                connectIfIdentified();
             }
         }
 
         @Override
         public void closed(CloseReason end) {
-            closed = true;
+            isClosed = true;
             onSocket.closed(end);
         }
     }
--- a/lab/src/main/java/pathlane/lab/rig/RigLoop.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigLoop.java
@@ -45,28 +45,28 @@
  */
 public final class RigLoop implements Scheduler, Connector, AutoCloseable {
 
-    private static final Duration BEAT = Duration.ofMillis(5);
+    private static final Duration STALL_CHECK_INTERVAL = Duration.ofMillis(5);
     /** Small, so that it is quickly filled; the event loop accepts connections immediately. */
     private static final int BACKLOG = 8;
     private static final String LOOPBACK = "127.0.0.1";
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private long beatAt = System.nanoTime();
-    private long mostLag;
+    private long checkedAtNanos = System.nanoTime();
+    private long maxStallNanos;
 
     /** Starts the periodic task that measures stalls of the event loop. */
     public RigLoop() {
         loop.scheduleAtFixedRate(() -> {
             long now = System.nanoTime();
-            mostLag = Math.max(mostLag, now - beatAt - BEAT.toNanos());
-            beatAt = now;
-        }, 0, BEAT.toNanos(), TimeUnit.NANOSECONDS);
+            maxStallNanos = Math.max(maxStallNanos, now - checkedAtNanos - STALL_CHECK_INTERVAL.toNanos());
+            checkedAtNanos = now;
+        }, 0, STALL_CHECK_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /** The longest stall of the event loop since it was created; must be called on the event loop. */
-    public Duration mostLag() {
-        return Duration.ofNanos(mostLag);
+    public Duration maxStall() {
+        return Duration.ofNanos(maxStallNanos);
     }
 
     @Override
@@ -120,7 +120,7 @@
          * Makes connection attempts time out, as in a partition: fills the accept queue with connections of its own, so
          * that the system drops further SYN packets and a connecting party gets no response.
          */
-        public void shut() {
+        public void stopAccepting() {
             if (!fillers.isEmpty()) {
                 return;
             }
@@ -132,7 +132,7 @@
         }
 
         /** Accepts connections again. */
-        public void reopen() {
+        public void resumeAccepting() {
             fillers.forEach(Channel::close);
             fillers.clear();
             channel.config().setAutoRead(true);
@@ -144,7 +144,7 @@
         return listen(port, BACKLOG, protocols);
     }
 
-    /** The same with the given backlog; only a listener with a small backlog supports {@link Listener#shut}. */
+    /** The same with the given backlog; only a listener with a small backlog supports {@link Listener#stopAccepting}. */
     public Listener listen(int port, int backlog, Supplier<Protocol> protocols) throws InterruptedException {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, backlog)
@@ -179,7 +179,7 @@
     }
 
     /** Opens a datagram socket on loopback that passes on each datagram with its sender. Returns its send function. */
-    BiConsumer<InetSocketAddress, byte[]> datagrams(int port, BiConsumer<InetSocketAddress, byte[]> received)
+    BiConsumer<InetSocketAddress, byte[]> openDatagramSocket(int port, BiConsumer<InetSocketAddress, byte[]> received)
             throws InterruptedException {
         Channel channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
@@ -203,7 +203,7 @@
 
         private final Protocol protocol;
         private Channel channel;
-        private CloseReason end;
+        private CloseReason closeReason;
 
         Socket(Protocol protocol) {
             this.protocol = protocol;
@@ -221,34 +221,34 @@
             byte[] copy = new byte[bytes.readableBytes()];
             bytes.readBytes(copy);
             bytes.release();
-            if (end == null) {
+            if (closeReason == null) {
                 protocol.received(ByteBuffer.wrap(copy));
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            protocol.closed(end == null ? CloseReason.CLOSED_BY_PEER : end);
+            protocol.closed(closeReason == null ? CloseReason.CLOSED_BY_PEER : closeReason);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            end = end == null ? CloseReason.RESET : end;
+            closeReason = closeReason == null ? CloseReason.RESET : closeReason;
             context.close();
         }
 
         @Override
         public void write(byte[] bytes) {
-            if (end == null) {
+            if (closeReason == null) {
                 channel.writeAndFlush(Unpooled.wrappedBuffer(bytes));
             }
         }
 
         @Override
-        public void close(CloseReason why) {
-            if (end == null) {
-                end = why;
-                if (why == CloseReason.RESET) {
+        public void close(CloseReason reason) {
+            if (closeReason == null) {
+                closeReason = reason;
+                if (reason == CloseReason.RESET) {
                     ((SocketChannel) channel).config().setSoLinger(0);
                     channel.close();
                 } else {
--- a/lab/src/main/java/pathlane/lab/rig/RigProcess.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigProcess.java
@@ -21,7 +21,7 @@
  */
 final class RigProcess {
 
-    private static final int END_SECONDS = 20;
+    private static final int EXIT_TIMEOUT_SECONDS = 20;
 
     private final String name;
     private final List<String> command;
@@ -45,8 +45,8 @@
 
     /** Whether the process is running; does not block, as it is also called on the event loop. */
     boolean isUp() {
-        Process now = process;
-        return now != null && now.isAlive();
+        Process current = process;
+        return current != null && current.isAlive();
     }
 
     /** User and system processor time of the running process. */
@@ -73,8 +73,9 @@
         reader.start();
     }
 
-    private void read(Process of) {
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8))) {
+    private void read(Process readProcess) {
+        try (BufferedReader lines =
+                new BufferedReader(new InputStreamReader(readProcess.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 Files.writeString(log, line + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
                 history.note(What.LOGGED, name, "", "", line);
@@ -88,21 +89,21 @@
     synchronized void kill() throws InterruptedException {
         if (isUp()) {
             signal("KILL", "killed");
-            awaitEnd();
+            awaitExit();
         }
     }
 
     /** Sends SIGTERM. Returns immediately. */
-    void term() throws InterruptedException {
+    void terminate() throws InterruptedException {
         signal("TERM", "asked to end");
     }
 
     /** Waits until the process has exited. */
-    synchronized void awaitEnd() throws InterruptedException {
-        if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+    synchronized void awaitExit() throws InterruptedException {
+        if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IllegalStateException(name + " does not exit");
         }
-        reader.join(END_SECONDS * 1000L);
+        reader.join(EXIT_TIMEOUT_SECONDS * 1000L);
     }
 
     /** Sends SIGSTOP: the process is suspended and its connections stay open. */
@@ -111,17 +112,17 @@
     }
 
     /** Sends SIGCONT. */
-    void goOn() throws InterruptedException {
+    void resume() throws InterruptedException {
         signal("CONT", "continued");
     }
 
     /** Uses the system's {@code kill}: the JDK's methods to end a process close its output before it is read. */
-    private synchronized void signal(String signal, String did) throws InterruptedException {
-        history.note(What.DID, name, "", "", did);
+    private synchronized void signal(String signal, String action) throws InterruptedException {
+        history.note(What.DID, name, "", "", action);
         try {
             int status = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
             if (status != 0) {
-                throw new IllegalStateException(name + " was not " + did + ": kill exited with " + status);
+                throw new IllegalStateException(name + " was not " + action + ": kill exited with " + status);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/lab/src/main/java/pathlane/lab/rig/Scenario.java
+++ b/lab/src/main/java/pathlane/lab/rig/Scenario.java
@@ -19,11 +19,11 @@
  */
 public record Scenario(String title, Rig.Shape shape, List<String> steps) {
 
-    private static final Set<String> KNOWN = Set.of("title", "controllers", "servers", "voters", "copies", "lease-ms",
+    private static final Set<String> KNOWN_KEYS = Set.of("title", "controllers", "servers", "voters", "copies", "lease-ms",
             "work-ms", "pace", "orphans-s", "steps");
-    private static final double DRIFT = 0.01;
-    private static final int LAG_PART = 8;
-    private static final int MOST_PROCESSES = 64;
+    private static final double CLOCK_DRIFT = 0.01;
+    private static final int WRITE_LAG_DIVISOR = 8;
+    private static final int MAX_PROCESSES = 64;
 
     /**
      * Reads a scenario file.
@@ -42,9 +42,9 @@
                     + toml.errors().get(0).getMessage());
         }
         for (String key : toml.keySet()) {
-            if (!KNOWN.contains(key)) {
+            if (!KNOWN_KEYS.contains(key)) {
                 throw new IllegalArgumentException(file + ": '" + key + "' is not a known key; known keys: "
-                        + String.join(", ", KNOWN.stream().sorted().toList()));
+                        + String.join(", ", KNOWN_KEYS.stream().sorted().toList()));
             }
         }
         TomlArray lines = toml.getArray("steps");
@@ -55,25 +55,26 @@
         for (int i = 0; i < lines.size(); i++) {
             steps.add(lines.getString(i));
         }
-        Duration lease = Duration.ofMillis(whole(file, toml, "lease-ms", 1000, 300, 60_000));
-        Rig.Shape shape = new Rig.Shape(whole(file, toml, "controllers", 3, 1, MOST_PROCESSES),
-                whole(file, toml, "servers", 2, 1, MOST_PROCESSES), whole(file, toml, "voters", 3, 0, 7),
-                whole(file, toml, "copies", 2, 1, 9), new LeaseTerms(lease, DRIFT, lease.dividedBy(LAG_PART)),
-                Duration.ofMillis(whole(file, toml, "work-ms", 5, 0, 60_000)),
-                whole(file, toml, "pace", 20_000, 100, 1_000_000),
-                Duration.ofSeconds(whole(file, toml, "orphans-s", 2, 0, 600)));
+        Duration lease = Duration.ofMillis(integer(file, toml, "lease-ms", 1000, 300, 60_000));
+        Rig.Shape shape = new Rig.Shape(integer(file, toml, "controllers", 3, 1, MAX_PROCESSES),
+                integer(file, toml, "servers", 2, 1, MAX_PROCESSES), integer(file, toml, "voters", 3, 0, 7),
+                integer(file, toml, "copies", 2, 1, 9),
+                new LeaseTerms(lease, CLOCK_DRIFT, lease.dividedBy(WRITE_LAG_DIVISOR)),
+                Duration.ofMillis(integer(file, toml, "work-ms", 5, 0, 60_000)),
+                integer(file, toml, "pace", 20_000, 100, 1_000_000),
+                Duration.ofSeconds(integer(file, toml, "orphans-s", 2, 0, 600)));
         String title = toml.getString("title");
         return new Scenario(title == null ? file.getFileName().toString() : title, shape, List.copyOf(steps));
     }
 
-    private static int whole(Path file, TomlParseResult toml, String key, int usual, int least, int most) {
+    private static int integer(Path file, TomlParseResult toml, String key, int defaultValue, int min, int max) {
         Object value = toml.get(key);
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
-        if (!(value instanceof Long number) || number < least || number > most) {
+        if (!(value instanceof Long number) || number < min || number > max) {
             throw new IllegalArgumentException(file + ": '" + key + "' is " + value + "; expected an integer from "
-                    + least + " to " + most);
+                    + min + " to " + max);
         }
         return (int) (long) number;
     }
--- a/lab/src/main/java/pathlane/lab/rig/WatchWitness.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchChecker.java
@@ -20,24 +20,24 @@
  * Checks the updates that one watch client receives: no service's revision goes backwards, each state matches its digest,
  * and no endpoint is removed unless the event bus has published that it is gone. Runs on the test bed's event loop.
  */
-final class WatchWitness implements WatchListener {
+final class WatchChecker implements WatchListener {
 
     private final String client;
-    private final LongPredicate hasGone;
+    private final LongPredicate isGone;
     private final Map<String, ServiceState> states = new HashMap<>();
     private final Map<String, Revision> revisions = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private Optional<PublisherStatus> status = Optional.empty();
 
     /** {@code hasGone} returns whether the event bus has published that the endpoint with this id is gone. */
-    WatchWitness(String client, LongPredicate hasGone) {
+    WatchChecker(String client, LongPredicate isGone) {
         this.client = client;
-        this.hasGone = hasGone;
+        this.isGone = isGone;
     }
 
     /** The violations, in order of time. */
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return violations;
     }
 
     /** The last status of the connected publisher; empty while none is connected. */
@@ -47,24 +47,24 @@
 
     @Override
     public void changed(ServiceState state, ServiceChange change) {
-        follows(state.service(), state.revision());
+        checkRevision(state.service(), state.revision());
         if (ServiceDigest.of(state.endpoints(), state.configuration()) != state.digest()) {
-            broken.add(client + ": " + state.service() + " at " + state.revision() + " differs from its digest");
+            violations.add(client + ": " + state.service() + " at " + state.revision() + " differs from its digest");
         }
         Set<Long> kept = new HashSet<>();
         state.endpoints().forEach(endpoint -> kept.add(endpoint.id()));
-        takenAway(states.put(state.service(), state), kept, state.revision());
+        checkRemoved(states.put(state.service(), state), kept, state.revision());
     }
 
     @Override
     public void absent(String service, Revision revision) {
-        follows(service, revision);
-        takenAway(states.remove(service), Set.of(), revision);
+        checkRevision(service, revision);
+        checkRemoved(states.remove(service), Set.of(), revision);
     }
 
     @Override
-    public void status(PublisherStatus fresh) {
-        status = Optional.of(fresh);
+    public void status(PublisherStatus latest) {
+        status = Optional.of(latest);
     }
 
     @Override
@@ -72,20 +72,20 @@
         status = Optional.empty();
     }
 
-    private void follows(String service, Revision revision) {
+    private void checkRevision(String service, Revision revision) {
         Revision before = revisions.put(service, revision);
         if (before != null && before.isAfter(revision)) {
-            broken.add(client + ": " + service + " went back from " + before + " to " + revision);
+            violations.add(client + ": " + service + " went back from " + before + " to " + revision);
         }
     }
 
-    private void takenAway(ServiceState before, Set<Long> kept, Revision revision) {
+    private void checkRemoved(ServiceState before, Set<Long> kept, Revision revision) {
         if (before == null) {
             return;
         }
         for (ServerEndpoint endpoint : before.endpoints()) {
-            if (!kept.contains(endpoint.id()) && !hasGone.test(endpoint.id())) {
-                broken.add(client + ": endpoint " + endpoint.id() + " of " + before.service() + " was removed at "
+            if (!kept.contains(endpoint.id()) && !isGone.test(endpoint.id())) {
+                violations.add(client + ": endpoint " + endpoint.id() + " of " + before.service() + " was removed at "
                         + revision + " and is not gone");
             }
         }
--- a/lab/src/main/java/pathlane/lab/rig/WatchClients.java
+++ b/lab/src/main/java/pathlane/lab/rig/WatchClients.java
@@ -23,30 +23,30 @@
 import pathlane.transport.RateLimitedLog;
 
 /**
- * Real watch clients on the test bed's event loop, each with a {@link WatchWitness}; they reach publishers through its
+ * Real watch clients on the test bed's event loop, each with a {@link WatchChecker}; they reach publishers through its
  * {@link Relay}. Waits for conditions on their state, which is read on the event loop. Used from one thread.
  */
 public final class WatchClients {
 
-    private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
-    private static final long LOOK_MILLIS = 10;
+    private static final long TIMEOUT_MILLIS = Long.getLong("lab.most-ms", 60_000);
+    private static final long POLL_INTERVAL_MILLIS = 10;
     private static final int NONCE_BYTES = 16;
-    private static final Duration BACKOFF_FIRST = Duration.ofMillis(50);
-    private static final Duration BACKOFF_MOST = Duration.ofMillis(400);
-    private static final Duration SILENT_AFTER = Duration.ofSeconds(2);
-    private static final Duration RETURN_WITHIN = Duration.ofMillis(200);
+    private static final Duration MIN_BACKOFF = Duration.ofMillis(50);
+    private static final Duration MAX_BACKOFF = Duration.ofMillis(400);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration MAX_RETURN_DELAY = Duration.ofMillis(200);
 
-    private record Watching(ClientShape shape, WatchClient client, WatchWitness witness) {}
+    private record WatchingClient(ClientShape shape, WatchClient client, WatchChecker witness) {}
 
     private final RigLoop loop;
-    private final ToldServers told;
+    private final PublishedServers published;
     private final Relay relay;
     private final SplittableRandom random;
-    private final Map<String, Watching> clients = new LinkedHashMap<>();
+    private final Map<String, WatchingClient> clients = new LinkedHashMap<>();
 
-    WatchClients(RigLoop loop, ToldServers told, Relay relay, SplittableRandom random) {
+    WatchClients(RigLoop loop, PublishedServers published, Relay relay, SplittableRandom random) {
         this.loop = loop;
-        this.told = told;
+        this.published = published;
         this.relay = relay;
         this.random = random;
     }
@@ -55,7 +55,8 @@
     void add(ClientShape shape, List<PublisherAddress> publishers) {
         Map<InetSocketAddress, String> names = new HashMap<>();
         publishers.forEach(publisher -> names.put(publisher.address(), publisher.name()));
-        Connector dialer = (address, timeout, protocol) -> relay.out(shape.name(), protocol, names.get(address), address);
+        Connector connector =
+                (address, timeout, protocol) -> relay.connect(shape.name(), protocol, names.get(address), address);
         KeyRing keys = KeyRing.read(DiscoveryRig.KEYS);
         SplittableRandom nonces = random.split();
         AuthenticatedLink.Context common = new AuthenticatedLink.Context(shape.name(), () -> keys, () -> {
@@ -63,12 +64,12 @@
             nonces.nextBytes(nonce);
             return nonce;
         }, loop, new RateLimitedLog("rig", loop));
-        WatchTerms terms = new WatchTerms(shape.name(), shape.zone(), shape.region(), publishers, BACKOFF_FIRST,
-                BACKOFF_MOST, SILENT_AFTER, RETURN_WITHIN);
-        WatchWitness witness = new WatchWitness(shape.name(), told::hasGone);
-        WatchClient client = new WatchClient(terms, dialer, common, loop, random.split(), witness);
+        WatchTerms terms = new WatchTerms(shape.name(), shape.zone(), shape.region(), publishers, MIN_BACKOFF,
+                MAX_BACKOFF, IDLE_TIMEOUT, MAX_RETURN_DELAY);
+        WatchChecker witness = new WatchChecker(shape.name(), published::isGone);
+        WatchClient client = new WatchClient(terms, connector, common, loop, random.split(), witness);
         shape.services().forEach(client::watch);
-        clients.put(shape.name(), new Watching(shape, client, witness));
+        clients.put(shape.name(), new WatchingClient(shape, client, witness));
     }
 
     void start() throws InterruptedException {
@@ -93,22 +94,24 @@
     }
 
     /** All violations that the clients have observed so far. */
-    public List<String> broken() throws InterruptedException {
-        return loop.call(() -> clients.values().stream().flatMap(watching -> watching.witness.broken().stream()).toList());
+    public List<String> violations() throws InterruptedException {
+        return loop
+                .call(() -> clients.values().stream().flatMap(watching -> watching.witness.violations().stream()).toList());
     }
 
     // ---- waiting
 
     /** Waits until these clients (all, if none is named) have exactly the servers that the event bus has published. */
     public void awaitAgreement(String... names) throws InterruptedException {
-        List<String> who = names.length == 0 ? List.copyOf(clients.keySet()) : List.of(names);
-        await("agreement of " + who, () -> who.stream().allMatch(name -> difference(clients.get(name)).isEmpty()));
+        List<String> clientNames = names.length == 0 ? List.copyOf(clients.keySet()) : List.of(names);
+        await("agreement of " + clientNames,
+                () -> clientNames.stream().allMatch(name -> difference(clients.get(name)).isEmpty()));
     }
 
     /** The difference between a client's state and the servers that the event bus has published. */
-    private Optional<String> difference(Watching watching) {
+    private Optional<String> difference(WatchingClient watching) {
         for (String service : watching.shape.services()) {
-            List<ServerEndpoint> expected = told.endpoints(service);
+            List<ServerEndpoint> expected = published.endpoints(service);
             Optional<ServiceState> state = watching.client.state(service);
             if (state.isEmpty() || !state.get().endpoints().equals(expected)
                     || state.get().digest() != ServiceDigest.of(expected, "")) {
@@ -132,18 +135,19 @@
 
     /** Waits until a client has received this many more messages of any kind. */
     public void awaitMessages(String client, int more) throws InterruptedException {
-        WatchClient one = clients.get(client).client;
-        long wanted = loop.call(() -> one.counters().messagesReceived()) + more;
-        await(more + " messages at " + client, () -> one.counters().messagesReceived() >= wanted);
+        WatchClient watchClient = clients.get(client).client;
+        long wanted = loop.call(() -> watchClient.counters().messagesReceived()) + more;
+        await(more + " messages at " + client, () -> watchClient.counters().messagesReceived() >= wanted);
     }
 
     /** Waits until a condition, evaluated on the event loop, holds. */
-    void await(String what, Callable<Boolean> holds) throws InterruptedException {
-        for (int looks = 0; !loop.call(holds); looks++) {
-            if (looks * LOOK_MILLIS > MOST_MILLIS) {
-                throw new IllegalStateException("timed out waiting for " + what + "; " + loop.call(this::differences));
+    void await(String description, Callable<Boolean> condition) throws InterruptedException {
+        for (int polls = 0; !loop.call(condition); polls++) {
+            if (polls * POLL_INTERVAL_MILLIS > TIMEOUT_MILLIS) {
+                throw new IllegalStateException(
+                        "timed out waiting for " + description + "; " + loop.call(this::differences));
             }
-            Thread.sleep(LOOK_MILLIS);   // poll interval
+            Thread.sleep(POLL_INTERVAL_MILLIS);   // poll interval
         }
     }
 
--- a/lab/src/test/java/pathlane/lab/ScheduleTest.java
+++ b/lab/src/test/java/pathlane/lab/ScheduleTest.java
@@ -21,21 +21,21 @@
     private static final int SCHEDULES = Integer.getInteger("schedules", 300);
 
     @BeforeAll
-    static void quiet() {
+    static void configureLogging() {
         Logger root = LogManager.getLogManager().getLogger("");
         root.setLevel(Level.parse(System.getProperty("pathlane.log", "OFF")));
     }
 
     @Test
-    void everyScheduleKeepsTheRules() {
-        Long one = Long.getLong("seed");
-        LongStream seeds = one != null ? LongStream.of(one) : LongStream.rangeClosed(1, SCHEDULES);
-        Map<Long, String> broken = new ConcurrentSkipListMap<>();
+    void everyScheduleKeepsTheInvariants() {
+        Long onlySeed = Long.getLong("seed");
+        LongStream seeds = onlySeed != null ? LongStream.of(onlySeed) : LongStream.rangeClosed(1, SCHEDULES);
+        Map<Long, String> violations = new ConcurrentSkipListMap<>();
         seeds.parallel().forEach(seed -> {
-            if (broken.size() < 3) {
-                new Schedule(seed, 3 + (int) (seed % 3)).play().ifPresent(what -> broken.put(seed, what));
+            if (violations.size() < 3) {
+                new Schedule(seed, 3 + (int) (seed % 3)).run().ifPresent(what -> violations.put(seed, what));
             }
         });
-        assertEquals(Map.of(), new TreeMap<>(broken));
+        assertEquals(Map.of(), new TreeMap<>(violations));
     }
 }
--- a/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
+++ b/lab/src/test/java/pathlane/lab/rig/DiscoveryScenarioTest.java
@@ -28,26 +28,26 @@
  */
 class DiscoveryScenarioTest {
 
-    private static final int AT_ONCE = 3;
+    private static final int PARALLEL_RUNS = 3;
     private static final String ACCOUNTS = "accounts";
     private static final String PAYMENTS = "payments";
     private static final List<String> SERVICES = List.of(ACCOUNTS, PAYMENTS);
-    private static final String BRISK = "bookmark-ms = 100\n";
+    private static final String FAST_BOOKMARKS = "bookmark-ms = 100\n";
     /** So small that a subscriber that reads slowly falls behind immediately. */
-    private static final String SMALL_WINDOW = BRISK + "unacknowledged-bytes = 4096\nupdate-bytes = 4096\n";
+    private static final String SMALL_WINDOW = FAST_BOOKMARKS + "unacknowledged-bytes = 4096\nupdate-bytes = 4096\n";
 
     /** Bytes that a publisher without data sends to a client over a few connections, each of which the client closes. */
-    private static final long SOME_TRIES = 600;
+    private static final long BYTES_OF_SEVERAL_CONNECTIONS = 600;
 
     @TempDir
     Path folder;
 
     /** The steps on a started test bed. */
-    private interface Story {
-        void play(DiscoveryRig rig) throws InterruptedException;
+    private interface Script {
+        void run(DiscoveryRig rig) throws InterruptedException;
     }
 
-    private record Scenario(Shape shape, Story story) {}
+    private record Scenario(Shape shape, Script script) {}
 
     private static ClientShape client(String name, String zone, String region, String... publishers) {
         return new ClientShape(name, zone, region, List.of(publishers), SERVICES);
@@ -71,150 +71,151 @@
     private static Shape twoRegions() {
         return new Shape(SERVICES, List.of(relay("ra", "za", "near", "s"), relay("rf", "zf", "far", "ra")),
                 List.of(client("a1", "za", "near", "ra"), client("f1", "zf", "far", "rf"), client("f2", "zf", "far", "rf")),
-                BRISK);
+                FAST_BOOKMARKS);
     }
 
     private static final Map<String, Scenario> SCENARIOS = new TreeMap<>(Map.of(
-            "a relay is killed and restarts", new Scenario(twoRelays(BRISK), rig -> {
-                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+            "a relay is killed and restarts", new Scenario(twoRelays(FAST_BOOKMARKS), rig -> {
+                List<Long> servers = rig.addServers(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.clients().awaitPublisher("a1", "ra");
                 rig.kill("ra");
-                rig.serversGo(ACCOUNTS, servers.subList(0, 5));
+                rig.removeServers(ACCOUNTS, servers.subList(0, 5));
                 rig.clients().awaitPublisher("a1", "rb");
-                rig.serversDrain(ACCOUNTS, servers.subList(5, 8));
+                rig.drainServers(ACCOUNTS, servers.subList(5, 8));
                 rig.clients().awaitAgreement();
                 rig.start("ra");
-                rig.serversCome(PAYMENTS, 3);
+                rig.addServers(PAYMENTS, 3);
                 rig.clients().awaitPublisher("a1", "ra");
             }),
-            "a relay is stopped and resumes", new Scenario(twoRelays(BRISK), rig -> {
-                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+            "a relay is stopped and resumes", new Scenario(twoRelays(FAST_BOOKMARKS), rig -> {
+                List<Long> servers = rig.addServers(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.clients().awaitPublisher("a1", "ra");
                 rig.stop("ra");
-                rig.serversGo(ACCOUNTS, servers.subList(0, 5));
+                rig.removeServers(ACCOUNTS, servers.subList(0, 5));
                 rig.clients().awaitPublisher("a1", "rb");
                 rig.clients().awaitAgreement();
-                rig.serversCome(PAYMENTS, 3);
-                rig.goOn("ra");
+                rig.addServers(PAYMENTS, 3);
+                rig.resume("ra");
                 rig.clients().awaitPublisher("a1", "ra");
             }),
-            "links are half open", new Scenario(twoRelays(BRISK), rig -> {
-                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+            "links are half open", new Scenario(twoRelays(FAST_BOOKMARKS), rig -> {
+                List<Long> servers = rig.addServers(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.clients().awaitPublisher("a1", "ra");
-                int from = rig.eventsSoFar();
+                int from = rig.eventCount();
                 rig.halfOpen("s", "ra");
                 rig.halfOpen("rb", "b1");
-                rig.serversGo(ACCOUNTS, servers.subList(0, 5));
+                rig.removeServers(ACCOUNTS, servers.subList(0, 5));
                 rig.awaitLog("ra", "publisher s is lost: SILENT", from);
                 rig.clients().awaitAgreement("a1", "a2", "a3", "b1");
             }),
-            "the source restarts", new Scenario(twoRelays(BRISK), rig -> {
-                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+            "the source restarts", new Scenario(twoRelays(FAST_BOOKMARKS), rig -> {
+                List<Long> servers = rig.addServers(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.kill("s");
                 rig.clients().awaitStale("a1");
-                rig.serversGo(ACCOUNTS, servers.subList(0, 5));
-                rig.serversCome(PAYMENTS, 3);
+                rig.removeServers(ACCOUNTS, servers.subList(0, 5));
+                rig.addServers(PAYMENTS, 3);
                 rig.start("s");
                 rig.clients().awaitAgreement();
                 assertEquals(2, rig.clients().state("a1", ACCOUNTS).orElseThrow().revision().epoch());
             }),
-            "the source restarts before its event bus is reachable", new Scenario(twoRelays(BRISK), rig -> {
-                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+            "the source restarts before its event bus is reachable", new Scenario(twoRelays(FAST_BOOKMARKS), rig -> {
+                List<Long> servers = rig.addServers(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.kill("s");
                 rig.clients().awaitStale("a1");
-                rig.cut("s", "bus");
-                int from = rig.eventsSoFar();
+                rig.block("s", "bus");
+                int from = rig.eventCount();
                 rig.start("s");
                 rig.awaitLog("ra", "services are watched at s, which is at revision 2.0", from);
                 rig.clients().awaitMessages("a1", 5);
                 assertEquals(20, rig.clients().endpoints("a1", ACCOUNTS));
-                rig.serversGo(ACCOUNTS, servers.subList(0, 15));
+                rig.removeServers(ACCOUNTS, servers.subList(0, 15));
                 rig.restore("s", "bus");
             }),
             "a region is partitioned and reconnects", new Scenario(twoRegions(), rig -> {
-                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+                List<Long> servers = rig.addServers(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
-                rig.cut("rf", "ra");
+                rig.block("rf", "ra");
                 rig.clients().awaitStale("f1");
-                rig.serversGo(ACCOUNTS, servers.subList(0, 15));
+                rig.removeServers(ACCOUNTS, servers.subList(0, 15));
                 rig.clients().awaitAgreement("a1");
                 assertEquals(20, rig.clients().endpoints("f1", ACCOUNTS));
                 rig.restore("rf", "ra");
                 rig.clients().awaitAgreement("f1", "f2");
             }),
             "a subscriber reads slowly", new Scenario(twoRelays(SMALL_WINDOW), rig -> {
-                List<Long> servers = rig.serversCome(ACCOUNTS, 50);
+                List<Long> servers = rig.addServers(ACCOUNTS, 50);
                 rig.clients().awaitAgreement();
                 rig.clients().awaitPublisher("a1", "ra");
                 long slowBefore = rig.clients().deltas("a1");
                 long promptBefore = rig.clients().deltas("a2");
                 rig.delay("ra", "a1", Duration.ofSeconds(1));
                 for (Long server : servers.subList(0, 20)) {
-                    rig.serversGo(ACCOUNTS, List.of(server));
-                    rig.serversCome(ACCOUNTS, 60);
+                    rig.removeServers(ACCOUNTS, List.of(server));
+                    rig.addServers(ACCOUNTS, 60);
                     rig.clients().awaitAgreement("a2", "b1");
                 }
                 rig.restore("ra", "a1");
                 rig.clients().awaitAgreement();
                 long slow = rig.clients().deltas("a1") - slowBefore;
                 long prompt = rig.clients().deltas("a2") - promptBefore;
-                assertTrue(slow * 2 <= prompt, slow + " deltas were sent to the slow client, " + prompt + " to the prompt one");
+                assertTrue(slow * 2 <= prompt,
+                        slow + " deltas were sent to the slow client, " + prompt + " to the prompt one");
             }),
-            "a relay starts empty", new Scenario(twoRelays(BRISK), rig -> {
-                List<Long> servers = rig.serversCome(ACCOUNTS, 20);
+            "a relay starts empty", new Scenario(twoRelays(FAST_BOOKMARKS), rig -> {
+                List<Long> servers = rig.addServers(ACCOUNTS, 20);
                 rig.clients().awaitAgreement();
                 rig.kill("rb");
-                rig.cut("rb", "s");
+                rig.block("rb", "s");
                 rig.start("rb");
                 rig.clients().awaitPublisher("a1", "ra");
                 rig.kill("ra");
-                rig.awaitBytes("rb", "a1", SOME_TRIES);
+                rig.awaitBytes("rb", "a1", BYTES_OF_SEVERAL_CONNECTIONS);
                 assertEquals(20, rig.clients().endpoints("a1", ACCOUNTS));
-                rig.serversGo(ACCOUNTS, servers.subList(0, 15));
+                rig.removeServers(ACCOUNTS, servers.subList(0, 15));
                 rig.restore("rb", "s");
             })));
 
     @Test
-    void everyClientEndsAtTheSourcesContentAndSeesNothingWrong() throws Exception {
-        String only = System.getProperty("scenario", "");
+    void everyClientConvergesWithoutViolations() throws Exception {
+        String prefix = System.getProperty("scenario", "");
         long seed = Long.getLong("seed", 1);
         Map<String, Scenario> chosen = new TreeMap<>(SCENARIOS);
-        chosen.keySet().removeIf(name -> !name.startsWith(only));
-        assertTrue(!chosen.isEmpty(), "no scenario is named " + only);
-        Map<String, String> broken = new ConcurrentSkipListMap<>();
-        ExecutorService players = Executors.newFixedThreadPool(AT_ONCE);
-        List<Future<?>> plays = new ArrayList<>();
-        chosen.forEach((name, scenario) -> plays.add(players.submit(() -> {
-            List<String> verdict = play(name, scenario, seed);
+        chosen.keySet().removeIf(name -> !name.startsWith(prefix));
+        assertTrue(!chosen.isEmpty(), "no scenario is named " + prefix);
+        Map<String, String> violations = new ConcurrentSkipListMap<>();
+        ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_RUNS);
+        List<Future<?>> runs = new ArrayList<>();
+        chosen.forEach((name, scenario) -> runs.add(executor.submit(() -> {
+            List<String> verdict = run(name, scenario, seed);
             if (!verdict.isEmpty()) {
-                broken.put(name + ", seed " + seed, String.join("\n", verdict));
+                violations.put(name + ", seed " + seed, String.join("\n", verdict));
             }
             return null;
         })));
-        for (Future<?> play : plays) {
+        for (Future<?> play : runs) {
             play.get();
         }
-        players.shutdown();
-        assertEquals(Map.of(), new TreeMap<>(broken));
+        executor.shutdown();
+        assertEquals(Map.of(), new TreeMap<>(violations));
     }
 
-    private List<String> play(String name, Scenario scenario, long seed) throws Exception {
-        Path own = Files.createDirectory(folder.resolve(name.replace(' ', '-')));
-        try (DiscoveryRig rig = new DiscoveryRig(scenario.shape(), Path.of("..").toRealPath(), own, seed)) {
+    private List<String> run(String name, Scenario scenario, long seed) throws Exception {
+        Path runFolder = Files.createDirectory(folder.resolve(name.replace(' ', '-')));
+        try (DiscoveryRig rig = new DiscoveryRig(scenario.shape(), Path.of("..").toRealPath(), runFolder, seed)) {
             try {
                 rig.start();
-                scenario.story().play(rig);
-                return rig.judge();
+                scenario.script().run(rig);
+                return rig.clearFaultsAndCheck();
             } catch (IllegalStateException | AssertionError e) {
-                List<String> verdict = new ArrayList<>(List.of(String.valueOf(e.getMessage())));
-                verdict.addAll(rig.clients().broken());
-                rig.keepHistory();
-                return verdict;
+                List<String> violations = new ArrayList<>(List.of(String.valueOf(e.getMessage())));
+                violations.addAll(rig.clients().violations());
+                rig.writeHistory();
+                return violations;
             }
         }
     }
--- a/lab/src/test/java/pathlane/lab/rig/ScenarioTest.java
+++ b/lab/src/test/java/pathlane/lab/rig/ScenarioTest.java
@@ -26,40 +26,41 @@
  */
 class ScenarioTest {
 
-    private static final int AT_ONCE = 3;
+    private static final int PARALLEL_RUNS = 3;
 
     @TempDir
     Path folder;
 
     @Test
-    void everyScenarioKeepsTheRules() throws Exception {
-        String only = System.getProperty("scenario", "kill-500");
+    void everyScenarioKeepsTheInvariants() throws Exception {
+        String prefix = System.getProperty("scenario", "kill-500");
         long seed = Long.getLong("seed", 1);
         List<Path> files;
         try (Stream<Path> all = Files.list(Path.of("scenarios"))) {
-            files = all.filter(file -> file.getFileName().toString().startsWith(only)).sorted().toList();
+            files = all.filter(file -> file.getFileName().toString().startsWith(prefix)).sorted().toList();
         }
-        assertTrue(!files.isEmpty(), "no scenario is named " + only);
-        Map<String, String> broken = new ConcurrentSkipListMap<>();
-        ExecutorService players = Executors.newFixedThreadPool(AT_ONCE);
-        List<Future<?>> plays = new ArrayList<>();
+        assertTrue(!files.isEmpty(), "no scenario is named " + prefix);
+        Map<String, String> violations = new ConcurrentSkipListMap<>();
+        ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_RUNS);
+        List<Future<?>> runs = new ArrayList<>();
         for (Path file : files) {
-            plays.add(players.submit(() -> {
-                Path own = Files.createDirectory(folder.resolve(file.getFileName().toString()));
-                Optional<String> verdict = ScenarioRun.play(Scenario.read(file), Path.of("..").toRealPath(), own, seed);
-                verdict.ifPresent(what -> broken.put(file.getFileName() + ", seed " + seed, what));
+            runs.add(executor.submit(() -> {
+                Path runFolder = Files.createDirectory(folder.resolve(file.getFileName().toString()));
+                Optional<String> violation =
+                        ScenarioRun.run(Scenario.read(file), Path.of("..").toRealPath(), runFolder, seed);
+                violation.ifPresent(what -> violations.put(file.getFileName() + ", seed " + seed, what));
                 return null;
             }));
         }
-        for (Future<?> play : plays) {
+        for (Future<?> play : runs) {
             play.get();
         }
-        players.shutdown();
-        assertEquals(Map.of(), new TreeMap<>(broken));
+        executor.shutdown();
+        assertEquals(Map.of(), new TreeMap<>(violations));
     }
 
     @Test
-    void aScenarioThatCannotBeUsedIsToldInOneSentence() throws IOException {
+    void invalidScenariosAreReported() throws IOException {
         Path file = folder.resolve("bad.toml");
         Files.writeString(file, "controlers = 3\nsteps = [\"kill n1\"]\n");
         assertTrue(assertThrows(IllegalArgumentException.class, () -> Scenario.read(file)).getMessage()
