--- a/lab/src/main/java/pathlane/lab/rig/RigLoop.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigLoop.java
@@ -41,7 +41,7 @@
 
 /**
  * The test bed's event loop: its only thread, its scheduler and its sockets, on loopback only. Unlike the program's own
- * transport it can reset a connection (RST), which is one of the faults. The measured lag is the max error of recorded times.
+ * transport it can reset a connection (RST), which is one of the faults. Its stalls bound the error of recorded times.
  */
 public final class RigLoop implements Scheduler, Connector, AutoCloseable {
 
--- a/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
+++ b/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
@@ -125,7 +125,7 @@
     private String describeRemainingCalls() throws InterruptedException {
         return rig.callOnLoop(() -> {
             StringBuilder text =
-                    new StringBuilder("clients have " + summarize(rig.clients().established()) + " and await answers for "
+                    new StringBuilder("clients have " + summarize(rig.clients().established()) + " and wait for answers to "
                             + rig.clients().open());
             rig.servers().forEach((name, server) -> text.append(", ").append(name).append(" has ")
                     .append(summarize(server.established())));
