--- a/lab/src/main/java/pathlane/lab/MemoryStore.java
+++ b/lab/src/main/java/pathlane/lab/MemoryStore.java
@@ -14,13 +14,13 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** A voter's disk in the virtual fleet: what was written is there for the next process. */
+/** An in-memory Raft store that survives restarts of a simulated voter. */
 final class MemoryStore implements RaftStore {
 
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private final TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
     private RaftEndpointPersistentState endpoint;
-    private RaftGroupMembersView initial;
+    private RaftGroupMembersView initialMembers;
     private RaftTermPersistentState term;
 
     @Override
@@ -30,7 +30,7 @@
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) {
-        initial = members;
+        initialMembers = members;
     }
 
     @Override
@@ -65,12 +65,12 @@
 
     @Override
     public void flush() {
-        // What was written is kept at once.
+        // Every write is durable at once.
     }
 
-    /** What the next process begins with. */
+    /** The state from which a restarted voter recovers. */
     Optional<RestoredRaftState> restored() {
-        if (endpoint == null || initial == null) {
+        if (endpoint == null || initialMembers == null) {
             return Optional.empty();
         }
         DefaultRaftModelFactory models = new DefaultRaftModelFactory();
@@ -84,7 +84,7 @@
         }
         long from = snapshot == null ? 0 : snapshot.getIndex();
         RaftTermPersistentState at = term == null ? models.createRaftTermPersistentStateBuilder().setTerm(0).build() : term;
-        return Optional.of(new RestoredRaftState(endpoint, initial, at, snapshot,
+        return Optional.of(new RestoredRaftState(endpoint, initialMembers, at, snapshot,
                 new ArrayList<>(entries.tailMap(from, false).values())));
     }
 }
--- a/lab/src/main/java/pathlane/lab/ProcessTime.java
+++ b/lab/src/main/java/pathlane/lab/ProcessTime.java
@@ -11,43 +11,43 @@
 import pathlane.transport.Protocol;
 
 /**
- * Time as one process of the virtual fleet sees it: stopped and gone on, or killed, with a monotonic clock of its own that
- * is fast or slow. What is due, and what comes over its connections, waits while it is stopped.
+ * The scheduler of one simulated process, which can be stopped, resumed and killed and has a monotonic clock that may run
+ * fast or slow. Due timers and received bytes are queued while the process is stopped.
  */
 public final class ProcessTime implements Scheduler {
 
     private final Scheduler world;
     private final Instant startedAt;
-    private final double speed;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
+    private final double clockRate;
+    private final Deque<Runnable> queued = new ArrayDeque<>();
     private boolean stopped;
     private boolean dead;
     private Instant stoppedAt;
     private Duration lag = Duration.ZERO;
 
-    /** {@code speed} is how fast its monotonic clock runs, 1 for right. */
-    public ProcessTime(Scheduler world, double speed) {
+    /** {@code speed} is the rate of its monotonic clock relative to real time. */
+    public ProcessTime(Scheduler world, double clockRate) {
         this.world = world;
-        this.speed = speed;
+        this.clockRate = clockRate;
         this.startedAt = world.now();
     }
 
-    /** The monotonic clock. */
+    /** The reading of the monotonic clock. */
     public long nanos() {
-        return (long) (Duration.between(startedAt, world.now()).toNanos() * speed);
+        return (long) (Duration.between(startedAt, world.now()).toNanos() * clockRate);
     }
 
-    /** Whether it was killed. */
+    /** Whether the process was killed. */
     public boolean isDead() {
         return dead;
     }
 
-    /** Whether it is stopped now. */
+    /** Whether the process is stopped. */
     public boolean isStopped() {
         return stopped;
     }
 
-    /** Stops it, as SIGSTOP does. */
+    /** Stops the process, as SIGSTOP does. */
     public void stop() {
         if (!stopped) {
             stopped = true;
@@ -55,12 +55,12 @@
         }
     }
 
-    /** Continues it, as SIGCONT does: what waited is run, in its order. */
+    /** Resumes the process, as SIGCONT does, and runs the queued tasks in order. */
     public void goOn() {
         if (stopped) {
             stopped = false;
             lag = Duration.between(stoppedAt, world.now());
-            for (Runnable next = waiting.poll(); next != null && !stopped; next = waiting.poll()) {
+            for (Runnable next = queued.poll(); next != null && !stopped; next = queued.poll()) {
                 if (!dead) {
                     next.run();
                 }
@@ -69,25 +69,25 @@
         }
     }
 
-    /** Ends it for good. */
+    /** Kills the process. */
     public void kill() {
         dead = true;
-        waiting.clear();
+        queued.clear();
     }
 
-    /** Runs something as this process: now, or once it goes on, or never. */
-    public void run(Runnable what) {
+    /** Runs a task as this process: now, after it resumes if it is stopped, or never if it is dead. */
+    public void run(Runnable task) {
         if (dead) {
             return;
         }
         if (stopped) {
-            waiting.add(what);
+            queued.add(task);
         } else {
-            what.run();
+            task.run();
         }
     }
 
-    /** A state machine of this process, which hears nothing while it is stopped and no more once it is dead. */
+    /** Wraps a protocol of this process: it receives events only after the process resumes, and none once it is dead. */
     public Protocol own(Protocol protocol) {
         return new Protocol() {
             @Override
@@ -120,12 +120,13 @@
     @Override
     public Timer after(Duration delay, Runnable task) {
         boolean[] cancelled = new boolean[1];
-        // Its timers go by its own clock.
-        Timer timer = world.after(Duration.ofNanos((long) Math.ceil(Math.max(0, delay.toNanos()) / speed)), () -> run(() -> {
-            if (!cancelled[0]) {
-                task.run();
-            }
-        }));
+        // Timers run on the process's own clock.
+        Timer timer =
+                world.after(Duration.ofNanos((long) Math.ceil(Math.max(0, delay.toNanos()) / clockRate)), () -> run(() -> {
+                    if (!cancelled[0]) {
+                        task.run();
+                    }
+                }));
         return () -> {
             cancelled[0] = true;
             timer.cancel();
--- a/lab/src/main/java/pathlane/lab/ScriptedCaller.java
+++ b/lab/src/main/java/pathlane/lab/ScriptedCaller.java
@@ -18,11 +18,12 @@
 import pathlane.wire.Message;
 
 /**
- * Callers that come by one front: they ask, release, and are told over any of their connections. One thread at a time.
+ * Simulated clients of one front: they request and release calls and are notified on any of their connections. Not safe
+ * for threads.
  */
 public final class ScriptedCaller {
 
-    private static final int OVER = 16;
+    private static final int CAUSE_NORMAL_END = 16;
     private static final int RADIX = 16;
 
     /** Opens a connection to a controller. */
@@ -33,112 +34,112 @@
     private final String name;
     private final Front front;
     private final Witness history;
-    private final Map<String, Line> lines = new HashMap<>();
-    private final Map<String, String> open = new LinkedHashMap<>();
-    private final Map<String, String> standing = new LinkedHashMap<>();
-    private long calls;
-    private final long base;
+    private final Map<String, Link> links = new HashMap<>();
+    private final Map<String, String> pending = new LinkedHashMap<>();
+    private final Map<String, String> established = new LinkedHashMap<>();
+    private long requestCount;
+    private final long firstId;
     private Consumer<String> onRefused = call -> {};
 
-    /** {@code base} keeps its calls' ids apart from those of others. */
-    public ScriptedCaller(String name, long base, Front front, Witness history) {
+    /** {@code base} keeps its call ids apart from those of other clients. */
+    public ScriptedCaller(String name, long firstId, Front front, Witness history) {
         this.name = name;
-        this.base = base;
+        this.firstId = firstId;
         this.front = front;
         this.history = history;
     }
 
-    /** Hears of each call that is refused, fails, or whose connection ends under it. */
-    public void onRefused(Consumer<String> hears) {
-        onRefused = hears;
+    /** Is notified of each request that is refused or failed, or whose connection closes before the answer. */
+    public void onRefused(Consumer<String> listener) {
+        onRefused = listener;
     }
 
-    /** Opens a connection to a controller where there is none. */
+    /** Opens a connection to a controller if there is none. */
     public void connect(String controller) {
-        if (!lines.containsKey(controller)) {
-            Line line = new Line(controller);
-            lines.put(controller, line);
-            front.connect(controller, line);
+        if (!links.containsKey(controller)) {
+            Link link = new Link(controller);
+            links.put(controller, link);
+            front.connect(controller, link);
         }
     }
 
-    /** Whether a connection to a controller is up. */
+    /** Whether a connection to a controller is open. */
     public boolean isConnected(String controller) {
-        return lines.containsKey(controller) && lines.get(controller).connection != null;
+        return links.containsKey(controller) && links.get(controller).connection != null;
     }
 
     /**
-     * Asks for a call at a controller, at the server in this place of the list. Returns its id, or null where it is not
-     * connected.
+     * Requests a call from a controller, for the server with this index in the list. Returns the call's id, or null if the
+     * controller is not connected.
      */
-    public String ask(String controller, int place, String callClass, Duration patience) {
-        Line line = lines.get(controller);
-        if (line == null || line.connection == null) {
+    public String ask(String controller, int index, String callClass, Duration deadline) {
+        Link link = links.get(controller);
+        if (link == null || link.connection == null) {
             return null;
         }
-        return write(line, base + ++calls, place, callClass, patience);
+        return write(link, firstId + ++requestCount, index, callClass, deadline);
     }
 
-    /** Asks once more for a call under the id that it had, as a caller does whose connection ended under it. */
-    public boolean again(String call, String controller, String callClass, Duration patience) {
-        Line line = lines.get(controller);
-        if (line == null || line.connection == null || open.containsKey(call) || standing.containsKey(call)) {
+    /** Repeats a request under its old id, as a client does whose connection closed before the answer. */
+    public boolean repeat(String call, String controller, String callClass, Duration deadline) {
+        Link link = links.get(controller);
+        if (link == null || link.connection == null || pending.containsKey(call) || established.containsKey(call)) {
             return false;
         }
-        write(line, Long.parseLong(call, RADIX), 0, callClass, patience);
+        write(link, Long.parseLong(call, RADIX), 0, callClass, deadline);
         return true;
     }
 
-    private String write(Line line, long id, int place, String callClass, Duration patience) {
+    private String write(Link link, long id, int index, String callClass, Duration deadline) {
         Message message = new Message(Message.SET_UP, id).with(Message.CLASS, callClass)
-                .with(Message.PATIENCE, Long.toString(patience.toMillis()))
+                .with(Message.PATIENCE, Long.toString(deadline.toMillis()))
                 .with(Message.NUMBER, "n" + id)
-                .with(Message.FIGURES, "dest:" + place + ";width:1;via:-1")
+                .with(Message.FIGURES, "dest:" + index + ";width:1;via:-1")
                 .with(Message.DESCRIPTION, new byte[] {1, 2});
-        open.put(message.id(), line.controller);
-        history.note(What.ASKED, name, line.controller, message.id(), "");
-        line.connection.write(message.bytes());
+        pending.put(message.id(), link.controller);
+        history.note(What.ASKED, name, link.controller, message.id(), "");
+        link.connection.write(message.bytes());
         return message.id();
     }
 
-    /** Releases a call that stands, at this controller or, where it is not connected, at another. False where none is. */
+    /** Releases an established call through this controller, or another if it is not connected. False if not possible. */
     public boolean release(String call, String controller) {
-        Line line = lines.get(controller);
-        if (line == null || line.connection == null) {
-            line = lines.values().stream().filter(one -> one.connection != null).findFirst().orElse(null);
+        Link link = links.get(controller);
+        if (link == null || link.connection == null) {
+            link = links.values().stream().filter(one -> one.connection != null).findFirst().orElse(null);
         }
-        if (line == null || standing.remove(call) == null) {
+        if (link == null || established.remove(call) == null) {
             return false;
         }
-        history.note(What.RELEASED, name, line.controller, call, "");
-        line.release(call);
+        history.note(What.RELEASED, name, link.controller, call, "");
+        link.release(call);
         return true;
     }
 
-    /** Calls that stand, as far as the callers know. */
-    public Set<String> standing() {
-        return new LinkedHashSet<>(standing.keySet());
+    /** The calls that are established as far as the clients know. */
+    public Set<String> established() {
+        return new LinkedHashSet<>(established.keySet());
     }
 
-    /** Set-ups that wait for an answer. */
+    /** The number of requests that wait for an answer. */
     public int open() {
-        return open.size();
+        return pending.size();
     }
 
-    private final class Line implements Protocol {
+    private final class Link implements Protocol {
         private final String controller;
         private final FrameAssembler assembler = Message.assembler();
         private Connection connection;
-        /** Releases that were written and not heard: another connection gets them if this one ends. */
-        private final Set<String> unansweredReleases = new LinkedHashSet<>();
+        /** Releases sent without a confirmation: they are sent on another connection if this one closes. */
+        private final Set<String> unconfirmedReleases = new LinkedHashSet<>();
 
-        Line(String controller) {
+        Link(String controller) {
             this.controller = controller;
         }
 
         @Override
-        public void opened(Connection up) {
-            connection = up;
+        public void opened(Connection opened) {
+            connection = opened;
         }
 
         @Override
@@ -147,42 +148,42 @@
         }
 
         void release(String call) {
-            unansweredReleases.add(call);
-            connection.write(new Message(Message.RELEASE, call).withCause(OVER).bytes());
+            unconfirmedReleases.add(call);
+            connection.write(new Message(Message.RELEASE, call).withCause(CAUSE_NORMAL_END).bytes());
         }
 
         private void message(Message message) {
             String call = message.id();
             if (message.type == Message.ANSWER) {
-                open.remove(call);
-                standing.put(call, controller);
+                pending.remove(call);
+                established.put(call, controller);
                 history.note(What.ANSWERED, name, controller, call, "");
-            } else if (message.type == Message.RELEASE && open.remove(call) != null) {
+            } else if (message.type == Message.RELEASE && pending.remove(call) != null) {
                 int cause = message.cause();
                 history.note(cause == 34 || cause == 42 || cause == 102 ? What.REFUSED : What.FAILED, name, controller, call,
                         "cause " + cause);
                 onRefused.accept(call);
             } else if (message.type == Message.RELEASE) {
-                standing.remove(call);
+                established.remove(call);
                 history.note(What.TOLD_OVER, name, controller, call, "cause " + message.cause());
             }
         }
 
         @Override
-        public void closed(CloseReason end) {
+        public void closed(CloseReason reason) {
             connection = null;
-            lines.remove(controller, this);
-            lines.values().stream().filter(one -> one.connection != null).findFirst()
-                    .ifPresent(other -> unansweredReleases.forEach(other::release));
+            links.remove(controller, this);
+            links.values().stream().filter(one -> one.connection != null).findFirst()
+                    .ifPresent(other -> unconfirmedReleases.forEach(other::release));
             List<String> broken = new ArrayList<>();
-            open.forEach((call, at) -> {
+            pending.forEach((call, at) -> {
                 if (at.equals(controller)) {
                     broken.add(call);
                 }
             });
             broken.forEach(call -> {
-                open.remove(call);
-                history.note(What.BROKEN, name, controller, call, end.toString());
+                pending.remove(call);
+                history.note(What.BROKEN, name, controller, call, reason.toString());
                 onRefused.accept(call);
             });
         }
--- a/lab/src/main/java/pathlane/lab/VirtualVoter.java
+++ b/lab/src/main/java/pathlane/lab/VirtualVoter.java
@@ -13,7 +13,7 @@
 import pathlane.transport.RateLimitedLog;
 import pathlane.voter.RaftLog;
 
-/** A voter of the virtual fleet: the real one, with a disk in memory and messages that are lost where the way is cut. */
+/** A simulated voter: the real implementation with an in-memory store; messages over a blocked link are lost. */
 public final class VirtualVoter {
 
     private static final int NONCE_BYTES = 16;
@@ -56,29 +56,29 @@
         return time.own(voter.accept());
     }
 
-    void start(List<VirtualVoter> among) {
-        voters = among;
+    void start(List<VirtualVoter> group) {
+        voters = group;
         time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * lease.drift() * 0.9);
-        ProcessTime own = time;
+        ProcessTime processTime = time;
         AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
             return nonce;
-        }, own, new RateLimitedLog("register", own));
-        voter = new Voter(lease, common, own::nanos);
-        log = new RaftLog(name, voters.stream().map(VirtualVoter::name).toList(), voter, own, own::nanos,
+        }, processTime, new RateLimitedLog("register", processTime));
+        voter = new Voter(lease, common, processTime::nanos);
+        log = new RaftLog(name, voters.stream().map(VirtualVoter::name).toList(), voter, processTime, processTime::nanos,
                 new RaftLog.Sender() {
                     @Override
                     public void send(String to, RaftMessage message) {
                         VirtualVoter other = voters.get(Integer.parseInt(to.substring(1)) - 1);
-                        if (!faults.way(name, to).cut) {
+                        if (!faults.direction(name, to).isBlocked) {
                             world.after(VirtualFleet.LATENCY, () -> other.received(message));
                         }
                     }
 
                     @Override
                     public boolean isReachable(String to) {
-                        return !faults.way(name, to).cut;
+                        return !faults.direction(name, to).isBlocked;
                     }
                 }, store, store.restored(), new Random(random.nextLong()));
         log.start();
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Its process dies; its disk stays. */
+    /** Kills the process; its store is kept. */
     void kill() {
         if (isUp()) {
             time.kill();
@@ -103,8 +103,8 @@
         start(voters);
     }
 
-    /** Whether this voter leads. */
-    public boolean leads() {
+    /** Whether this voter is the Raft leader. */
+    public boolean isLeader() {
         return isUp() && log.isLeader();
     }
 }
--- a/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -23,37 +23,39 @@
 import pathlane.lab.Witness.What;
 
 /**
- * Discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar, an event bus
- * and watch clients of the rig's own, with a {@link Relay} on every link. Knows what the bus has told, and so what every
- * client must end at. Everything it starts it ends, by its own ids. Used from one thread.
+ * Test bed for discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar,
+ * with a simulated event bus and watch clients, and a {@link Relay} on every link. It knows which servers the event bus has
+ * published, and so the state that every client must reach. It ends every process that it starts, by its process id. Used
+ * from one thread.
  */
 public final class DiscoveryRig implements AutoCloseable {
 
-    /** The source's name among the parties. */
+    /** The party name of the source. */
     public static final String SOURCE = "s";
-    /** The event bus's name among the parties. */
+    /** The party name of the event bus. */
     public static final String BUS = "bus";
 
-    /** A relay, and whom it watches. */
+    /** A relay and the publishers it watches. */
     public record RelayShape(String name, String zone, String region, List<String> upstreams) {}
 
-    /** A watch client, whom it may watch, and which services. */
+    /** A watch client, the publishers it may use and the services it watches. */
     public record ClientShape(String name, String zone, String region, List<String> publishers, List<String> services) {}
 
     /**
-     * What there is.
+     * The parties of a test bed.
      *
-     * @param services the services by the cells 0, 1, ...
-     * @param limits lines of the publishers' {@code [limits]}
+     * @param services the services of the cells 0, 1, ...
+     * @param limits the content of the publishers' {@code [limits]} section
      */
     public record Shape(List<String> services, List<RelayShape> relays, List<ClientShape> clients, String limits) {}
 
-    private static final long MOST_MILLIS = Long.getLong("lab.most-ms", 60_000);
+    private static final long TIMEOUT_MILLIS = Long.getLong("lab.most-ms", 60_000);
     private static final String HOST = "127.0.0.1";
     static final String KEYS = "k1 " + "5a".repeat(32) + "\n";
-    private static final String WATCH = "[watch]\nbackoff-first-ms = 50\nbackoff-most-ms = 400\nsilent-after-ms = 2000\n"
-            + "return-within-ms = 200\n";
-    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto",
+    private static final String WATCH_SECTION =
+            "[watch]\nbackoff-first-ms = 50\nbackoff-most-ms = 400\nsilent-after-ms = 2000\n"
+                    + "return-within-ms = 200\n";
+    private static final List<String> JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto",
             "-Xmx128m", "-Xss512k", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true");
 
     private final Shape shape;
@@ -63,96 +65,98 @@
     private final History history = new History(System::nanoTime);
     private final Faults faults = new Faults();
     private final Relay relay = new Relay(loop, faults);
-    private final ToldServers told;
+    private final PublishedServers publishedServers;
     private final Map<String, RigProcess> processes = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new HashMap<>();
-    /** Ports that one party alone comes to, by from and to. */
+    /** Listening ports that serve a single link, by {@code from>to}. */
     private final Map<String, RigLoop.Listener> links = new HashMap<>();
     private final WatchClients clients;
-    private final Set<String> stopped = new HashSet<>();
+    private final Set<String> stoppedProcesses = new HashSet<>();
 
     /**
-     * Writes the processes' files and starts nothing yet.
+     * Writes the processes' files without starting them.
      *
-     * @param home where the project was built: the relay's jar is there
-     * @param folder for files and logs; empty
-     * @param seed decides the clients' draws
+     * @param projectRoot root of the built project, which contains the relay's jar
+     * @param folder empty folder for files and logs
+     * @param seed for the clients' random draws
      */
-    public DiscoveryRig(Shape shape, Path home, Path folder, long seed) throws IOException, InterruptedException {
+    public DiscoveryRig(Shape shape, Path projectRoot, Path folder, long seed) throws IOException, InterruptedException {
         this.shape = shape;
         this.folder = folder;
         this.random = new SplittableRandom(seed);
         Files.writeString(folder.resolve("discovery.keys"), KEYS);
-        told = new ToldServers(loop, shape.services);
-        clients = new WatchClients(loop, told, relay, random);
-        Path jar = home.resolve("relay/target/pathlane-relay.jar");
+        publishedServers = new PublishedServers(loop, shape.services);
+        clients = new WatchClients(loop, publishedServers, relay, random);
+        Path jar = projectRoot.resolve("relay/target/pathlane-relay.jar");
         ports.put(SOURCE, Ports.free());
         for (RelayShape one : shape.relays) {
             ports.put(one.name, Ports.free());
         }
-        add(SOURCE, jar, source());
+        addProcess(SOURCE, jar, sourceSettings());
         for (RelayShape one : shape.relays) {
-            add(one.name, jar, relayText(one));
+            addProcess(one.name, jar, relaySettings(one));
         }
-        shape.clients.forEach(one -> clients.add(one, one.publishers.stream().map(this::place).toList()));
+        shape.clients.forEach(one -> clients.add(one, one.publishers.stream().map(this::publisherAddress).toList()));
     }
 
-    private String common(String role, String name) {
+    private String commonSettings(String role, String name) {
         return "role = '" + role + "'\nname = '" + name + "'\nlisten = '" + HOST + ":" + ports.get(name)
                 + "'\nkeys = 'discovery.keys'\n";
     }
 
-    private String limits() {
+    private String limitsSection() {
         return "[limits]\n" + shape.limits;
     }
 
-    private String source() throws InterruptedException {
+    private String sourceSettings() throws InterruptedException {
         int port = Ports.free();
-        links.put(SOURCE + ">" + BUS, loop.listen(port, () -> relay.into(SOURCE, BUS, told.accept(SOURCE))));
+        links.put(SOURCE + ">" + BUS,
+                loop.listen(port, () -> relay.forwardTo(SOURCE, BUS, publishedServers.accept(SOURCE))));
         StringBuilder services = new StringBuilder("[services]\n");
         for (int cell = 0; cell < shape.services.size(); cell++) {
             services.append(shape.services.get(cell)).append(" = [").append(cell).append("]\n");
         }
-        return common("source", SOURCE) + "epoch-file = 's.epoch'\nbus = '" + HOST + ":" + port + "'\n" + services
-                + limits();
+        return commonSettings("source", SOURCE) + "epoch-file = 's.epoch'\nbus = '" + HOST + ":" + port + "'\n" + services
+                + limitsSection();
     }
 
-    private String relayText(RelayShape one) throws InterruptedException {
-        StringBuilder text = new StringBuilder(common("relay", one.name)).append("zone = '").append(one.zone)
+    private String relaySettings(RelayShape one) throws InterruptedException {
+        StringBuilder text = new StringBuilder(commonSettings("relay", one.name)).append("zone = '").append(one.zone)
                 .append("'\nregion = '").append(one.region).append("'\n");
         for (String upstream : one.upstreams) {
             int port = Ports.free();
             InetSocketAddress target = new InetSocketAddress(HOST, ports.get(upstream));
-            links.put(one.name + ">" + upstream, loop.listen(port, () -> relay.between(one.name, upstream, target)));
-            PublisherAddress place = place(upstream);
+            links.put(one.name + ">" + upstream, loop.listen(port, () -> relay.forward(one.name, upstream, target)));
+            PublisherAddress address = publisherAddress(upstream);
             text.append("[[publishers]]\nname = '").append(upstream).append("'\naddress = '").append(HOST).append(':')
-                    .append(port).append("'\nzone = '").append(place.zone()).append("'\nregion = '").append(place.region())
+                    .append(port).append("'\nzone = '").append(address.zone()).append("'\nregion = '")
+                    .append(address.region())
                     .append("'\n");
         }
-        return text.append(WATCH).append(limits()).toString();
+        return text.append(WATCH_SECTION).append(limitsSection()).toString();
     }
 
-    /** A publisher as clients reach it: at its own port, by way of the rig's relay in the rig's own process. */
-    private PublisherAddress place(String publisher) {
+    /** A publisher's address for clients: its own port, since clients use the relay within the test bed's process. */
+    private PublisherAddress publisherAddress(String publisher) {
         InetSocketAddress address = new InetSocketAddress(HOST, ports.get(publisher));
         return shape.relays.stream().filter(one -> one.name.equals(publisher)).findFirst()
                 .map(one -> new PublisherAddress(publisher, address, one.zone, one.region))
                 .orElse(new PublisherAddress(publisher, address, "", ""));
     }
 
-    private void add(String name, Path jar, String text) throws IOException {
+    private void addProcess(String name, Path jar, String text) throws IOException {
         if (!Files.isReadable(jar)) {
-            throw new IllegalArgumentException(jar + " is not there: build the project first (mvn -q -DskipTests package)");
+            throw new IllegalArgumentException(jar + " is missing: build the project first (mvn -q -DskipTests package)");
         }
         Path file = folder.resolve(name + ".toml");
         Files.writeString(file, text);
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        command.addAll(JVM);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of("-jar", jar.toString(), file.toString()));
         processes.put(name, new RigProcess(name, command, Map.of(), folder.resolve(name + ".log"), history));
     }
 
-    /** Starts all processes and clients, and waits until every client has what the bus has told. */
+    /** Starts all processes and clients, and waits until every client agrees with the event bus. */
     public void start() throws InterruptedException {
         for (String name : processes.keySet()) {
             start(name);
@@ -161,21 +165,21 @@
         clients.awaitAgreement();
     }
 
-    // ---- the bus
+    // ---- event bus
 
-    /** So many servers come to a service. Returns their ids. */
-    public List<Long> serversCome(String service, int count) throws InterruptedException {
-        return loop.call(() -> told.come(service, count));
+    /** Adds this many servers to a service. Returns their ids. */
+    public List<Long> addServers(String service, int count) throws InterruptedException {
+        return loop.call(() -> publishedServers.add(service, count));
     }
 
-    /** These servers of a service begin to drain. */
-    public void serversDrain(String service, List<Long> ids) throws InterruptedException {
-        loop.run(() -> ids.forEach(id -> told.tell(id, service, ServerStatus.DRAINING)));
+    /** Publishes that these servers of a service are draining. */
+    public void drainServers(String service, List<Long> ids) throws InterruptedException {
+        loop.run(() -> ids.forEach(id -> publishedServers.publish(id, service, ServerStatus.DRAINING)));
     }
 
-    /** These servers of a service have gone for good. */
-    public void serversGo(String service, List<Long> ids) throws InterruptedException {
-        loop.run(() -> ids.forEach(id -> told.tell(id, service, ServerStatus.GONE)));
+    /** Publishes that these servers of a service are gone. */
+    public void removeServers(String service, List<Long> ids) throws InterruptedException {
+        loop.run(() -> ids.forEach(id -> publishedServers.publish(id, service, ServerStatus.GONE)));
     }
 
     // ---- processes and links
@@ -184,7 +188,7 @@
         return processes.get(name);
     }
 
-    /** Starts a process, and waits until it takes subscribers. */
+    /** Starts a process and waits until it accepts subscribers. */
     public void start(String name) throws InterruptedException {
         int from = history.size();
         process(name).start();
@@ -199,82 +203,82 @@
     /** SIGSTOP. */
     public void stop(String name) throws InterruptedException {
         process(name).stop();
-        stopped.add(name);
+        stoppedProcesses.add(name);
     }
 
     /** SIGCONT. */
-    public void goOn(String name) throws InterruptedException {
-        stopped.remove(name);
-        process(name).goOn();
+    public void resume(String name) throws InterruptedException {
+        stoppedProcesses.remove(name);
+        process(name).resume();
     }
 
-    /** Nothing goes between the two any more, in either direction, and no connection comes up. */
-    public void cut(String one, String other) throws InterruptedException {
+    /** Blocks both directions between two parties; new connections time out. */
+    public void block(String one, String other) throws InterruptedException {
         loop.run(() -> {
             faults.cut(one, other);
             faults.cut(other, one);
-            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::shut);
-            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::shut);
+            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::stopAccepting);
+            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::stopAccepting);
         });
     }
 
-    /** All goes there and back again, with what was held. */
+    /** Unblocks both directions and delivers the held bytes. */
     public void restore(String one, String other) throws InterruptedException {
         loop.run(() -> {
             faults.restore(one, other);
             faults.restore(other, one);
             faults.delay(one, other, Duration.ZERO);
-            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::reopen);
-            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::reopen);
+            Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::resumeAccepting);
+            Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::resumeAccepting);
         });
     }
 
-    /** The first is told that its connections with the other have ended, and the other is not. */
-    public void halfOpen(String toldSide, String other) throws InterruptedException {
-        loop.run(() -> faults.halfClose(toldSide, other));
+    /** Leaves the connections between two parties half open: only the first sees them closed. */
+    public void halfOpen(String notified, String other) throws InterruptedException {
+        loop.run(() -> faults.halfClose(notified, other));
     }
 
-    /** Everything takes so much longer that way. */
+    /** Adds latency in one direction. */
     public void delay(String from, String to, Duration delay) throws InterruptedException {
         loop.run(() -> faults.delay(from, to, delay));
     }
 
-    // ---- waiting and judging
+    // ---- waiting and checking
 
-    /** How many events the history has: where an {@link #awaitLog} may begin to look. */
-    public int eventsSoFar() {
+    /** The number of events so far, as a start index for {@link #awaitLog}. */
+    public int eventCount() {
         return history.size();
     }
 
-    /** Waits for a line of a process's log that contains a match of this expression, from an event of the history on. */
+    /** Waits for a log line of a process that matches this expression, from an index of the history on. */
     public void awaitLog(String name, String expression, int from) throws InterruptedException {
         Predicate<String> matches = Pattern.compile(expression).asPredicate();
-        history.await("'" + expression + "' in the log of " + name, from, 1, MOST_MILLIS,
+        history.await("'" + expression + "' in the log of " + name, from, 1, TIMEOUT_MILLIS,
                 event -> event.what() == What.LOGGED && event.who().equals(name) && matches.test(event.text()));
     }
 
-    /** Waits until so many more bytes have gone from one party to another, over whatever connections. */
+    /** Waits until this many more bytes have been sent from one party to another, over any connections. */
     public void awaitBytes(String from, String to, long more) throws InterruptedException {
         long wanted = loop.call(() -> faults.bytes(from, to)) + more;
         clients.await(more + " bytes from " + from + " to " + to, () -> faults.bytes(from, to) >= wanted);
     }
 
-    /** The watch clients: what they hold, and what is waited for there. */
+    /** The watch clients. */
     public WatchClients clients() {
         return clients;
     }
 
     /**
-     * Makes everything well, waits until every client has what the bus has told, and judges: the rules that any client has
-     * seen broken, in their order.
+     * Clears all faults, waits until every client agrees with the event bus, and returns the violations that the clients
+     * have observed, in order.
      */
-    public List<String> judge() throws InterruptedException {
-        for (String name : List.copyOf(stopped)) {
-            goOn(name);
+    public List<String> clearFaultsAndCheck() throws InterruptedException {
+        for (String name : List.copyOf(stoppedProcesses)) {
+            resume(name);
         }
         loop.run(() -> {
             faults.restoreAll();
-            links.values().forEach(RigLoop.Listener::reopen);
+            links.values().forEach(RigLoop.Listener::resumeAccepting);
         });
         for (String name : processes.keySet()) {
             if (!process(name).isUp()) {
@@ -282,15 +286,15 @@
             }
         }
         clients.awaitAgreement();
-        return clients.broken();
+        return clients.violations();
     }
 
-    /** Writes what happened beside the logs. */
-    public void keepHistory() throws IOException {
+    /** Writes the history to a file beside the logs. */
+    public void writeHistory() throws IOException {
         Files.write(folder.resolve("history.txt"), history.events().stream().map(History.Event::toString).toList());
     }
 
-    /** Ends every process that was started, and the rig. */
+    /** Kills every started process and stops the event loop. */
     @Override
     public void close() throws InterruptedException {
         for (RigProcess process : processes.values()) {
--- a/lab/src/main/java/pathlane/lab/rig/RigProcess.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigProcess.java
@@ -16,12 +16,12 @@
 import pathlane.lab.Witness.What;
 
 /**
- * A process of the rig's, by its own id: started anew under its name, stopped (SIGSTOP), continued, killed, asked to end.
- * Each line of its log is noted in the history and kept in a file. Safe for threads.
+ * A named process of the test bed that can be started, restarted, stopped (SIGSTOP), resumed, killed and terminated, each
+ * by its process id. Each line of its log is recorded in the history and written to a file. Safe for threads.
  */
 final class RigProcess {
 
-    private static final int END_SECONDS = 20;
+    private static final int EXIT_TIMEOUT_SECONDS = 20;
 
     private final String name;
     private final List<String> command;
@@ -43,20 +43,20 @@
         return name;
     }
 
-    /** Whether a process runs under this name; asked on the rig's loop too, which may not wait here. */
+    /** Whether the process is running; does not block, as it is also called on the event loop. */
     boolean isUp() {
-        Process now = process;
-        return now != null && now.isAlive();
+        Process current = process;
+        return current != null && current.isAlive();
     }
 
-    /** Processor time of the process that runs, user and system. */
+    /** User and system processor time of the running process. */
     synchronized Duration cpu() {
         return process.info().totalCpuDuration().orElseThrow();
     }
 
     synchronized void start() {
         if (isUp()) {
-            throw new IllegalStateException(name + " runs already");
+            throw new IllegalStateException(name + " is already running");
         }
         history.note(What.DID, name, "", "", "started");
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
@@ -73,8 +73,9 @@
         reader.start();
     }
 
-    private void read(Process of) {
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8))) {
+    private void read(Process readProcess) {
+        try (BufferedReader lines =
+                new BufferedReader(new InputStreamReader(readProcess.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 Files.writeString(log, line + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
                 history.note(What.LOGGED, name, "", "", line);
@@ -84,44 +85,44 @@
         }
     }
 
-    /** SIGKILL. Returns once the process is gone. */
+    /** Sends SIGKILL. Returns once the process has exited. */
     synchronized void kill() throws InterruptedException {
         if (isUp()) {
             signal("KILL", "killed");
-            awaitEnd();
+            awaitExit();
         }
     }
 
-    /** SIGTERM. Returns at once. */
-    void term() throws InterruptedException {
+    /** Sends SIGTERM. Returns immediately. */
+    void terminate() throws InterruptedException {
         signal("TERM", "asked to end");
     }
 
-    /** Waits for the end of the process. */
-    synchronized void awaitEnd() throws InterruptedException {
-        if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
-            throw new IllegalStateException(name + " does not end");
+    /** Waits until the process has exited. */
+    synchronized void awaitExit() throws InterruptedException {
+        if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new IllegalStateException(name + " does not exit");
         }
-        reader.join(END_SECONDS * 1000L);
+        reader.join(EXIT_TIMEOUT_SECONDS * 1000L);
     }
 
-    /** SIGSTOP: it does nothing more, and its connections stay open. */
+    /** Sends SIGSTOP: the process is suspended and its connections stay open. */
     void stop() throws InterruptedException {
         signal("STOP", "stopped");
     }
 
-    /** SIGCONT. */
-    void goOn() throws InterruptedException {
+    /** Sends SIGCONT. */
+    void resume() throws InterruptedException {
         signal("CONT", "continued");
     }
 
-    /** By the system's own command: the JDK's ways to end a process close its log unread. */
-    private synchronized void signal(String signal, String did) throws InterruptedException {
-        history.note(What.DID, name, "", "", did);
+    /** Uses the system's {@code kill}: the JDK's methods to end a process close its output before it is read. */
+    private synchronized void signal(String signal, String action) throws InterruptedException {
+        history.note(What.DID, name, "", "", action);
         try {
             int status = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
             if (status != 0) {
-                throw new IllegalStateException(name + " was not " + did + ": kill ended with " + status);
+                throw new IllegalStateException(name + " was not " + action + ": kill exited with " + status);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
