--- a/lab/src/main/java/pathlane/lab/discovery/ControllerInvariants.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerInvariants.java
@@ -9,7 +9,7 @@
 import pathlane.discovery.ServiceDigest;
 import pathlane.discovery.ServiceState;
 
-/** What must hold at a controller whenever a change is in force, and after each message. */
+/** Invariants of a controller, checked whenever a change comes into force and after each message. */
 final class ControllerInvariants {
 
     private final SourceHistory history;
@@ -20,17 +20,17 @@
         this.violations = violations;
     }
 
-    /** A service's new state is in force: its revision has not gone back, its content is the source's at that revision. */
+    /** Checks a state that came into force: its revision is not older, its content is the source's at that revision. */
     void changed(ControllerProcess controller, ServiceState state, Revision before, int sizeBefore) {
         String service = state.service();
         if (before.isAfter(state.revision())) {
             violations.report(controller.name(), service + " goes back from " + before + " to " + state.revision());
         }
         if (!state.endpoints().equals(controller.servers(service))) {
-            violations.report(controller.name(), service + " at " + state.revision() + " differs from the changes told");
+            violations.report(controller.name(), service + " at " + state.revision() + " differs from the reported changes");
         }
         if (state.digest() != ServiceDigest.of(state.endpoints(), state.configuration())) {
-            violations.report(controller.name(), service + " at " + state.revision() + " has another digest than it says");
+            violations.report(controller.name(), service + " at " + state.revision() + " does not match its digest");
         }
         Optional<ServiceState> published = history.at(service, state.revision());
         if (published.isEmpty() || !isSameContent(published.get(), state)) {
@@ -38,12 +38,12 @@
                     + " and the source had " + published);
         }
         if (state.endpoints().size() * 2 < sizeBefore && history.isPartial(service, state.revision())) {
-            violations.report(controller.name(), service + " loses most at " + state.revision()
+            violations.report(controller.name(), service + " loses more than half of its servers at " + state.revision()
                     + " at which the source was still loading it");
         }
     }
 
-    /** A service is gone: the source had none at that revision, and its catalogue was whole. */
+    /** Checks a removed service: the source did not have it at that revision, and its catalogue was complete. */
     void absent(ControllerProcess controller, String service, Revision revision, Revision before) {
         if (before.isAfter(revision)) {
             violations.report(controller.name(), service + " goes back from " + before + " to absent at " + revision);
@@ -57,7 +57,7 @@
         }
     }
 
-    /** A change that takes servers away and follows what is held is in force in the turn in which it came. */
+    /** Checks that a change which follows the held revision is in force once its message has been handled. */
     void handled(ControllerProcess controller, ServiceChange change, Revision before, Optional<PublisherStatus> status) {
         String service = change.service();
         boolean isComplete = status.isPresent() && status.get().complete();
@@ -67,7 +67,7 @@
             return;
         }
         if (change.revision().isAfter(controller.revision(service))) {
-            violations.report(controller.name(), "did not take " + service + " at " + change.revision() + " which follows "
+            violations.report(controller.name(), "did not apply " + service + " at " + change.revision() + " which follows "
                     + before);
         }
         if (change instanceof ServiceChange.Delta delta) {
@@ -75,26 +75,26 @@
         }
     }
 
-    /** A controller has everything up to a revision in force, as it says: each service as it was then, or newer. */
+    /** Checks a reported in-force revision: the controller holds each service as of that revision, or newer. */
     void inForce(ControllerProcess controller, Revision revision) {
         for (String service : controller.watched()) {
             Optional<ServiceState> published = history.at(service, revision);
             boolean isHeld = published.isPresent() ? !published.get().revision().isAfter(controller.revision(service))
                     : controller.revision(service).isAfter(revision) || controller.servers(service).isEmpty();
             if (!isHeld) {
-                violations.report(controller.name(), "says that " + revision + " is in force, and has " + service + " at "
+                violations.report(controller.name(), "reports that " + revision + " is in force, but has " + service + " at "
                         + controller.revision(service) + " where the source had " + published);
             }
         }
     }
 
     private void checkWithdrawn(ControllerProcess controller, ServiceChange.Delta delta) {
-        delta.removed().forEach(server -> checkNothingSent(controller, delta, server));
-        delta.upserted().stream().filter(line -> line.status() == ServerStatus.DRAINING).map(ServerEndpoint::id)
-                .forEach(server -> checkNothingSent(controller, delta, server));
+        delta.removed().forEach(server -> checkNotSelectable(controller, delta, server));
+        delta.upserted().stream().filter(endpoint -> endpoint.status() == ServerStatus.DRAINING).map(ServerEndpoint::id)
+                .forEach(server -> checkNotSelectable(controller, delta, server));
     }
 
-    private void checkNothingSent(ControllerProcess controller, ServiceChange.Delta delta, long server) {
+    private void checkNotSelectable(ControllerProcess controller, ServiceChange.Delta delta, long server) {
         boolean isNewer = controller.revision(delta.service()).isAfter(delta.revision());
         if (!isNewer && controller.wouldSendTo(delta.service(), server)) {
             violations.report(controller.name(), "would send to server " + server + " of " + delta.service()
--- a/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ControllerProcess.java
@@ -19,8 +19,8 @@
 import pathlane.transport.Protocol;
 
 /**
- * A call controller's process, as far as discovery goes: a watch client, and the servers that calls would be sent to, kept
- * by the changes alone that the client tells of.
+ * The discovery part of a call controller process: a watch client, and the servers that calls would be sent to, which are
+ * maintained only from the changes that the client reports.
  */
 final class ControllerProcess extends FleetProcess {
 
@@ -31,7 +31,7 @@
     private final Map<String, Revision> revisions = new HashMap<>();
     private WatchClient client;
     private Optional<PublisherStatus> lastStatus = Optional.empty();
-    private Revision greatestInForce = Revision.NONE;
+    private Revision highestInForce = Revision.NONE;
 
     ControllerProcess(DiscoveryFleet fleet, String name, String zone, String region, int port, List<RelayProcess> relays,
             ControllerInvariants invariants) {
@@ -41,11 +41,11 @@
     }
 
     @Override
-    void begin(AuthenticatedLink.Context common) {
+    void startStateMachines(AuthenticatedLink.Context common) {
         servers.clear();
         revisions.clear();
         lastStatus = Optional.empty();
-        client = new WatchClient(fleet().watchTerms(this, relays), fleet().dialer(this), common, time(),
+        client = new WatchClient(fleet().watchTerms(this, relays), fleet().connector(this), common, time(),
                 fleet().newRandom(), new Listener());
         watched.forEach(client::watch);
         client.start();
@@ -64,7 +64,7 @@
         return watched;
     }
 
-    /** Watches a service, once the process runs if it is stopped. */
+    /** Watches a service; a paused process does so when it is resumed. */
     void watch(String service) {
         if (!isUp()) {
             watched.add(service);
@@ -91,30 +91,30 @@
         });
     }
 
-    /** The revision of a service's servers here. */
+    /** Returns the revision of a service's servers at this controller. */
     Revision revision(String service) {
         return revisions.getOrDefault(service, Revision.NONE);
     }
 
-    /** The greatest revision that was ever in force here, in any life. */
-    Revision greatestInForce() {
-        if (isUp() && client.inForce().isAfter(greatestInForce)) {
-            greatestInForce = client.inForce();
+    /** Returns the highest revision that was ever in force at this controller, in any incarnation. */
+    Revision highestInForce() {
+        if (isUp() && client.inForce().isAfter(highestInForce)) {
+            highestInForce = client.inForce();
         }
-        return greatestInForce;
+        return highestInForce;
     }
 
     Optional<PublisherStatus> lastStatus() {
         return lastStatus;
     }
 
-    /** Whether a call of the service could be sent to the server now. */
+    /** Whether a call of the service could currently be sent to the server. */
     boolean wouldSendTo(String service, long server) {
-        ServerEndpoint line = servers.getOrDefault(service, new TreeMap<>()).get(server);
-        return line != null && line.status() == ServerStatus.RUNNING;
+        ServerEndpoint endpoint = servers.getOrDefault(service, new TreeMap<>()).get(server);
+        return endpoint != null && endpoint.status() == ServerStatus.RUNNING;
     }
 
-    /** The servers of a service by the changes that were told. */
+    /** Returns the servers of a service as built from the reported changes. */
     List<ServerEndpoint> servers(String service) {
         return List.copyOf(servers.getOrDefault(service, new TreeMap<>()).values());
     }
@@ -123,18 +123,18 @@
 
         @Override
         public void changed(ServiceState state, ServiceChange change) {
-            fleet().trace().note(name(), "has " + state.service() + " in force at " + state.revision());
+            fleet().trace().record(name(), "has " + state.service() + " in force at " + state.revision());
             String service = state.service();
             Revision before = revision(service);
             int sizeBefore = servers(service).size();
-            take(service, change);
+            apply(service, change);
             revisions.put(service, state.revision());
             invariants.changed(ControllerProcess.this, state, before, sizeBefore);
         }
 
         @Override
         public void absent(String service, Revision revision) {
-            fleet().trace().note(name(), "has no " + service + " at " + revision);
+            fleet().trace().record(name(), "has no " + service + " at " + revision);
             Revision before = revision(service);
             servers.remove(service);
             revisions.put(service, revision);
@@ -146,14 +146,14 @@
             lastStatus = Optional.of(status);
         }
 
-        private void take(String service, ServiceChange change) {
-            TreeMap<Long, ServerEndpoint> lines = servers.computeIfAbsent(service, any -> new TreeMap<>());
+        private void apply(String service, ServiceChange change) {
+            TreeMap<Long, ServerEndpoint> endpoints = servers.computeIfAbsent(service, any -> new TreeMap<>());
             if (change instanceof ServiceChange.Snapshot snapshot) {
-                lines.clear();
-                snapshot.state().endpoints().forEach(line -> lines.put(line.id(), line));
+                endpoints.clear();
+                snapshot.state().endpoints().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
             } else if (change instanceof ServiceChange.Delta delta) {
-                delta.removed().forEach(lines::remove);
-                delta.upserted().forEach(line -> lines.put(line.id(), line));
+                delta.removed().forEach(endpoints::remove);
+                delta.upserted().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
             }
         }
     }
--- a/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
@@ -25,17 +25,17 @@
 import pathlane.transport.Protocol;
 
 /**
- * Discovery's state machines as a fleet in virtual time and one thread: a source, a relay for each region, relays for each
- * zone, and controllers, each a process of its own, over sealed links with faults. The same seed gives the same play.
+ * Runs discovery's state machines as a fleet in virtual time on one thread: a source, a relay for each region, relays for
+ * each zone, and controllers, each a separate process, over authenticated links with faults. A seed always gives the same run.
  */
 final class DiscoveryFleet {
 
     static final Duration LATENCY = Duration.ofMillis(1);
-    static final Duration BACKOFF_FIRST = Duration.ofMillis(50);
-    static final Duration BACKOFF_MOST = Duration.ofSeconds(2);
-    static final Duration SILENT_AFTER = Duration.ofSeconds(3);
-    static final Duration RETURN_WITHIN = Duration.ofSeconds(2);
-    private static final Duration CHECK_EVERY = Duration.ofMillis(50);
+    static final Duration INITIAL_BACKOFF = Duration.ofMillis(50);
+    static final Duration MAX_BACKOFF = Duration.ofSeconds(2);
+    static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(3);
+    static final Duration MAX_RETURN_DELAY = Duration.ofSeconds(2);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
     private static final int SOURCE_PORT = 9_000;
     private static final int RELAY_PORT = 9_100;
     private static final int CONTROLLER_PORT = 9_500;
@@ -43,7 +43,7 @@
     private static final KeyRing KEYS = KeyRing.read("k1 000102030405060708090a0b0c0d0e0f\n");
 
     private final FleetShape shape;
-    private final VirtualTime world = new VirtualTime();
+    private final VirtualTime virtualTime = new VirtualTime();
     private final Faults faults = new Faults();
     private final SplittableRandom random;
     private final EventTrace trace;
@@ -59,16 +59,16 @@
     private final Map<Integer, FleetProcess> listeners = new HashMap<>();
     private final Map<String, List<ObservedLink>> links = new HashMap<>();
 
-    /** A fleet of which nothing has started. */
+    /** Creates a fleet whose processes have not been started. */
     DiscoveryFleet(FleetShape shape, long seed) {
         this(shape, seed, Optional.empty());
     }
 
-    /** The same, with a reader of the trace's lines. */
+    /** Creates a fleet whose processes have not been started, with a reader of the trace's lines. */
     DiscoveryFleet(FleetShape shape, long seed, Optional<Consumer<String>> reader) {
         this.shape = shape;
         this.random = new SplittableRandom(seed);
-        this.trace = reader.map(lines -> new EventTrace(world, lines)).orElseGet(() -> new EventTrace(world));
+        this.trace = reader.map(lines -> new EventTrace(virtualTime, lines)).orElseGet(() -> new EventTrace(virtualTime));
         this.violations = new Violations(trace);
         this.contents = new ServiceContents(random.split(), shape.services(), shape.servers());
         ControllerInvariants controllerInvariants = new ControllerInvariants(history, violations);
@@ -89,8 +89,8 @@
     }
 
     private void addZoneRelays(int region) {
-        for (int zone = 0; zone < shape.zones(); zone++) {
-            for (int i = 0; i < shape.relaysOfZone(); i++) {
+        for (int zone = 0; zone < shape.zonesPerRegion(); zone++) {
+            for (int i = 0; i < shape.relaysPerZone(); i++) {
                 addRelay(zoneRelays, "relay-" + zone(region, zone) + "-" + (i + 1), zone(region, zone), region(region),
                         regionRelays);
             }
@@ -105,11 +105,11 @@
         listeners.put(port, relay);
     }
 
-    private void addController(int place, ControllerInvariants invariants) {
-        int region = place % shape.regions();
-        int zone = place / shape.regions() % shape.zones();
-        ControllerProcess controller = new ControllerProcess(this, "controller-" + (place + 1), zone(region, zone),
-                region(region), CONTROLLER_PORT + place, zoneRelays, invariants);
+    private void addController(int index, ControllerInvariants invariants) {
+        int region = index % shape.regions();
+        int zone = index / shape.regions() % shape.zonesPerRegion();
+        ControllerProcess controller = new ControllerProcess(this, "controller-" + (index + 1), zone(region, zone),
+                region(region), CONTROLLER_PORT + index, zoneRelays, invariants);
         controllers.add(controller);
         List<String> services = List.copyOf(contents.services().keySet());
         for (int i = 1 + random.nextInt(services.size()); i > 0; i--) {
@@ -125,7 +125,7 @@
         return region(region) + "z" + (zone + 1);
     }
 
-    // ---- what the processes are given
+    // ---- used by the processes
 
     FleetShape shape() {
         return shape;
@@ -148,47 +148,47 @@
     WatchTerms watchTerms(FleetProcess subscriber, List<? extends FleetProcess> publishers) {
         List<WatchTerms.PublisherAddress> addresses = publishers.stream()
                 .map(one -> new WatchTerms.PublisherAddress(one.name(), one.address(), one.zone(), one.region())).toList();
-        return new WatchTerms(subscriber.name(), subscriber.zone(), subscriber.region(), addresses, BACKOFF_FIRST,
-                BACKOFF_MOST, SILENT_AFTER, RETURN_WITHIN);
+        return new WatchTerms(subscriber.name(), subscriber.zone(), subscriber.region(), addresses, INITIAL_BACKOFF,
+                MAX_BACKOFF, SILENCE_TIMEOUT, MAX_RETURN_DELAY);
     }
 
-    /** Dials as the present life of a process. */
-    Connector dialer(FleetProcess subscriber) {
-        ProcessTime life = subscriber.time();
-        return (address, timeout, protocol) -> dial(subscriber, life, address, timeout, protocol);
+    /** Returns a connector that connects on behalf of the current incarnation of a process. */
+    Connector connector(FleetProcess subscriber) {
+        ProcessTime incarnationTime = subscriber.time();
+        return (address, timeout, protocol) -> connect(subscriber, incarnationTime, address, timeout, protocol);
     }
 
-    private void dial(FleetProcess subscriber, ProcessTime life, InetSocketAddress address, Duration timeout,
+    private void connect(FleetProcess subscriber, ProcessTime incarnationTime, InetSocketAddress address, Duration timeout,
             Protocol protocol) {
         FleetProcess publisher = listeners.get(address.getPort());
         String from = subscriber.name();
         String to = publisher.name();
-        Protocol own = life.own(protocol);
-        world.after(LATENCY, () -> {
-            if (life.isDead()) {
+        Protocol ownProtocol = incarnationTime.own(protocol);
+        virtualTime.after(LATENCY, () -> {
+            if (incarnationTime.isDead()) {
                 return;
             }
             if (faults.isCut(from, to) || faults.isCut(to, from)) {
-                world.after(timeout, () -> own.closed(CloseReason.CONNECT_TIMED_OUT));
+                virtualTime.after(timeout, () -> ownProtocol.closed(CloseReason.CONNECT_TIMED_OUT));
                 return;
             }
             Optional<Protocol> accepted = publisher.isUp() ? publisher.accept() : Optional.empty();
             if (accepted.isEmpty()) {
-                own.closed(CloseReason.REFUSED);
+                ownProtocol.closed(CloseReason.REFUSED);
                 return;
             }
             ObservedLink link = new ObservedLink(subscriber, publisher, trace, observer);
-            links.computeIfAbsent(to + "#" + publisher.life(), any -> new ArrayList<>()).add(link);
-            trace.note(from, "connects to " + to);
-            new Path(world, faults, LATENCY, from, life.own(link.atSubscriber(protocol)), to,
+            links.computeIfAbsent(to + "#" + publisher.incarnation(), any -> new ArrayList<>()).add(link);
+            trace.record(from, "connects to " + to);
+            new Path(virtualTime, faults, LATENCY, from, incarnationTime.own(link.atSubscriber(protocol)), to,
                     publisher.time().own(link.atPublisher(accepted.get())));
         });
     }
 
-    // ---- what a schedule does with it
+    // ---- used by schedules and tests
 
-    VirtualTime world() {
-        return world;
+    VirtualTime virtualTime() {
+        return virtualTime;
     }
 
     Faults faults() {
@@ -237,19 +237,19 @@
                 .map(one -> (FleetProcess) one).toList();
     }
 
-    /** Connections that came in at a life of a publisher, in their order. */
-    List<ObservedLink> links(FleetProcess publisher, int life) {
-        return links.getOrDefault(publisher.name() + "#" + life, List.of());
+    /** Returns the connections that an incarnation of a publisher accepted, in order. */
+    List<ObservedLink> links(FleetProcess publisher, int incarnation) {
+        return links.getOrDefault(publisher.name() + "#" + incarnation, List.of());
     }
 
-    /** Starts every process that is not there. */
+    /** Starts every process that is not up. */
     void startAll() {
         processes().forEach(FleetProcess::start);
     }
 
-    /** Makes a drawn change of the contents, and has the source publish it where it is there. */
-    void change(Function<ServiceContents, ServiceContents.Change> draw) {
-        ServiceContents.Change change = draw.apply(contents);
+    /** Changes the contents, and has the source publish the change if it is up. */
+    void change(Function<ServiceContents, ServiceContents.Change> makeChange) {
+        ServiceContents.Change change = makeChange.apply(contents);
         boolean isEmpty = !change.removesService() && change.upserted().isEmpty() && change.removed().isEmpty()
                 && change.configuration().isEmpty();
         if (!isEmpty && source.isUp()) {
@@ -257,26 +257,27 @@
         }
     }
 
-    /** Passes time, with the progress checked on the way; ends early at a violation. */
-    void pass(Duration time) {
-        for (Duration left = time; !left.isZero() && violations.isEmpty();) {
-            Duration step = left.compareTo(CHECK_EVERY) < 0 ? left : CHECK_EVERY;
-            world.pass(step);
+    /** Advances virtual time and checks the progress reports meanwhile; returns early at a violation. */
+    void advance(Duration time) {
+        for (Duration remaining = time; !remaining.isZero() && violations.isEmpty();) {
+            Duration step = remaining.compareTo(CHECK_INTERVAL) < 0 ? remaining : CHECK_INTERVAL;
+            virtualTime.pass(step);
             progress.check();
-            left = left.minus(step);
+            remaining = remaining.minus(step);
         }
     }
 
-    /** Passes time until this holds; false where it did not in so long. */
-    boolean until(Duration most, BooleanSupplier holds) {
-        for (Duration left = most; !left.isNegative() && violations.isEmpty() && !holds.getAsBoolean(); left =
-                left.minus(CHECK_EVERY)) {
-            pass(CHECK_EVERY);
+    /** Advances virtual time until the condition holds; returns false if it does not within the timeout. */
+    boolean advanceUntil(Duration timeout, BooleanSupplier condition) {
+        for (Duration remaining = timeout; !remaining.isNegative() && violations.isEmpty()
+                && !condition.getAsBoolean(); remaining =
+                        remaining.minus(CHECK_INTERVAL)) {
+            advance(CHECK_INTERVAL);
         }
-        return holds.getAsBoolean();
+        return condition.getAsBoolean();
     }
 
-    /** What keeps the fleet from being in step with its source; empty where it is. */
+    /** Describes why the fleet has not converged with its source; empty if it has. */
     Optional<String> lag() {
         if (!source.catalogue().isComplete()) {
             return Optional.of("the source is not complete");
@@ -302,7 +303,7 @@
                 + source.source().publisher().progress());
     }
 
-    boolean isInStep() {
+    boolean isConverged() {
         return lag().isEmpty();
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/DiscoverySchedule.java
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoverySchedule.java
@@ -8,28 +8,28 @@
 import java.util.function.Consumer;
 
 /**
- * One seeded schedule: contents change while one to four things go wrong in a virtual fleet, some of them at once; then all
- * is made well, and every controller must come in step with the source, and be counted so, in bounded virtual time.
+ * One seeded schedule: contents change while one to four faults occur in a simulated fleet, some of them at once. Then all
+ * faults are cleared, and every controller must converge with the source and be reported so in bounded virtual time.
  */
 public final class DiscoverySchedule {
 
-    private static final Duration IN_STEP_WITHIN = Duration.ofSeconds(20);
-    /** Three tiers pass a bookmark on once a second each, and two report once a second. */
-    private static final Duration ONE_CHANGE_WITHIN = Duration.ofMillis(5_500);
-    private static final Duration CALM = Duration.ofSeconds(2);
-    private static final int MOST_TROUBLES = 4;
+    private static final Duration CONVERGENCE_TIMEOUT = Duration.ofSeconds(20);
+    /** Three tiers each forward a bookmark once a second, and two tiers report once a second. */
+    private static final Duration SINGLE_CHANGE_TIMEOUT = Duration.ofMillis(5_500);
+    private static final Duration QUIET_PERIOD = Duration.ofSeconds(2);
+    private static final int MAX_FAULTS = 4;
 
     private final DiscoveryFleet fleet;
     private final SplittableRandom random;
-    private final Troubles troubles;
-    private final List<Troubles.Kind> begun = new ArrayList<>();
+    private final FaultInjector faultInjector;
+    private final List<FaultInjector.Kind> injectedFaults = new ArrayList<>();
 
-    /** A schedule of which only the verdict and the hash of the trace are wanted. */
+    /** Creates a schedule that gives its result and the hash of its trace only. */
     public DiscoverySchedule(long seed) {
         this(seed, Optional.empty());
     }
 
-    /** A schedule whose trace is read line by line. */
+    /** Creates a schedule whose trace is passed to a reader line by line. */
     public DiscoverySchedule(long seed, Consumer<String> reader) {
         this(seed, Optional.of(reader));
     }
@@ -37,71 +37,71 @@
     private DiscoverySchedule(long seed, Optional<Consumer<String>> reader) {
         this.fleet = new DiscoveryFleet(FleetShape.small(seed), seed, reader);
         this.random = new SplittableRandom(~seed);
-        this.troubles = new Troubles(fleet, random.split());
+        this.faultInjector = new FaultInjector(fleet, random.split());
     }
 
-    /** Plays it once; empty where every invariant held, else the first that did not, and what had gone wrong. */
-    public Optional<String> play() {
+    /** Runs the schedule once. Returns the first violated invariant and the injected faults, or empty if all held. */
+    public Optional<String> run() {
         fleet.startAll();
-        Optional<String> broken = inStep(IN_STEP_WITHIN, "at the beginning");
-        if (broken.isEmpty()) {
-            changes(4);
-            trouble();
-            troubles.end();
-            changes(2);
-            broken = inStep(IN_STEP_WITHIN, "after all was made well");
+        Optional<String> violation = awaitConvergence(CONVERGENCE_TIMEOUT, "after the start");
+        if (violation.isEmpty()) {
+            makeChanges(4);
+            injectFaults();
+            faultInjector.clearAll();
+            makeChanges(2);
+            violation = awaitConvergence(CONVERGENCE_TIMEOUT, "after all faults were cleared");
         }
-        if (broken.isEmpty()) {
-            broken = oneChange();
+        if (violation.isEmpty()) {
+            violation = checkSingleChange();
         }
-        return broken.map(what -> what + "\nafter " + begun);
+        return violation.map(description -> description + "\nafter " + injectedFaults);
     }
 
-    /** The hash of everything that happened; equal in two plays of one seed. */
+    /** Returns the hash of all events; equal in two runs of one seed. */
     public long traceHash() {
         return fleet.trace().hash();
     }
 
-    private void trouble() {
-        int number = 1 + random.nextInt(MOST_TROUBLES);
+    private void injectFaults() {
+        int number = 1 + random.nextInt(MAX_FAULTS);
         for (int i = 0; i < number; i++) {
-            begun.add(troubles.begin());
+            injectedFaults.add(faultInjector.inject());
             if (random.nextBoolean()) {
-                changes(1 + random.nextInt(6));
+                makeChanges(1 + random.nextInt(6));
             }
         }
-        changes(2 + random.nextInt(10));
-        fleet.pass(millis(0, 6_000));
+        makeChanges(2 + random.nextInt(10));
+        fleet.advance(millis(0, 6_000));
     }
 
-    private void changes(int number) {
+    private void makeChanges(int number) {
         for (int i = 0; i < number && fleet.violations().isEmpty(); i++) {
             int atOnce = random.nextInt(8) == 0 ? 12 : 1;
             for (int j = 0; j < atOnce; j++) {
-                fleet.change(ServiceContents::change);
+                fleet.change(ServiceContents::randomChange);
             }
-            fleet.pass(millis(1, 400));
+            fleet.advance(millis(1, 400));
         }
     }
 
-    /** In an undisturbed fleet a change is in force everywhere soon, and nobody is counted too early. */
-    private Optional<String> oneChange() {
+    /** Checks that a change in a fleet without faults is soon in force everywhere, and that no controller is counted early. */
+    private Optional<String> checkSingleChange() {
         fleet.change(contents -> contents.addService(2));
         String service = List.copyOf(fleet.contents().services().keySet()).get(0);
         fleet.change(contents -> contents.configure(service));
-        Optional<String> broken = inStep(ONE_CHANGE_WITHIN, "after one change in an undisturbed fleet");
-        if (broken.isEmpty()) {
-            fleet.pass(CALM);
-            fleet.progress().checkCalm();
-            broken = fleet.violations().first().or(() -> fleet.lag().map(lag -> "it left step again: " + lag));
+        Optional<String> violation = awaitConvergence(SINGLE_CHANGE_TIMEOUT, "after one change in an undisturbed fleet");
+        if (violation.isEmpty()) {
+            fleet.advance(QUIET_PERIOD);
+            fleet.progress().checkUndisturbed();
+            violation = fleet.violations().first().or(() -> fleet.lag().map(lag -> "it diverged again: " + lag));
         }
-        return broken;
+        return violation;
     }
 
-    private Optional<String> inStep(Duration within, String when) {
-        boolean isInStep = fleet.until(within, fleet::isInStep);
-        return fleet.violations().first().or(() -> isInStep ? Optional.empty()
-                : Optional.of("not in step " + within + " " + when + ": " + fleet.lag().orElse("")));
+    private Optional<String> awaitConvergence(Duration within, String when) {
+        boolean isConverged = fleet.advanceUntil(within, fleet::isConverged);
+        return fleet.violations().first().or(() -> isConverged ? Optional.empty()
+                : Optional.of("not converged " + within + " " + when + ": " + fleet.lag().orElse("")));
     }
 
     private Duration millis(int from, int to) {
--- a/lab/src/main/java/pathlane/lab/discovery/EventTrace.java
+++ b/lab/src/main/java/pathlane/lab/discovery/EventTrace.java
@@ -7,39 +7,39 @@
 import java.util.function.Consumer;
 import pathlane.core.Scheduler;
 
-/** All that happened in one play, in its order: always as a hash, and as lines of text for who wants them. */
+/** Records the events of one run in order: always as a hash, and as lines of text if a reader is given. */
 final class EventTrace {
 
     private final Scheduler time;
-    private final Instant begin;
+    private final Instant start;
     private final Consumer<String> lines;
     private final boolean hasReader;
     private final HashStream64 hash = Hashing.xxh3_64().hashStream();
 
-    /** A trace that is only hashed. */
+    /** Creates a trace that is only hashed. */
     EventTrace(Scheduler time) {
         this(time, line -> {}, false);
     }
 
-    /** A trace whose lines are handed on as well. */
+    /** Creates a trace whose lines are also passed to a reader. */
     EventTrace(Scheduler time, Consumer<String> lines) {
         this(time, lines, true);
     }
 
     private EventTrace(Scheduler time, Consumer<String> lines, boolean hasReader) {
         this.time = time;
-        this.begin = time.now();
+        this.start = time.now();
         this.lines = lines;
         this.hasReader = hasReader;
     }
 
-    /** Notes what somebody did or suffered now. */
-    void note(String who, String what) {
-        hash.putLong(nanos()).putString(who).putString(what);
-        lines.accept(time() + " " + who + " " + what);
+    /** Records an event of a process at the current time. */
+    void record(String process, String event) {
+        hash.putLong(nanos()).putString(process).putString(event);
+        lines.accept(time() + " " + process + " " + event);
     }
 
-    /** Notes a message between two; its text is made only where somebody reads. */
+    /** Records a message between two processes; its text is built only if there is a reader. */
     void message(String from, String to, byte[] payload, Object message) {
         hash.putLong(nanos()).putString(from).putString(to).putByteArray(payload);
         if (hasReader) {
@@ -47,17 +47,17 @@
         }
     }
 
-    /** The hash of everything up to now. */
+    /** Returns the hash of all events so far. */
     long hash() {
         return hash.getAsLong();
     }
 
-    /** Seconds of virtual time since the beginning, for people. */
+    /** Formats the seconds of virtual time since the start. */
     String time() {
         return String.format("%9.4f", nanos() / 1e9);
     }
 
     private long nanos() {
-        return Duration.between(begin, time.now()).toNanos();
+        return Duration.between(start, time.now()).toNanos();
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/Troubles.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FaultInjector.java
@@ -6,77 +6,77 @@
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
 
-/** Draws what goes wrong in a fleet, one trouble after the other. */
-final class Troubles {
+/** Injects randomly chosen faults into a fleet, one after the other. */
+final class FaultInjector {
 
-    /** What can go wrong. */
+    /** The kinds of faults. */
     enum Kind {
-        /** A source is gone until all is made well, or begins anew with what it then finds. */
+        /** The source is down until all faults are cleared, or is restarted with contents that may have changed. */
         KILL_SOURCE, RESTART_SOURCE,
         KILL_RELAY, RESTART_RELAY, RESTART_EVERY_RELAY,
-        /** A relay begins empty while its way upstream is cut. */
+        /** A relay restarts with an empty catalogue while it can't reach its upstreams. */
         RESTART_RELAY_CUT_OFF,
         RESTART_CONTROLLER,
-        /** A process is stopped for a while. */
+        /** A process is paused for a while. */
         STOP,
         RESET, RESET_ALL,
-        /** One side hears that a connection has ended, the other does not. */
+        /** Only one side is notified that a connection has closed. */
         HALF_CLOSE,
-        /** Nothing goes between two, in one direction or both. */
+        /** Traffic between two processes is blocked, in one direction or both. */
         CUT,
         PARTITION_REGION,
         DELAY,
-        /** A connection is given up while bytes are on their way on it, which come late. */
+        /** A connection is abandoned while bytes are in flight on it, which arrive late. */
         LATE_BYTES,
         SLOW_SUBSCRIBER,
-        /** A controller watches something else. */
+        /** A controller adds or removes a watched service. */
         CHANGE_WATCH
     }
 
-    private static final int SLOWEST_BYTES_A_SECOND = 150;
-    private static final int FASTEST_BYTES_A_SECOND = 2_000;
+    private static final int MIN_BYTES_PER_SECOND = 150;
+    private static final int MAX_BYTES_PER_SECOND = 2_000;
 
     private final DiscoveryFleet fleet;
     private final SplittableRandom random;
-    private final List<FleetProcess> stopped = new ArrayList<>();
+    private final List<FleetProcess> paused = new ArrayList<>();
 
-    Troubles(DiscoveryFleet fleet, SplittableRandom random) {
+    FaultInjector(DiscoveryFleet fleet, SplittableRandom random) {
         this.fleet = fleet;
         this.random = random;
     }
 
-    /** Draws a trouble and begins it. */
-    Kind begin() {
+    /** Injects a randomly chosen fault. */
+    Kind inject() {
         Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-        fleet.trace().note("schedule", kind.name());
-        begin(kind);
+        fleet.trace().record("schedule", kind.name());
+        inject(kind);
         return kind;
     }
 
-    /** Everything comes back, and nothing is wrong with any way. */
-    void end() {
-        fleet.trace().note("schedule", "all is made well");
+    /** Clears all faults: restores every link, resumes paused processes and starts those that are down. */
+    void clearAll() {
+        fleet.trace().record("schedule", "all faults are cleared");
         fleet.faults().restoreAll();
-        stopped.stream().filter(FleetProcess::isUp).forEach(FleetProcess::goOn);
-        stopped.clear();
+        paused.stream().filter(FleetProcess::isUp).forEach(FleetProcess::resume);
+        paused.clear();
         fleet.startAll();
     }
 
-    private void begin(Kind kind) {
+    private void inject(Kind kind) {
         switch (kind) {
             case KILL_SOURCE -> fleet.source().kill();
             case RESTART_SOURCE -> restartSource();
-            case KILL_RELAY -> anyRelay().kill();
-            case RESTART_RELAY -> restart(anyRelay(), millis(0, 500));
+            case KILL_RELAY -> randomRelay().kill();
+            case RESTART_RELAY -> restart(randomRelay(), millis(0, 500));
             case RESTART_EVERY_RELAY -> relays().forEach(relay -> restart(relay, millis(0, 500)));
-            case RESTART_RELAY_CUT_OFF -> restartCutOff(anyRelay());
-            case RESTART_CONTROLLER -> restart(any(fleet.controllers()), millis(0, 500));
-            case STOP -> stop(any(fleet.processes()));
+            case RESTART_RELAY_CUT_OFF -> restartDisconnected(randomRelay());
+            case RESTART_CONTROLLER -> restart(pickRandom(fleet.controllers()), millis(0, 500));
+            case STOP -> stop(pickRandom(fleet.processes()));
             case RESET -> resetOne();
             case RESET_ALL -> subscribers().forEach(one -> publishers(one).forEach(
                     other -> fleet.faults().reset(one.name(), other.name())));
             case HALF_CLOSE -> halfClose();
-            case CUT -> cutOne();
+            case CUT -> blockOneLink();
             case PARTITION_REGION -> partitionRegion();
             case DELAY -> delay();
             case LATE_BYTES -> lateBytes();
@@ -88,18 +88,18 @@
     private void restartSource() {
         fleet.source().kill();
         if (random.nextBoolean()) {
-            fleet.contents().loseSome();
+            fleet.contents().removeSomeRandomly();
         }
-        fleet.world().after(millis(0, 1_500), fleet.source()::start);
+        fleet.virtualTime().after(millis(0, 1_500), fleet.source()::start);
     }
 
     private void restart(FleetProcess process, Duration after) {
         process.kill();
-        fleet.world().after(after, process::start);
+        fleet.virtualTime().after(after, process::start);
     }
 
-    private void restartCutOff(RelayProcess relay) {
-        publishers(relay).forEach(upstream -> cut(relay, upstream, true));
+    private void restartDisconnected(RelayProcess relay) {
+        publishers(relay).forEach(upstream -> blockTraffic(relay, upstream, true));
         restart(relay, millis(0, 100));
     }
 
@@ -107,39 +107,40 @@
         if (!process.isRunning()) {
             return;
         }
-        process.stop();
-        stopped.add(process);
-        fleet.world().after(millis(100, 8_000), () -> {
-            if (stopped.remove(process) && process.isUp()) {
-                process.goOn();
+        process.pause();
+        paused.add(process);
+        fleet.virtualTime().after(millis(100, 8_000), () -> {
+            if (paused.remove(process) && process.isUp()) {
+                process.resume();
             }
         });
     }
 
     private void resetOne() {
-        FleetProcess subscriber = any(subscribers());
+        FleetProcess subscriber = pickRandom(subscribers());
         publishers(subscriber).forEach(one -> fleet.faults().reset(subscriber.name(), one.name()));
     }
 
     private void halfClose() {
-        FleetProcess subscriber = any(subscribers());
-        boolean tellsSubscriber = random.nextBoolean();
-        publishers(subscriber).forEach(one -> halfClose(tellsSubscriber ? subscriber : one,
-                tellsSubscriber ? one : subscriber));
+        FleetProcess subscriber = pickRandom(subscribers());
+        boolean notifiesSubscriber = random.nextBoolean();
+        publishers(subscriber).forEach(one -> halfClose(notifiesSubscriber ? subscriber : one,
+                notifiesSubscriber ? one : subscriber));
     }
 
-    private void halfClose(FleetProcess told, FleetProcess other) {
-        fleet.faults().halfClose(told.name(), other.name());
+    private void halfClose(FleetProcess notified, FleetProcess other) {
+        fleet.faults().halfClose(notified.name(), other.name());
     }
 
-    private void cutOne() {
-        FleetProcess subscriber = any(subscribers());
+    private void blockOneLink() {
+        FleetProcess subscriber = pickRandom(subscribers());
         boolean bothWays = random.nextBoolean();
         boolean upwards = random.nextBoolean();
-        publishers(subscriber).forEach(one -> cut(upwards ? subscriber : one, upwards ? one : subscriber, bothWays));
+        publishers(subscriber)
+                .forEach(one -> blockTraffic(upwards ? subscriber : one, upwards ? one : subscriber, bothWays));
     }
 
-    private void cut(FleetProcess from, FleetProcess to, boolean bothWays) {
+    private void blockTraffic(FleetProcess from, FleetProcess to, boolean bothWays) {
         fleet.faults().cut(from.name(), to.name());
         if (bothWays) {
             fleet.faults().cut(to.name(), from.name());
@@ -147,20 +148,20 @@
     }
 
     private void partitionRegion() {
-        String region = any(fleet.regionRelays()).region();
+        String region = pickRandom(fleet.regionRelays()).region();
         for (FleetProcess inside : fleet.processes()) {
             for (FleetProcess outside : fleet.processes()) {
                 boolean isInside = inside.region().equals(region) && inside != fleet.source();
                 boolean isOutside = !outside.region().equals(region) || outside == fleet.source();
                 if (isInside && isOutside) {
-                    cut(inside, outside, true);
+                    blockTraffic(inside, outside, true);
                 }
             }
         }
     }
 
     private void delay() {
-        FleetProcess subscriber = any(subscribers());
+        FleetProcess subscriber = pickRandom(subscribers());
         for (FleetProcess publisher : publishers(subscriber)) {
             fleet.faults().delay(publisher.name(), subscriber.name(), millis(0, 1_500));
             fleet.faults().delay(subscriber.name(), publisher.name(), millis(0, 1_500));
@@ -168,29 +169,29 @@
     }
 
     private void lateBytes() {
-        FleetProcess subscriber = any(subscribers());
-        boolean tellsSubscriber = random.nextBoolean();
-        Duration late = millis(200, 3_000);
+        FleetProcess subscriber = pickRandom(subscribers());
+        boolean notifiesSubscriber = random.nextBoolean();
+        Duration delay = millis(200, 3_000);
         for (FleetProcess publisher : publishers(subscriber)) {
-            fleet.faults().delay(publisher.name(), subscriber.name(), late);
-            fleet.faults().delay(subscriber.name(), publisher.name(), late);
+            fleet.faults().delay(publisher.name(), subscriber.name(), delay);
+            fleet.faults().delay(subscriber.name(), publisher.name(), delay);
         }
-        fleet.world().after(millis(100, 1_000), () -> publishers(subscriber).forEach(publisher -> {
+        fleet.virtualTime().after(millis(100, 1_000), () -> publishers(subscriber).forEach(publisher -> {
             fleet.faults().delay(publisher.name(), subscriber.name(), Duration.ZERO);
             fleet.faults().delay(subscriber.name(), publisher.name(), Duration.ZERO);
-            halfClose(tellsSubscriber ? subscriber : publisher, tellsSubscriber ? publisher : subscriber);
+            halfClose(notifiesSubscriber ? subscriber : publisher, notifiesSubscriber ? publisher : subscriber);
         }));
     }
 
     private void slowSubscriber() {
-        FleetProcess subscriber = any(subscribers());
-        int bytes = random.nextInt(SLOWEST_BYTES_A_SECOND, FASTEST_BYTES_A_SECOND);
+        FleetProcess subscriber = pickRandom(subscribers());
+        int bytes = random.nextInt(MIN_BYTES_PER_SECOND, MAX_BYTES_PER_SECOND);
         publishers(subscriber).forEach(one -> fleet.faults().throttle(one.name(), subscriber.name(), bytes));
     }
 
     private void changeWatch() {
-        ControllerProcess controller = any(fleet.controllers());
-        String service = any(List.copyOf(fleet.contents().services().keySet()));
+        ControllerProcess controller = pickRandom(fleet.controllers());
+        String service = pickRandom(List.copyOf(fleet.contents().services().keySet()));
         if (controller.watched().contains(service) && controller.watched().size() > 1) {
             controller.unwatch(service);
         } else {
@@ -213,11 +214,11 @@
         return Stream.concat(fleet.regionRelays().stream(), fleet.zoneRelays().stream()).toList();
     }
 
-    private RelayProcess anyRelay() {
-        return any(relays());
+    private RelayProcess randomRelay() {
+        return pickRandom(relays());
     }
 
-    private <T> T any(List<? extends T> all) {
+    private <T> T pickRandom(List<? extends T> all) {
         return all.get(random.nextInt(all.size()));
     }
 
--- a/lab/src/main/java/pathlane/lab/discovery/FleetObserver.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FleetObserver.java
@@ -7,14 +7,14 @@
 import pathlane.discovery.ServiceChange;
 import pathlane.discovery.WatchMessage;
 
-/** Hands the messages of all links to the invariants that concern them. */
+/** Passes the messages of all links to the invariants that apply to them. */
 final class FleetObserver implements ObservedLink.Observer {
 
     private final PublisherInvariants publishers;
     private final ControllerInvariants controllers;
-    /** The revisions that a controller held of each service of the update that it handles. */
-    private final Deque<Revision> before = new ArrayDeque<>();
-    /** What a controller had in force before the bookmark that it handles. */
+    /** For the update being handled, the revision that the controller held of each of its services. */
+    private final Deque<Revision> revisionsBefore = new ArrayDeque<>();
+    /** The revision that the controller had in force before the bookmark being handled. */
     private Revision inForceBefore = Revision.NONE;
 
     FleetObserver(PublisherInvariants publishers, ControllerInvariants controllers) {
@@ -25,7 +25,7 @@
     @Override
     public void sent(ObservedLink link, WatchMessage.Response message, int bytes) {
         if (message instanceof WatchMessage.Accepted) {
-            link.noteAccepted();
+            link.recordAccepted();
             publishers.accepted(link);
         } else if (message instanceof WatchMessage.Update update) {
             publishers.updated(link, update, bytes, catalogue(link.publisher));
@@ -42,20 +42,20 @@
         if (message instanceof WatchMessage.Acknowledge acknowledge) {
             link.unacknowledged.keySet().removeIf(batch -> batch <= acknowledge.batch());
         } else if (message instanceof WatchMessage.Subscribe) {
-            link.forgetOrdinaryUpdate();
+            link.clearOrdinaryUpdate();
         }
     }
 
     @Override
     public void arriving(ObservedLink link, WatchMessage.Response message) {
         if (message instanceof WatchMessage.Accepted accepted) {
-            link.noteStatus(accepted.status());
+            link.recordStatus(accepted.status());
         } else if (message instanceof WatchMessage.Status status) {
-            link.noteStatus(status.status());
+            link.recordStatus(status.status());
         } else if (message instanceof WatchMessage.Update update
                 && link.subscriber instanceof ControllerProcess controller) {
-            before.clear();
-            update.changes().forEach(change -> before.add(controller.revision(change.service())));
+            revisionsBefore.clear();
+            update.changes().forEach(change -> revisionsBefore.add(controller.revision(change.service())));
         } else if (link.subscriber instanceof ControllerProcess controller) {
             inForceBefore = controller.client().inForce();
         }
@@ -65,15 +65,15 @@
     public void handled(ObservedLink link, WatchMessage.Response message) {
         if (message instanceof WatchMessage.Update update && link.subscriber instanceof ControllerProcess controller) {
             for (ServiceChange change : update.changes()) {
-                controllers.handled(controller, change, before.remove(), link.lastStatus());
+                controllers.handled(controller, change, revisionsBefore.remove(), link.lastStatus());
             }
-            controller.greatestInForce();
+            controller.highestInForce();
         } else if (message instanceof WatchMessage.Bookmark && link.subscriber instanceof ControllerProcess controller) {
             Revision inForce = controller.client().inForce();
             if (controller.isRunning() && inForce.isAfter(inForceBefore)) {
                 controllers.inForce(controller, inForce);
             }
-            controller.greatestInForce();
+            controller.highestInForce();
         }
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/FleetProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FleetProcess.java
@@ -7,7 +7,7 @@
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
 
-/** A process of the virtual fleet: killed, stopped, continued and started anew under one name. */
+/** A simulated process of the fleet. It can be killed, paused, resumed and restarted under the same name. */
 abstract class FleetProcess {
 
     private final DiscoveryFleet fleet;
@@ -16,7 +16,7 @@
     private final String region;
     private final InetSocketAddress address;
     private ProcessTime time;
-    private int life;
+    private int incarnation;
 
     FleetProcess(DiscoveryFleet fleet, String name, String zone, String region, int port) {
         this.fleet = fleet;
@@ -26,10 +26,10 @@
         this.address = new InetSocketAddress("127.0.0.1", port);
     }
 
-    /** Sets up and starts the state machines of a new life. */
-    abstract void begin(AuthenticatedLink.Context common);
+    /** Creates and starts the state machines of a new incarnation. */
+    abstract void startStateMachines(AuthenticatedLink.Context common);
 
-    /** A protocol for a connection that came in; empty where nobody listens. */
+    /** Returns the protocol for an incoming connection, or empty if the process accepts no connections. */
     abstract Optional<Protocol> accept();
 
     DiscoveryFleet fleet() {
@@ -56,47 +56,48 @@
         return time;
     }
 
-    /** Counts the starts. */
-    int life() {
-        return life;
+    /** Number of starts so far, which identifies the current incarnation. */
+    int incarnation() {
+        return incarnation;
     }
 
     boolean isUp() {
         return time != null && !time.isDead();
     }
 
-    /** Whether it is there and not stopped. */
+    /** Whether the process is up and not paused. */
     boolean isRunning() {
         return isUp() && !time.isStopped();
     }
 
-    /** Starts it, empty; nothing where it is there. */
+    /** Starts the process without any state; does nothing if it is already up. */
     void start() {
         if (isUp()) {
             return;
         }
-        life++;
-        time = new ProcessTime(fleet.world(), 1);
-        fleet.trace().note(name, "starts, life " + life);
-        begin(new AuthenticatedLink.Context(name, fleet::keys, fleet::nonce, time, new RateLimitedLog("discovery", time)));
+        incarnation++;
+        time = new ProcessTime(fleet.virtualTime(), 1);
+        fleet.trace().record(name, "starts, incarnation " + incarnation);
+        startStateMachines(
+                new AuthenticatedLink.Context(name, fleet::keys, fleet::nonce, time, new RateLimitedLog("discovery", time)));
     }
 
-    /** Its process dies; its connections end at the other sides. */
+    /** Kills the process; its peers see their connections close. */
     void kill() {
         if (isUp()) {
-            fleet.trace().note(name, "is killed");
+            fleet.trace().record(name, "is killed");
             time.kill();
             fleet.faults().gone(name);
         }
     }
 
-    void stop() {
-        fleet.trace().note(name, "is stopped");
+    void pause() {
+        fleet.trace().record(name, "is paused");
         time.stop();
     }
 
-    void goOn() {
-        fleet.trace().note(name, "continues");
+    void resume() {
+        fleet.trace().record(name, "resumes");
         time.goOn();
     }
 
--- a/lab/src/main/java/pathlane/lab/discovery/ObservedLink.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ObservedLink.java
@@ -15,17 +15,17 @@
 import pathlane.transport.Protocol;
 
 /**
- * One connection between a subscriber and a publisher, with the messages on it read along at both ends. The frames are
- * those of {@link pathlane.group.SealedLink}, one write each: length:4 payload mac:16, after an opening without a mac.
+ * One connection between a subscriber and a publisher, whose messages are observed at both ends. The frames are those of
+ * {@link pathlane.group.SealedLink}, one write each: length:4 payload mac:16, after an opening without a mac.
  */
 final class ObservedLink {
 
     private static final int LENGTH_BYTES = 4;
     private static final int MAC_BYTES = 16;
 
-    /** Who reads along. */
+    /** Receives the messages of a connection. */
     interface Observer {
-        /** A publisher hands a message to its connection. */
+        /** A publisher is about to write a message to its connection. */
         void sent(ObservedLink link, WatchMessage.Response message, int bytes);
 
         /** A request is about to reach the publisher. */
@@ -38,12 +38,12 @@
         void handled(ObservedLink link, WatchMessage.Response message);
     }
 
-    /** Bytes of updates that were sent and not acknowledged, by batch. */
+    /** Bytes of updates that were sent and not yet acknowledged, by batch. */
     final Map<Long, Integer> unacknowledged = new HashMap<>();
     final FleetProcess subscriber;
-    final int subscriberLife;
+    final int subscriberIncarnation;
     final FleetProcess publisher;
-    final int publisherLife;
+    final int publisherIncarnation;
     private final EventTrace trace;
     private final Observer observer;
     private boolean accepted;
@@ -54,9 +54,9 @@
 
     ObservedLink(FleetProcess subscriber, FleetProcess publisher, EventTrace trace, Observer observer) {
         this.subscriber = subscriber;
-        this.subscriberLife = subscriber.life();
+        this.subscriberIncarnation = subscriber.incarnation();
         this.publisher = publisher;
-        this.publisherLife = publisher.life();
+        this.publisherIncarnation = publisher.incarnation();
         this.trace = trace;
         this.observer = observer;
     }
@@ -66,12 +66,12 @@
         return accepted;
     }
 
-    /** When the publisher saw its end; far in the future while it has not. */
+    /** When the publisher detected that the connection closed; {@link Instant#MAX} while it has not. */
     Instant publisherClosedAt() {
         return publisherClosedAt;
     }
 
-    /** What the publisher last said of itself here, as far as the subscriber has heard. */
+    /** Returns the publisher's last status that reached the subscriber on this connection. */
     Optional<PublisherStatus> lastStatus() {
         return Optional.ofNullable(lastStatus);
     }
@@ -80,35 +80,35 @@
         return unacknowledged.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** The publisher's services at the last update that had changes besides removals; empty where there was none. */
+    /** Revisions of the publisher's services at the last update with changes other than removals; empty if none. */
     Map<String, Revision> revisionsAtLastUpdate() {
         return revisionsAtLastUpdate;
     }
 
-    /** A service whose change in that update was no removal. */
+    /** Returns a service whose change in that update was not a removal. */
     String lastUpdateWithoutRemoval() {
         return lastUpdateWithoutRemoval;
     }
 
-    void noteOrdinaryUpdate(String service, Map<String, Revision> revisions) {
+    void recordOrdinaryUpdate(String service, Map<String, Revision> revisions) {
         lastUpdateWithoutRemoval = service;
         revisionsAtLastUpdate = revisions;
     }
 
-    /** The watch has changed: what is sent next may not have been asked for before. */
-    void forgetOrdinaryUpdate() {
+    /** Clears the last update after a change of the watch, which may add services that were not requested before. */
+    void clearOrdinaryUpdate() {
         revisionsAtLastUpdate = Map.of();
     }
 
-    void noteAccepted() {
+    void recordAccepted() {
         accepted = true;
     }
 
-    void noteStatus(PublisherStatus status) {
+    void recordStatus(PublisherStatus status) {
         lastStatus = status;
     }
 
-    /** The subscriber's protocol, with what reaches it read along. */
+    /** Wraps the subscriber's protocol to observe the messages that it receives. */
     Protocol atSubscriber(Protocol protocol) {
         return new Protocol() {
             @Override
@@ -131,18 +131,18 @@
 
             @Override
             public void closed(CloseReason end) {
-                trace.note(subscriber.name(), "closed to " + publisher.name() + " " + end);
+                trace.record(subscriber.name(), "closed to " + publisher.name() + " " + end);
                 protocol.closed(end);
             }
         };
     }
 
-    /** The publisher's protocol, with what it writes and what reaches it read along. */
+    /** Wraps the publisher's protocol to observe the messages that it writes and receives. */
     Protocol atPublisher(Protocol protocol) {
         return new Protocol() {
             @Override
             public void opened(Connection connection) {
-                protocol.opened(readAlong(connection));
+                protocol.opened(observe(connection));
             }
 
             @Override
@@ -158,13 +158,13 @@
             @Override
             public void closed(CloseReason end) {
                 publisherClosedAt = publisher.time().now();
-                trace.note(publisher.name(), "closed to " + subscriber.name() + " " + end);
+                trace.record(publisher.name(), "closed to " + subscriber.name() + " " + end);
                 protocol.closed(end);
             }
         };
     }
 
-    private Connection readAlong(Connection connection) {
+    private Connection observe(Connection connection) {
         return new Connection() {
             @Override
             public void write(byte[] frame) {
@@ -196,7 +196,7 @@
         return copy;
     }
 
-    /** A message's payload; nothing where the frame belongs to the opening. */
+    /** Returns a message's payload, or empty if the frame belongs to the opening. */
     private static Optional<byte[]> payload(byte[] frame) {
         boolean isOpening = frame[LENGTH_BYTES] == 'P' && frame[LENGTH_BYTES + 1] == 'L'
                 && frame[LENGTH_BYTES + 2] == 'G' && frame[LENGTH_BYTES + 3] == '1';
--- a/lab/src/main/java/pathlane/lab/discovery/ProgressInvariants.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ProgressInvariants.java
@@ -9,24 +9,24 @@
 import pathlane.discovery.Revision;
 
 /**
- * What must hold of the progress that the source reports. A controller that has moved may be counted at its former relay
- * until that relay, and those above it, have noticed; so the count is bounded by the connections that publishers may still
- * know of. Once nothing has gone wrong for long enough, it is bounded by the controllers themselves.
+ * Invariants of the progress that the source reports. A controller that has moved to another relay may still be counted at
+ * its former one until that relay, and those above it, have detected the closed connection. The count is therefore bounded
+ * by the connections that publishers may still know of, and by the controllers themselves after long enough without faults.
  */
 final class ProgressInvariants {
 
     private final DiscoveryFleet fleet;
     private final Violations violations;
-    /** How long after its end a connection may count: until the reports of two tiers have gone up and been late. */
-    private final Duration afterwards;
+    /** How long a closed connection may still be counted: until the delayed reports of two tiers have arrived. */
+    private final Duration countedAfterClose;
 
     ProgressInvariants(DiscoveryFleet fleet, Violations violations) {
         this.fleet = fleet;
         this.violations = violations;
-        this.afterwards = fleet.shape().terms().deadAfter().plusSeconds(4);
+        this.countedAfterClose = fleet.shape().terms().deadAfter().plusSeconds(4);
     }
 
-    /** Checks the report at the source now. */
+    /** Checks the current report at the source. */
     void check() {
         if (!fleet.source().isRunning()) {
             return;
@@ -37,7 +37,7 @@
         for (int i = levels.size() - 1; i >= 0; i--) {
             Revision revision = levels.get(i).inForce();
             counted += levels.get(i).controllers();
-            long known = known(fleet.source(), fleet.source().life(), revision);
+            long known = knownControllers(fleet.source(), fleet.source().incarnation(), revision);
             if (counted > known) {
                 violations.report("source", "counts " + counted + " controllers at " + revision + ", of " + known
                         + " that had it in force: " + report);
@@ -45,8 +45,8 @@
         }
     }
 
-    /** Checks the report at the source in a fleet in which nothing has gone wrong for long enough. */
-    void checkCalm() {
+    /** Checks the report at the source in a fleet that has been without faults for long enough. */
+    void checkUndisturbed() {
         ProgressReport report = fleet.source().source().publisher().progress();
         long counted = 0;
         List<ProgressReport.Level> levels = report.levels();
@@ -62,22 +62,22 @@
         }
     }
 
-    /** Controllers below a life of a publisher, as far as it may know, that ever had the revision in force. */
-    private long known(FleetProcess publisher, int life, Revision revision) {
-        Instant since = fleet.world().now().minus(afterwards);
+    /** Counts the controllers below a publisher's incarnation that it may know of and that ever had the revision in force. */
+    private long knownControllers(FleetProcess publisher, int incarnation, Revision revision) {
+        Instant since = fleet.virtualTime().now().minus(countedAfterClose);
         Set<String> seen = new HashSet<>();
         long known = 0;
-        for (ObservedLink link : fleet.links(publisher, life)) {
+        for (ObservedLink link : fleet.links(publisher, incarnation)) {
             boolean mayCount = link.isAccepted() && link.publisherClosedAt().isAfter(since);
-            String subscriber = link.subscriber instanceof RelayProcess ? link.subscriber + "#" + link.subscriberLife
+            String subscriber = link.subscriber instanceof RelayProcess ? link.subscriber + "#" + link.subscriberIncarnation
                     : link.subscriber.name();
             if (!mayCount || !seen.add(subscriber)) {
                 continue;
             }
             if (link.subscriber instanceof ControllerProcess controller) {
-                known += revision.isAfter(controller.greatestInForce()) ? 0 : 1;
+                known += revision.isAfter(controller.highestInForce()) ? 0 : 1;
             } else {
-                known += known(link.subscriber, link.subscriberLife, revision);
+                known += knownControllers(link.subscriber, link.subscriberIncarnation, revision);
             }
         }
         return known;
--- a/lab/src/main/java/pathlane/lab/discovery/PublisherInvariants.java
+++ b/lab/src/main/java/pathlane/lab/discovery/PublisherInvariants.java
@@ -11,14 +11,14 @@
 import pathlane.discovery.ServiceChange;
 import pathlane.discovery.WatchMessage;
 
-/** What must hold of what a publisher sends: bounds, the order of removals, and the rate of admission. */
+/** Invariants of the messages that a publisher sends: size limits, the order of removals, and the admission rate. */
 final class PublisherInvariants {
 
-    /** An update's own fields around its changes. */
+    /** Bytes of an update's own fields, besides its changes. */
     private static final int ENVELOPE_BYTES = 16;
     private static final double TOKEN_ERROR = 1e-6;
 
-    /** Tokens of a publisher's admission, by the terms. */
+    /** Token bucket that models a publisher's admission rate. */
     private static final class Bucket {
         double tokens;
         Instant filledAt;
@@ -35,10 +35,10 @@
         this.violations = violations;
     }
 
-    /** A publisher accepts a watch: no faster than at the stated rate. */
+    /** Checks that a publisher accepts watches no faster than its configured rate. */
     void accepted(ObservedLink link) {
         Instant now = link.publisher.time().now();
-        Bucket bucket = buckets.computeIfAbsent(link.publisher.name() + "#" + link.publisherLife, any -> full(now));
+        Bucket bucket = buckets.computeIfAbsent(link.publisher.name() + "#" + link.publisherIncarnation, any -> full(now));
         double seconds = Duration.between(bucket.filledAt, now).toNanos() / 1e9;
         bucket.tokens = Math.min(terms.watchBurst(), bucket.tokens + seconds * terms.watchesPerSecond());
         bucket.filledAt = now;
@@ -56,7 +56,7 @@
         return bucket;
     }
 
-    /** A publisher sends an update: within its bounds, and removals before all else. */
+    /** Checks that an update is within its size limits, and that removals are sent before other changes. */
     void updated(ObservedLink link, WatchMessage.Update update, int bytes, Catalogue catalogue) {
         checkBounds(link, update, bytes);
         checkRemovalsFirst(link, update, catalogue);
@@ -72,7 +72,8 @@
         int envelopes = link.unacknowledged.size() * ENVELOPE_BYTES;
         boolean isLoneChange = changes == 1 && before == 0;
         if (!isLoneChange && before + bytes > terms.unacknowledgedBytes() + envelopes) {
-            violations.report(link.publisher.name(), "has " + (before + bytes) + " bytes under way to " + link.subscriber);
+            violations.report(link.publisher.name(),
+                    "has " + (before + bytes) + " unacknowledged bytes to " + link.subscriber);
         }
     }
 
@@ -94,11 +95,11 @@
             }
         }
         if (ordinary != null) {
-            link.noteOrdinaryUpdate(ordinary, revisions(catalogue));
+            link.recordOrdinaryUpdate(ordinary, revisions(catalogue));
         }
     }
 
-    /** Whether nothing was taken away of a service in what a delta sums up. */
+    /** Whether the revisions that a delta covers removed or drained no server of the service. */
     private boolean isOrdinary(ServiceChange.Delta delta) {
         return delta.from().epoch() == delta.revision().epoch()
                 && !history.hasRemoval(delta.service(), delta.from(), delta.revision());
@@ -111,7 +112,7 @@
         return revisions;
     }
 
-    /** The first revision at which a change takes away a server that its receiver may send calls to. */
+    /** Returns the first revision at which a change removes a server that its receiver may send calls to. */
     private Optional<Revision> removal(ServiceChange change) {
         return change instanceof ServiceChange.Delta delta && delta.from().epoch() == delta.revision().epoch()
                 ? history.firstWithdrawal(delta.service(), delta.from(), delta.revision()) : Optional.empty();
--- a/lab/src/main/java/pathlane/lab/discovery/RelayProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/RelayProcess.java
@@ -6,7 +6,7 @@
 import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Protocol;
 
-/** A relay's process, of a region or a zone; each life begins empty. */
+/** A relay process of a region or a zone; each incarnation starts with an empty catalogue. */
 final class RelayProcess extends FleetProcess {
 
     private final List<? extends FleetProcess> upstreams;
@@ -19,8 +19,8 @@
     }
 
     @Override
-    void begin(AuthenticatedLink.Context common) {
-        relay = new Relay(fleet().watchTerms(this, upstreams), fleet().shape().terms(), common, fleet().dialer(this),
+    void startStateMachines(AuthenticatedLink.Context common) {
+        relay = new Relay(fleet().watchTerms(this, upstreams), fleet().shape().terms(), common, fleet().connector(this),
                 time(), fleet().newRandom());
         relay.start();
     }
--- a/lab/src/main/java/pathlane/lab/discovery/ServiceContents.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ServiceContents.java
@@ -11,17 +11,17 @@
 import pathlane.core.ServerEndpoint;
 import pathlane.decision.ServerStatus;
 
-/** What the world outside would have the source publish; drawn changes of it. It outlives the source's processes. */
+/** The services that the source should publish, and random changes to them. It outlives the source's incarnations. */
 final class ServiceContents {
 
     private static final int SERVER_PORT = 20_000;
-    private static final int MOST_SERVERS_OF_SERVICE = 12;
+    private static final int MAX_SERVERS_PER_SERVICE = 12;
 
-    /** A change of one service, as the source is told of it; a removed service has nothing else. */
+    /** A change of one service as passed to the source; all other fields are empty if the service is removed. */
     record Change(String service, boolean removesService, List<ServerEndpoint> upserted, List<Long> removed,
             Optional<String> configuration) {}
 
-    /** One service. */
+    /** The servers and the configuration of one service. */
     static final class Content {
         final TreeMap<Long, ServerEndpoint> servers = new TreeMap<>();
         String configuration = "";
@@ -48,8 +48,8 @@
         return services;
     }
 
-    /** Draws one change and makes it. */
-    Change change() {
+    /** Makes one randomly chosen change. */
+    Change randomChange() {
         if (services.size() < 2) {
             return addService(1 + random.nextInt(4));
         }
@@ -65,8 +65,8 @@
         };
     }
 
-    /** A restarted source may find less than it had, or something else. */
-    void loseSome() {
+    /** Randomly removes or changes some of the contents, as a restarted source may find them. */
+    void removeSomeRandomly() {
         for (String service : List.copyOf(services.keySet())) {
             switch (random.nextInt(6)) {
                 case 0 -> removeServer(service);
@@ -85,9 +85,9 @@
     Change addService(int servers) {
         String service = "service-" + ++lastService;
         services.put(service, new Content());
-        Change servered = addServers(service, servers);
-        Change configured = configure(service);
-        return new Change(service, false, servered.upserted(), List.of(), configured.configuration());
+        Change withServers = addServers(service, servers);
+        Change withConfiguration = configure(service);
+        return new Change(service, false, withServers.upserted(), List.of(), withConfiguration.configuration());
     }
 
     Change removeService(String service) {
@@ -103,22 +103,22 @@
     Change addServers(String service, int number) {
         Content content = services.get(service);
         List<ServerEndpoint> added = new ArrayList<>();
-        for (int i = 0; i < number && content.servers.size() < MOST_SERVERS_OF_SERVICE; i++) {
-            ServerEndpoint line = line(++lastServer, ServerStatus.RUNNING);
-            content.servers.put(line.id(), line);
-            added.add(line);
+        for (int i = 0; i < number && content.servers.size() < MAX_SERVERS_PER_SERVICE; i++) {
+            ServerEndpoint endpoint = endpoint(++lastServer, ServerStatus.RUNNING);
+            content.servers.put(endpoint.id(), endpoint);
+            added.add(endpoint);
         }
         return new Change(service, false, added, List.of(), Optional.empty());
     }
 
     Change removeServer(String service) {
         Content content = services.get(service);
-        List<Long> removed = content.servers.isEmpty() ? List.of() : List.of(anyServer(content));
+        List<Long> removed = content.servers.isEmpty() ? List.of() : List.of(randomServer(content));
         removed.forEach(content.servers::remove);
         return new Change(service, false, List.of(), removed, Optional.empty());
     }
 
-    /** Removes all servers but one: a true change that looks like a partial list. */
+    /** Removes all servers but one: a genuine change that looks like a partial list. */
     Change removeMost(String service) {
         Content content = services.get(service);
         List<Long> removed = content.servers.isEmpty() ? List.of()
@@ -131,19 +131,19 @@
         Content content = services.get(service);
         List<ServerEndpoint> drained = new ArrayList<>();
         if (!content.servers.isEmpty()) {
-            ServerEndpoint line = line(anyServer(content), ServerStatus.DRAINING);
-            content.servers.put(line.id(), line);
-            drained.add(line);
+            ServerEndpoint endpoint = endpoint(randomServer(content), ServerStatus.DRAINING);
+            content.servers.put(endpoint.id(), endpoint);
+            drained.add(endpoint);
         }
         return new Change(service, false, drained, List.of(), Optional.empty());
     }
 
-    private long anyServer(Content content) {
+    private long randomServer(Content content) {
         return List.copyOf(content.servers.keySet()).get(random.nextInt(content.servers.size()));
     }
 
-    private static ServerEndpoint line(long id, ServerStatus mode) {
-        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", SERVER_PORT + (int) id), mode, (int) id, 1,
+    private static ServerEndpoint endpoint(long id, ServerStatus status) {
+        return new ServerEndpoint(id, new InetSocketAddress("127.0.0.1", SERVER_PORT + (int) id), status, (int) id, 1,
                 Instant.EPOCH);
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/SourceHistory.java
+++ b/lab/src/main/java/pathlane/lab/discovery/SourceHistory.java
@@ -13,36 +13,36 @@
 import pathlane.discovery.Revision;
 import pathlane.discovery.ServiceState;
 
-/** All that the source ever held: each service's content by revision, over all of the source's lives. */
+/** All states that the source ever held: each service by revision, across all incarnations of the source. */
 final class SourceHistory {
 
     private final Map<String, TreeMap<Revision, Optional<ServiceState>>> services = new HashMap<>();
-    /** Of each service the revisions at which servers were removed or began to drain, and those servers. */
+    /** For each service, the revisions at which servers were removed or began to drain, and those servers. */
     private final Map<String, TreeMap<Revision, Set<Long>>> removals = new HashMap<>();
-    /** Of each service the revisions at which the source held only a part of it. */
+    /** For each service, the revisions at which the source had loaded only a part of it. */
     private final Map<String, Set<Revision>> partial = new HashMap<>();
     private final Set<Long> completedEpochs = new HashSet<>();
 
-    /** The source has a new state of a service, or none any more; {@code whole} unless it is still loading it. */
-    void note(String service, Revision revision, Optional<ServiceState> state, boolean whole) {
+    /** Records a new state of a service, empty if it was removed; {@code isComplete} is false while it is being loaded. */
+    void record(String service, Revision revision, Optional<ServiceState> state, boolean isComplete) {
         Set<Revision> partialOfService = partial.computeIfAbsent(service, any -> new HashSet<>());
-        if (whole) {
-            partialOfService.remove(revision);   // what was still to come has gone meanwhile
+        if (isComplete) {
+            partialOfService.remove(revision);   // the part not yet loaded has been removed since
         } else {
             partialOfService.add(revision);
         }
         TreeMap<Revision, Optional<ServiceState>> states = services.computeIfAbsent(service, any -> new TreeMap<>());
         Optional<ServiceState> before = states.isEmpty() ? Optional.empty() : states.lastEntry().getValue();
-        Set<Long> takenAway = difference(present(before), present(state));
-        takenAway.addAll(difference(running(before), running(state)));
-        if (!takenAway.isEmpty()) {
-            removals.computeIfAbsent(service, any -> new TreeMap<>()).put(revision, takenAway);
+        Set<Long> removedServers = difference(present(before), present(state));
+        removedServers.addAll(difference(running(before), running(state)));
+        if (!removedServers.isEmpty()) {
+            removals.computeIfAbsent(service, any -> new TreeMap<>()).put(revision, removedServers);
         }
         states.put(revision, state);
     }
 
-    /** The source of this epoch holds its whole catalogue. */
-    void noteComplete(long epoch) {
+    /** Records that the source of this epoch has loaded its complete catalogue. */
+    void recordComplete(long epoch) {
         completedEpochs.add(epoch);
     }
 
@@ -50,12 +50,12 @@
         return completedEpochs.contains(epoch);
     }
 
-    /** Whether the source held only a part of the service at a revision at which that changed. */
+    /** Whether the source held only a part of the service at a revision that changed the service. */
     boolean isPartial(String service, Revision revision) {
         return partial.getOrDefault(service, Set.of()).contains(revision);
     }
 
-    /** What the source held of a service at any revision of its epoch. */
+    /** Returns the state of a service that the source held at a revision, within the revision's epoch. */
     Optional<ServiceState> at(String service, Revision revision) {
         Map.Entry<Revision, Optional<ServiceState>> entry =
                 services.getOrDefault(service, new TreeMap<>()).floorEntry(revision);
@@ -63,8 +63,8 @@
     }
 
     /**
-     * The first revision after one, and up to another of its epoch, at which a server was removed or began to drain that
-     * could be sent calls at the one and can't be at the other.
+     * Finds the first revision in the range {@code (after, upTo]} of one epoch that removed or drained a server which
+     * accepted calls at {@code after} and no longer does at {@code upTo}.
      */
     Optional<Revision> firstWithdrawal(String service, Revision after, Revision upTo) {
         Set<Long> withdrawn = difference(running(at(service, after)), running(at(service, upTo)));
@@ -73,15 +73,15 @@
                 .map(Map.Entry::getKey).findFirst();
     }
 
-    /** Whether anything was taken away of the service after one revision and up to another. */
+    /** Whether any server was removed or drained in the range {@code (after, upTo]}. */
     boolean hasRemoval(String service, Revision after, Revision upTo) {
         return !removals.getOrDefault(service, new TreeMap<>()).subMap(after, false, upTo, true).isEmpty();
     }
 
     private static Set<Long> difference(Set<Long> before, Set<Long> after) {
-        Set<Long> gone = new HashSet<>(before);
-        gone.removeAll(after);
-        return gone;
+        Set<Long> difference = new HashSet<>(before);
+        difference.removeAll(after);
+        return difference;
     }
 
     private static Set<Long> present(Optional<ServiceState> state) {
@@ -89,9 +89,10 @@
                 .collect(Collectors.toSet());
     }
 
-    /** The servers of a state that may be sent calls. */
+    /** Returns the servers of a state that accept calls. */
     private static Set<Long> running(Optional<ServiceState> state) {
         return state.map(ServiceState::endpoints).orElse(List.of()).stream()
-                .filter(line -> line.status() == ServerStatus.RUNNING).map(ServerEndpoint::id).collect(Collectors.toSet());
+                .filter(endpoint -> endpoint.status() == ServerStatus.RUNNING).map(ServerEndpoint::id)
+                .collect(Collectors.toSet());
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/SourceProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/SourceProcess.java
@@ -12,13 +12,13 @@
 import pathlane.transport.Protocol;
 
 /**
- * The source's process. A new life has a greater epoch, and is incomplete until it has loaded the contents, a few servers of
- * a service at a time.
+ * The source process. A new incarnation has a higher epoch, and is incomplete until it has loaded the contents, a few
+ * servers of a service at a time.
  */
 final class SourceProcess extends FleetProcess {
 
-    private static final Duration LOAD_EACH = Duration.ofMillis(20);
-    private static final int SERVERS_AT_ONCE = 2;
+    private static final Duration LOAD_INTERVAL = Duration.ofMillis(20);
+    private static final int SERVERS_PER_LOAD = 2;
 
     private final ServiceContents contents;
     private final SourceHistory history;
@@ -32,9 +32,9 @@
     }
 
     @Override
-    void begin(AuthenticatedLink.Context common) {
-        source = new Source(life(), fleet().shape().terms(), common, time(), fleet().newRandom());
-        time().after(LOAD_EACH, this::loadNext);
+    void startStateMachines(AuthenticatedLink.Context common) {
+        source = new Source(incarnation(), fleet().shape().terms(), common, time(), fleet().newRandom());
+        time().after(LOAD_INTERVAL, this::loadNext);
     }
 
     @Override
@@ -50,37 +50,37 @@
         return source.catalogue();
     }
 
-    /** Publishes a change that was made of the contents. */
+    /** Publishes a change that was made to the contents. */
     void publish(ServiceContents.Change change) {
         time().run(() -> apply(change));
     }
 
     private void loadNext() {
-        Optional<String> partial = contents.services().keySet().stream().filter(one -> !isWhole(one)).findFirst();
+        Optional<String> partial = contents.services().keySet().stream().filter(one -> !isFullyLoaded(one)).findFirst();
         if (partial.isPresent()) {
             load(partial.get());
-            time().after(LOAD_EACH, this::loadNext);
+            time().after(LOAD_INTERVAL, this::loadNext);
             return;
         }
-        history.noteComplete(life());
-        fleet().trace().note(name(), "is complete at " + catalogue().revision());
+        history.recordComplete(incarnation());
+        fleet().trace().record(name(), "is complete at " + catalogue().revision());
         catalogue().complete();
     }
 
     private void load(String service) {
         ServiceContents.Content content = contents.services().get(service);
         List<ServerEndpoint> held = endpoints(service);
-        List<ServerEndpoint> missing = content.endpoints().stream().filter(line -> !held.contains(line))
-                .limit(SERVERS_AT_ONCE).toList();
-        noteChange(service, catalogue().update(service, missing, List.of(), Optional.of(content.configuration)));
+        List<ServerEndpoint> missing = content.endpoints().stream().filter(endpoint -> !held.contains(endpoint))
+                .limit(SERVERS_PER_LOAD).toList();
+        recordChange(service, catalogue().update(service, missing, List.of(), Optional.of(content.configuration)));
     }
 
     private List<ServerEndpoint> endpoints(String service) {
         return catalogue().state(service).map(ServiceState::endpoints).orElse(List.of());
     }
 
-    /** Whether the source holds all that there is of a service. */
-    private boolean isWhole(String service) {
+    /** Whether the source holds everything that the contents have of a service. */
+    private boolean isFullyLoaded(String service) {
         ServiceContents.Content content = contents.services().get(service);
         return catalogue().state(service).isPresent() == (content != null)
                 && (content == null || endpoints(service).containsAll(content.endpoints()));
@@ -89,18 +89,18 @@
     private void apply(ServiceContents.Change change) {
         String service = change.service();
         if (!catalogue().isComplete() && catalogue().state(service).isEmpty()) {
-            return;   // will be loaded as it is by then
+            return;   // not loaded yet; loading will include the change
         }
         if (change.removesService()) {
-            noteChange(service, catalogue().remove(service));
+            recordChange(service, catalogue().remove(service));
         } else {
-            noteChange(service, catalogue().update(service, change.upserted(), change.removed(),
+            recordChange(service, catalogue().update(service, change.upserted(), change.removed(),
                     change.configuration()));
         }
     }
 
-    private void noteChange(String service, Revision revision) {
-        history.note(service, revision, catalogue().state(service), isWhole(service));
-        fleet().trace().note(name(), revision + " changes " + service);
+    private void recordChange(String service, Revision revision) {
+        history.record(service, revision, catalogue().state(service), isFullyLoaded(service));
+        fleet().trace().record(name(), revision + " changes " + service);
     }
 }
--- a/lab/src/main/java/pathlane/lab/discovery/Violations.java
+++ b/lab/src/main/java/pathlane/lab/discovery/Violations.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The first invariant that was broken in one play. */
+/** Holds the first invariant violation of one run. */
 final class Violations {
 
     private final EventTrace trace;
@@ -12,11 +12,11 @@
         this.trace = trace;
     }
 
-    /** Notes that an invariant was broken; all but the first are left out. */
-    void report(String who, String what) {
+    /** Reports an invariant violation; all but the first are ignored. */
+    void report(String process, String violation) {
         if (first == null) {
-            first = trace.time() + " " + who + ": " + what;
-            trace.note(who, "VIOLATION " + what);
+            first = trace.time() + " " + process + ": " + violation;
+            trace.record(process, "VIOLATION " + violation);
         }
     }
 
--- a/lab/src/test/java/pathlane/lab/discovery/DiscoveryScheduleTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/DiscoveryScheduleTest.java
@@ -16,37 +16,37 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded schedules of discovery in virtual time, with invariants. A failing seed names itself: {@code -Dseed=N} plays it
- * alone and prints its trace; {@code -Dschedules=N} plays so many.
+ * Runs seeded schedules of discovery in virtual time and checks invariants. A failure reports its seed: {@code -Dseed=N}
+ * runs that one alone and prints its trace; {@code -Dschedules=N} sets the number of schedules.
  */
 class DiscoveryScheduleTest {
 
     private static final int SCHEDULES = Integer.getInteger("schedules", 3_000);
-    private static final int PLAYED_TWICE = 20;
-    private static final int MOST_BROKEN = 5;
+    private static final int REPEATED_SEEDS = 20;
+    private static final int MAX_FAILURES = 5;
 
     @BeforeAll
-    static void quiet() {
+    static void disableLogging() {
         Logger root = LogManager.getLogManager().getLogger("");
         root.setLevel(Level.parse(System.getProperty("pathlane.log", "OFF")));
     }
 
     @Test
-    void everyScheduleKeepsTheInvariantsAndEndsInStep() {
-        Long one = Long.getLong("seed");
-        if (one != null) {
-            assertEquals("", new DiscoverySchedule(one, System.out::println).play().orElse(""));
+    void everyScheduleKeepsTheInvariantsAndConverges() {
+        Long singleSeed = Long.getLong("seed");
+        if (singleSeed != null) {
+            assertEquals("", new DiscoverySchedule(singleSeed, System.out::println).run().orElse(""));
             return;
         }
-        Map<Long, String> broken = new ConcurrentSkipListMap<>();
-        LongStream.rangeClosed(1, SCHEDULES).parallel().filter(seed -> broken.size() < MOST_BROKEN)
-                .forEach(seed -> play(seed).ifPresent(what -> broken.put(seed, what)));
-        assertEquals(Map.of(), new TreeMap<>(broken));
+        Map<Long, String> failures = new ConcurrentSkipListMap<>();
+        LongStream.rangeClosed(1, SCHEDULES).parallel().filter(seed -> failures.size() < MAX_FAILURES)
+                .forEach(seed -> run(seed).ifPresent(description -> failures.put(seed, description)));
+        assertEquals(Map.of(), new TreeMap<>(failures));
     }
 
-    private static Optional<String> play(long seed) {
+    private static Optional<String> run(long seed) {
         try {
-            return new DiscoverySchedule(seed).play();
+            return new DiscoverySchedule(seed).run();
         } catch (RuntimeException e) {
             StringWriter trace = new StringWriter();
             e.printStackTrace(new PrintWriter(trace));
@@ -55,12 +55,12 @@
     }
 
     @Test
-    void aSeedGivesTheSameEventsEachTimeItIsPlayed() {
-        for (long seed = 1; seed <= PLAYED_TWICE; seed++) {
+    void aSeedGivesTheSameEventsInEveryRun() {
+        for (long seed = 1; seed <= REPEATED_SEEDS; seed++) {
             DiscoverySchedule first = new DiscoverySchedule(seed);
             DiscoverySchedule second = new DiscoverySchedule(seed);
-            first.play();
-            second.play();
+            first.run();
+            second.run();
             assertEquals(first.traceHash(), second.traceHash(), "seed " + seed);
         }
     }
--- a/lab/src/test/java/pathlane/lab/discovery/FleetAssertions.java
+++ b/lab/src/test/java/pathlane/lab/discovery/FleetAssertions.java
@@ -14,20 +14,20 @@
 import pathlane.discovery.PublisherTerms;
 import pathlane.discovery.ServiceState;
 
-/** Fleets that are in step, and what the directed tests of discovery ask of them. */
+/** Fleets that have converged, and the assertions and helpers of discovery's directed tests. */
 final class FleetAssertions {
 
-    static final Duration SOON = Duration.ofSeconds(10);
-    static final PublisherTerms TERMS = FleetShape.TIGHT;
+    static final Duration CONVERGENCE_TIMEOUT = Duration.ofSeconds(10);
+    static final PublisherTerms TERMS = FleetShape.TIGHT_LIMITS;
     static final String SERVICE = "service-1";
 
     private FleetAssertions() {}
 
-    static DiscoveryFleet fleet(int regions, int relaysOfZone, int controllers, PublisherTerms terms) {
-        DiscoveryFleet fleet = new DiscoveryFleet(new FleetShape(regions, 1, relaysOfZone, controllers, 3, 4, terms), 7);
+    static DiscoveryFleet fleet(int regions, int relaysPerZone, int controllers, PublisherTerms terms) {
+        DiscoveryFleet fleet = new DiscoveryFleet(new FleetShape(regions, 1, relaysPerZone, controllers, 3, 4, terms), 7);
         fleet.controllers().forEach(one -> one.watch(SERVICE));
         fleet.startAll();
-        comesInStep(fleet, SOON);
+        assertConverges(fleet, CONVERGENCE_TIMEOUT);
         return fleet;
     }
 
@@ -35,18 +35,18 @@
         return fleet(1, 1, controllers, TERMS);
     }
 
-    static void comesInStep(DiscoveryFleet fleet, Duration within) {
-        boolean isInStep = fleet.until(within, fleet::isInStep);
+    static void assertConverges(DiscoveryFleet fleet, Duration timeout) {
+        boolean isConverged = fleet.advanceUntil(timeout, fleet::isConverged);
         assertEquals(Optional.empty(), fleet.violations().first());
-        assertTrue(isInStep, () -> fleet.lag().orElse(""));
+        assertTrue(isConverged, () -> fleet.lag().orElse(""));
     }
 
-    static void keepsInvariants(DiscoveryFleet fleet, Duration during) {
-        fleet.pass(during);
+    static void assertInvariantsHold(DiscoveryFleet fleet, Duration during) {
+        fleet.advance(during);
         assertEquals(Optional.empty(), fleet.violations().first());
     }
 
-    static void cut(DiscoveryFleet fleet, FleetProcess one, FleetProcess other) {
+    static void partition(DiscoveryFleet fleet, FleetProcess one, FleetProcess other) {
         fleet.faults().partition(one.name(), other.name());
     }
 
@@ -57,8 +57,8 @@
         return states;
     }
 
-    /** Snapshots that the controllers and the relays were sent. */
-    static long snapshots(DiscoveryFleet fleet) {
+    /** Returns the number of snapshots that the controllers and the relays received. */
+    static long receivedSnapshots(DiscoveryFleet fleet) {
         long toRelays = Stream.concat(fleet.regionRelays().stream(), fleet.zoneRelays().stream())
                 .mapToLong(one -> one.relay().upstream().counters().snapshots()).sum();
         return toRelays + fleet.controllers().stream().mapToLong(one -> one.client().counters().snapshots()).sum();
@@ -67,7 +67,7 @@
     static void configure(DiscoveryFleet fleet, int times) {
         for (int i = 0; i < times; i++) {
             fleet.change(contents -> contents.configure(SERVICE));
-            fleet.pass(Duration.ofMillis(2));
+            fleet.advance(Duration.ofMillis(2));
         }
     }
 
@@ -78,9 +78,9 @@
         return connected;
     }
 
-    static long millisUntil(DiscoveryFleet fleet, BooleanSupplier holds) {
-        long begin = (long) fleet.world().nowMs();
-        assertTrue(fleet.until(Duration.ofSeconds(60), holds));
-        return (long) fleet.world().nowMs() - begin;
+    static long millisUntil(DiscoveryFleet fleet, BooleanSupplier condition) {
+        long start = (long) fleet.virtualTime().nowMs();
+        assertTrue(fleet.advanceUntil(Duration.ofSeconds(60), condition));
+        return (long) fleet.virtualTime().nowMs() - start;
     }
 }
--- a/lab/src/test/java/pathlane/lab/discovery/WrongPublisherTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/InvalidPublisherTest.java
@@ -24,11 +24,11 @@
 import pathlane.discovery.ServiceState;
 import pathlane.discovery.WatchMessage;
 
-/** What a watch client does with a publisher that sends what it must not. */
-class WrongPublisherTest {
+/** How a watch client handles a publisher that violates the protocol. */
+class InvalidPublisherTest {
 
     @BeforeAll
-    static void quiet() {
+    static void disableLogging() {
         LogManager.getLogManager().getLogger("").setLevel(Level.OFF);
     }
 
@@ -54,17 +54,17 @@
         return publisher;
     }
 
-    private static void keepsTheFirst(ScriptedPublisher publisher) {
+    private static void assertFirstStateKept(ScriptedPublisher publisher) {
         assertEquals(Optional.of(snapshot(FIRST, FOUR).state()), publisher.client.state(SERVICE));
         assertEquals(1, publisher.inForce.size());
         assertEquals(List.of(), publisher.absent);
     }
 
     @Test
-    void aDeltaThatDoesNotFollowIsNotAppliedAndASnapshotIsAskedFor() {
+    void aDeltaThatDoesNotFollowIsNotAppliedAndASnapshotIsRequested() {
         ScriptedPublisher publisher = withSnapshotInForce(true);
         publisher.update(removal(SECOND, THIRD, 4, servers(3)));
-        keepsTheFirst(publisher);
+        assertFirstStateKept(publisher);
         assertEquals(1, publisher.client.counters().gaps());
         assertEquals(1, publisher.interests().size());
         publisher.update(snapshot(THIRD, servers(3)));
@@ -72,60 +72,60 @@
     }
 
     @Test
-    void aDeltaWhoseResultHasAnotherDigestIsNotAppliedAndASnapshotIsAskedFor() {
+    void aDeltaWithAWrongDigestIsNotAppliedAndASnapshotIsRequested() {
         ScriptedPublisher publisher = withSnapshotInForce(true);
         publisher.update(removal(FIRST, SECOND, 4, servers(2)));
-        keepsTheFirst(publisher);
+        assertFirstStateKept(publisher);
         assertEquals(List.of(new WatchMessage.Interest(SERVICE, Revision.NONE, 0)), publisher.interests().stream()
                 .map(one -> new WatchMessage.Interest(one.service(), one.have(), 0)).toList());
     }
 
     @Test
-    void aSnapshotWhoseContentHasAnotherDigestIsNotInForce() {
+    void aSnapshotWithAWrongDigestIsNotApplied() {
         ScriptedPublisher publisher = withSnapshotInForce(true);
         ServiceChange.Snapshot right = snapshot(SECOND, servers(3));
         publisher.update(new ServiceChange.Snapshot(new ServiceState(SERVICE, SECOND,
                 right.state().digest() + 1, right.state().endpoints(), "")));
-        keepsTheFirst(publisher);
+        assertFirstStateKept(publisher);
     }
 
     @Test
-    void contentOfAnEarlierEpochOrRevisionIsNotPassedForNew() {
+    void contentOfAnEarlierEpochOrRevisionIsNotApplied() {
         ScriptedPublisher publisher = withSnapshotInForce(true);
         publisher.update(snapshot(new Revision(1, 99), servers(3)));
         publisher.update(snapshot(new Revision(2, 9), servers(3)));
         publisher.update(new ServiceChange.Absent(SERVICE, new Revision(1, 100)));
-        keepsTheFirst(publisher);
+        assertFirstStateKept(publisher);
     }
 
     @Test
-    void anIncompletePublisherTakesNeitherAServiceNorMostOfItAway() {
+    void anIncompletePublisherRemovesNeitherAServiceNorMostOfItsServers() {
         ScriptedPublisher publisher = withSnapshotInForce(false);
         publisher.update(snapshot(SECOND, servers(1)));
         publisher.update(new ServiceChange.Absent(SERVICE, THIRD));
-        keepsTheFirst(publisher);
+        assertFirstStateKept(publisher);
         assertTrue(publisher.client.counters().withheld() >= 2);
     }
 
     @Test
-    void whatWasWithheldIsInForceOnceThePublisherIsComplete() {
+    void withheldChangesComeIntoForceOnceThePublisherIsComplete() {
         ScriptedPublisher publisher = withSnapshotInForce(false);
         publisher.update(snapshot(SECOND, servers(1)));
-        keepsTheFirst(publisher);
+        assertFirstStateKept(publisher);
         publisher.send(new WatchMessage.Status(new PublisherStatus(true, THIRD, Duration.ZERO)));
-        publisher.pass();
-        boolean isAskedFor = !publisher.interests().isEmpty();
-        if (isAskedFor) {
+        publisher.advance();
+        boolean isRequested = !publisher.interests().isEmpty();
+        if (isRequested) {
             publisher.update(snapshot(SECOND, servers(1)));
         }
         assertEquals(1, publisher.client.state(SERVICE).orElseThrow().endpoints().size());
     }
 
     @Test
-    void aServiceThatHasGoneAfterTheBookmarkIsNotGivenBackAtAnEarlierRevision() {
+    void aRemovedServiceIsNotRestoredAtAnEarlierRevision() {
         ScriptedPublisher publisher = withSnapshotInForce(true);
         publisher.client.watchEverything();
-        publisher.pass();
+        publisher.advance();
         publisher.update(new ServiceChange.Absent(SERVICE, THIRD));
         publisher.send(new WatchMessage.Bookmark(FIRST));
         publisher.update(snapshot(SECOND, servers(3)));
@@ -138,11 +138,11 @@
         ScriptedPublisher publisher = withSnapshotInForce(true);
         publisher.update(removal(SECOND, THIRD, 4, servers(3)));
         publisher.send(new WatchMessage.Bookmark(THIRD));
-        publisher.pass();
+        publisher.advance();
         assertEquals(Revision.NONE, publisher.client.inForce());
         publisher.update(snapshot(THIRD, servers(3)));
         publisher.send(new WatchMessage.Bookmark(THIRD));
-        publisher.pass();
+        publisher.advance();
         assertEquals(THIRD, publisher.client.inForce());
     }
 }
--- a/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
+++ b/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
@@ -25,14 +25,14 @@
 import pathlane.standin.VirtualTime;
 import pathlane.transport.RateLimitedLog;
 
-/** A publisher that sends what a test tells it to, right or wrong, and the watch client that is connected to it. */
+/** A publisher that sends the messages a test gives it, valid or not, and the watch client connected to it. */
 final class ScriptedPublisher {
 
     static final String SERVICE = "service-1";
     private static final KeyRing KEYS = KeyRing.read("k1 000102030405060708090a0b0c0d0e0f\n");
     private static final Duration LATENCY = Duration.ofMillis(1);
 
-    final VirtualTime world = new VirtualTime();
+    final VirtualTime virtualTime = new VirtualTime();
     final List<WatchMessage.Request> requests = new ArrayList<>();
     final List<ServiceState> inForce = new ArrayList<>();
     final List<String> absent = new ArrayList<>();
@@ -41,19 +41,19 @@
     private AuthenticatedLink link;
     private long batch;
 
-    /** A client that watches one service, and has been accepted. */
+    /** Creates a client that watches one service, and whose watch has been accepted. */
     ScriptedPublisher(PublisherStatus status) {
         Faults faults = new Faults();
         WatchTerms terms = new WatchTerms("controller", "z1", "r1", List.of(new WatchTerms.PublisherAddress("relay",
                 new InetSocketAddress("127.0.0.1", 9_000), "z1", "r1")), Duration.ofMillis(50), Duration.ofSeconds(1),
                 Duration.ofSeconds(60), Duration.ofSeconds(1));
         client = new WatchClient(terms,
-                (address, timeout, protocol) -> world.after(LATENCY,
-                        () -> new Path(world, faults, LATENCY, "controller", protocol, "relay", accept(status))),
-                common("controller"), world, random.split(), new Recorder());
+                (address, timeout, protocol) -> virtualTime.after(LATENCY,
+                        () -> new Path(virtualTime, faults, LATENCY, "controller", protocol, "relay", accept(status))),
+                common("controller"), virtualTime, random.split(), new Recorder());
         client.watch(SERVICE);
         client.start();
-        pass();
+        advance();
     }
 
     private AuthenticatedLink.Context common(String name) {
@@ -61,7 +61,7 @@
             byte[] bytes = new byte[16];
             random.nextBytes(bytes);
             return bytes;
-        }, world, new RateLimitedLog("discovery", world));
+        }, virtualTime, new RateLimitedLog("discovery", virtualTime));
     }
 
     private AuthenticatedLink accept(PublisherStatus status) {
@@ -85,21 +85,21 @@
         return link;
     }
 
-    void pass() {
-        world.pass(Duration.ofMillis(200));
+    void advance() {
+        virtualTime.pass(Duration.ofMillis(200));
     }
 
     void send(WatchMessage.Response message) {
         link.send(WatchCodec.bytes(message));
     }
 
-    /** Sends changes in one update, and has them handled. */
+    /** Sends changes in one update, and waits until they are handled. */
     void update(ServiceChange... changes) {
         send(new WatchMessage.Update(++batch, List.of(changes)));
-        pass();
+        advance();
     }
 
-    /** The interests that the client has asked for since the requests were last cleared. */
+    /** Returns the interests that the client has requested since the requests were last cleared. */
     List<WatchMessage.Interest> interests() {
         return requests.stream().filter(one -> one instanceof WatchMessage.Subscribe)
                 .flatMap(one -> ((WatchMessage.Subscribe) one).interests().stream()).toList();
@@ -110,9 +110,9 @@
                 ""));
     }
 
-    /** A removal whose digest is the right one for what is left. */
-    static ServiceChange.Delta removal(Revision from, Revision revision, long server, List<ServerEndpoint> left) {
-        return new ServiceChange.Delta(SERVICE, from, revision, ServiceDigest.of(left, ""), List.of(), List.of(server),
+    /** Creates a removal with the digest of the remaining servers. */
+    static ServiceChange.Delta removal(Revision from, Revision revision, long server, List<ServerEndpoint> remaining) {
+        return new ServiceChange.Delta(SERVICE, from, revision, ServiceDigest.of(remaining, ""), List.of(), List.of(server),
                 Optional.empty());
     }
 
