--- a/lab/src/main/java/pathlane/lab/capacity/Assumption.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Assumption.java
@@ -1,21 +1,21 @@
 package pathlane.lab.capacity;
 
 /**
- * One figure about the fleet that no measurement gives.
+ * One figure about the fleet that is not measured.
  *
- * @param unit what it counts
- * @param origin where it comes from
+ * @param unit the unit of the value
+ * @param origin where the value comes from
  * @param note one line for the page
  */
 public record Assumption(String name, double value, String unit, Origin origin, String note) {
 
-    /** Whether the figure was asked for or is a guess. */
+    /** Whether the value is a requirement, a guess or a choice. */
     public enum Origin {
-        /** Part of the size that is asked for. */
+        /** Part of the required fleet size. */
         GIVEN,
-        /** A guess of this page's, to be replaced once somebody knows. */
+        /** A guess, to be replaced once the actual value is known. */
         ASSUMED,
-        /** What the plan chooses. */
+        /** A choice of the capacity plan. */
         PLANNED
     }
 
--- a/lab/src/main/java/pathlane/lab/capacity/Assumptions.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Assumptions.java
@@ -23,7 +23,7 @@
         this.byName = byName;
     }
 
-    /** Of these, in this order. */
+    /** Creates a collection of these assumptions, in this order. */
     public static Assumptions of(Collection<Assumption> all) {
         Map<String, Assumption> byName = new LinkedHashMap<>();
         all.forEach(one -> byName.put(one.name(), one));
@@ -33,7 +33,7 @@
     /**
      * Reads a TOML file with a list of tables {@code assumption}.
      *
-     * @throws IllegalArgumentException where it can't be used
+     * @throws IllegalArgumentException if the file is invalid
      */
     public static Assumptions read(Path file) throws IOException {
         TomlParseResult parsed = Toml.parse(file);
@@ -45,7 +45,7 @@
         for (int i = 0; i < tables.size(); i++) {
             Assumption one = assumption(tables.getTable(i));
             if (byName.put(one.name(), one) != null) {
-                throw new IllegalArgumentException(file + ": two assumptions '" + one.name() + "'");
+                throw new IllegalArgumentException(file + ": duplicate assumption '" + one.name() + "'");
             }
         }
         return new Assumptions(byName);
@@ -54,7 +54,7 @@
     private static Assumption assumption(TomlTable table) {
         Object value = table.get("value");
         if (!(value instanceof Number number)) {
-            throw new IllegalArgumentException("'value' of assumption '" + table.getString("name") + "' is no number");
+            throw new IllegalArgumentException("'value' of assumption '" + table.getString("name") + "' is not a number");
         }
         return new Assumption(table.getString("name"), number.doubleValue(), table.getString("unit", () -> ""),
                 Assumption.Origin.valueOf(table.getString("origin", () -> "assumed").toUpperCase(Locale.ROOT)),
@@ -66,9 +66,9 @@
     }
 
     /**
-     * The value under a name.
+     * Returns the value of an assumption.
      *
-     * @throws IllegalArgumentException where there is none
+     * @throws IllegalArgumentException if there is no such assumption
      */
     public double value(String name) {
         Assumption one = byName.get(name);
@@ -78,7 +78,7 @@
         return one.value();
     }
 
-    /** The same with another value. */
+    /** Returns a copy with one value replaced. */
     public Assumptions with(String name, double value) {
         Map<String, Assumption> changed = new LinkedHashMap<>(byName);
         value(name);
@@ -86,17 +86,17 @@
         return new Assumptions(changed);
     }
 
-    /** The same with one value halved. */
+    /** Returns a copy with one value halved. */
     public Assumptions halved(String name) {
         return with(name, value(name) * HALF);
     }
 
-    /** The same with one value doubled. */
+    /** Returns a copy with one value doubled. */
     public Assumptions doubled(String name) {
         return with(name, value(name) / HALF);
     }
 
-    /** The same fleet with so many servers: what happens a day, services and calls shrink or grow with it. */
+    /** Returns the fleet scaled to a number of servers: services, calls and daily events scale with it. */
     public Assumptions atFleet(double servers) {
         double factor = servers / value("servers");
         Assumptions scaled = this;
--- a/lab/src/main/java/pathlane/lab/capacity/CapacityCommand.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityCommand.java
@@ -26,7 +26,7 @@
     @Option(names = "--write", description = "write the tables into the page")
     private boolean write;
 
-    /** The tables out of what lies in a folder. */
+    /** Builds the tables from the measurements and assumptions in a folder. */
     public static Map<String, String> tables(Path folder) throws IOException {
         return new CapacityTables(Assumptions.read(folder.resolve(ASSUMPTIONS)), Figures.read(folder)).all();
     }
--- a/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityModel.java
@@ -1,24 +1,24 @@
 package pathlane.lab.capacity;
 
 /**
- * What each role bears at a fleet's size, out of measured figures and assumptions. Bytes are those of messages with the
- * headers of their packets. Pure.
+ * Computes each role's cost at a fleet size from measured figures and assumptions. Bytes are those of messages including
+ * the headers of their packets. Without side effects.
  */
 public final class CapacityModel {
 
     private static final double MILLIS_IN_SECOND = 1e3;
-    private static final double PERCENT_IN_MILLIS = 10;
+    private static final double MILLIS_PER_PERCENT = 10;
     private static final double MEGABYTE = 1e6;
-    /** Today's bus: an event of one server, a sign of life, and a server within a whole list. */
+    /** Bytes on the current event bus: an event of one server, a heartbeat, and one server within a complete list. */
     private static final double BUS_EVENT_BYTES = 40;
-    private static final double BUS_BEAT_BYTES = 13;
+    private static final double BUS_HEARTBEAT_BYTES = 13;
     private static final double BUS_LISTED_BYTES = 27;
 
     private final Assumptions assumptions;
     private final Figures figures;
     private final ServiceSizes sizes;
 
-    /** At the size that the assumptions say. */
+    /** Creates a model of the fleet size that the assumptions give. */
     public CapacityModel(Assumptions assumptions, Figures figures) {
         this.assumptions = assumptions;
         this.figures = figures;
@@ -37,29 +37,30 @@
         return value("header-bytes");
     }
 
-    /** Servers in one controller's list. */
+    /** Number of servers in one controller's list. */
     public double listed(Design design) {
         return design == Design.BROADCAST ? servers() : Math.min(servers(), value("services-called") * sizes.meanCalled());
     }
 
-    /** Servers of the largest service. */
+    /** Number of servers of the largest service. */
     public double largestService() {
         return sizes.largest();
     }
 
-    /** Connections of one controller to session servers. */
+    /** Number of connections of one controller to session servers. */
     public double connections(Design design) {
         return Math.min(listed(design), value("server-connections-most"));
     }
 
-    /** Calls a second that one controller decides. */
+    /** Calls per second that one controller decides. */
     public double callsPerSecond() {
         return value("calls-per-second") * value("hops-per-counted-call") / servers();
     }
 
-    /** What a role bears. Where there are no relays, none is lost. */
-    public RoleCost cost(Design design, Role role, Situation asked) {
-        Situation situation = design == Design.BROADCAST && asked == Situation.RELAY_LOST ? Situation.ORDINARY : asked;
+    /** Returns a role's cost. Without relays, the loss of a relay equals the ordinary situation. */
+    public RoleCost cost(Design design, Role role, Situation requestedSituation) {
+        Situation situation = design == Design.BROADCAST && requestedSituation == Situation.RELAY_LOST ? Situation.ORDINARY
+                : requestedSituation;
         FleetLoad load = FleetLoad.of(situation, assumptions);
         return switch (role) {
             case CONTROLLER -> controller(design, load, situation);
@@ -68,14 +69,14 @@
             case ZONE_RELAY -> zoneRelay(load);
             case REGION_RELAY -> regionRelay(load);
             case VOTER -> voter(situation);
-            case GATHERER -> gatherer(design);
+            case ACKNOWLEDGEMENT_COLLECTOR -> acknowledgementCollector(design);
         };
     }
 
     // ---- call controller
 
     private RoleCost controller(Design design, FleetLoad load, Situation situation) {
-        double changes = heard(design, load);
+        double changes = receivedChanges(design, load);
         double discoveryMessages = changes + (design == Design.SCOPED ? 2 : 1) * value("bookmarks-per-second");
         return new RoleCost(String.format("%,.0f servers listed, %,.0f connections", listed(design), connections(design)),
                 reports(design).plus(Estimate.assumed(discoveryMessages)),
@@ -90,15 +91,15 @@
         return figures.at("capacity-report-messages-per-second-by-connections", connections(design));
     }
 
-    /** Bytes a second of servers' capacity reports to one controller. */
+    /** Bytes per second of servers' capacity reports to one controller. */
     Estimate reportBytes(Design design) {
         return figures.at("capacity-report-bytes-per-second-by-connections", connections(design))
                 .plus(reports(design).times(header()));
     }
 
     /**
-     * Processor time of servers' capacity reports: what the connections cost while just their servers are listed, and what
-     * the longer list adds to each report.
+     * Processor time of servers' capacity reports: the cost of the connections if only their servers are listed, plus the
+     * cost that the longer list adds to each report.
      */
     Estimate reportCpu(Design design) {
         double connections = connections(design);
@@ -109,26 +110,27 @@
                 .plus(longerList.times(reports(design).value()));
     }
 
-    /** Bytes a second of discovery to and from one controller, one that reconnects where that is the situation. */
+    /** Bytes per second of discovery to and from one controller, which reconnects if the situation implies it. */
     Estimate discoveryBytes(Design design, Situation situation) {
         FleetLoad load = FleetLoad.of(situation, assumptions);
-        return discoveryBytes(design, heard(design, load)).plus(Estimate.assumed(resumed(design, load, situation)));
+        return discoveryBytes(design, receivedChanges(design, load))
+                .plus(Estimate.assumed(resumptionBytes(design, load, situation)));
     }
 
     /**
-     * Processor time of discovery: each event as the whole front applies it, without its reading and its line in the log,
-     * and a whole list for one that begins anew.
+     * Processor time of discovery: each event as the complete front applies it, without reading and logging it, and a
+     * complete list for a controller that starts without state.
      */
     Estimate discoveryCpu(Design design, Situation situation) {
         FleetLoad load = FleetLoad.of(situation, assumptions);
         Estimate event = figures.at("event-apply-us", listed(design)).times(1 / MILLIS_IN_SECOND);
-        Estimate events = event.times(heard(design, load));
-        return isAnew(load, situation) ? events.plus(figures.at("whole-list-apply-ms", listed(design))
+        Estimate events = event.times(receivedChanges(design, load));
+        return startsWithoutState(load, situation) ? events.plus(figures.at("whole-list-apply-ms", listed(design))
                 .times(1 / value("in-force-seconds"))) : events;
     }
 
-    /** Changes that one controller hears, a second. */
-    private double heard(Design design, FleetLoad load) {
+    /** Changes per second that one controller receives. */
+    private double receivedChanges(Design design, FleetLoad load) {
         return design == Design.BROADCAST ? load.changes()
                 : load.serverEvents() * listed(design) / servers()
                         + load.configChanges() * Math.min(1, value("services-called") / value("services"));
@@ -137,22 +139,23 @@
     private Estimate discoveryBytes(Design design, double changes) {
         if (design == Design.BROADCAST) {
             return Estimate.assumed(changes * updateBytes(design)
-                    + value("bookmarks-per-second") * (BUS_BEAT_BYTES + header()));
+                    + value("bookmarks-per-second") * (BUS_HEARTBEAT_BYTES + header()));
         }
         return Estimate.assumed(changes * (value("update-bytes") + header())
                 + 2 * value("bookmarks-per-second") * (value("bookmark-bytes") + header()));
     }
 
-    private static boolean isAnew(FleetLoad load, Situation situation) {
-        return load.fromAnew() && (situation == Situation.ROLLING_RELEASE || situation == Situation.ALL_RECONNECT);
+    private static boolean startsWithoutState(FleetLoad load, Situation situation) {
+        return load.withoutState() && (situation == Situation.ROLLING_RELEASE || situation == Situation.ALL_RECONNECT);
     }
 
-    /** Bytes a second to one controller that reconnects in this situation, spread over the window. */
-    private double resumed(Design design, FleetLoad load, Situation situation) {
+    /** Bytes per second to one controller that reconnects in this situation, spread over the window. */
+    private double resumptionBytes(Design design, FleetLoad load, Situation situation) {
         return switch (situation) {
             case ORDINARY, ZONE_LOST, RACK_LOST -> 0;
-            default -> (isAnew(load, situation) ? snapshotBytes(design)
-                    : load.missedSeconds() * heard(design, load) * updateBytes(design)) / value("in-force-seconds");
+            default -> (startsWithoutState(load, situation) ? snapshotBytes(design)
+                    : load.missedSeconds() * receivedChanges(design, load) * updateBytes(design))
+                    / value("in-force-seconds");
         };
     }
 
@@ -160,13 +163,13 @@
         return (design == Design.BROADCAST ? BUS_EVENT_BYTES : value("update-bytes")) + header();
     }
 
-    /** All that one controller needs when it begins. */
+    /** Bytes of the complete state that one controller needs at its start. */
     double snapshotBytes(Design design) {
         return design == Design.BROADCAST ? servers() * BUS_LISTED_BYTES
                 : listed(design) * value("snapshot-bytes-per-server") + value("services-called") * value("config-bytes");
     }
 
-    /** The front with its list, and what a connection that is up adds. */
+    /** Memory of the front with its list, plus that of each open connection. */
     private Estimate controllerMemory(double listed, double connections) {
         Estimate connection = figures.slope("memory-by-server-connections-heap-bytes")
                 .minus(figures.slope("memory-front-bytes"));
@@ -177,7 +180,7 @@
 
     private RoleCost sessionServer(Design design) {
         double connections = design == Design.BROADCAST ? connections(design)
-                : sizes.mostPopular(value("services-called")) * servers();
+                : sizes.shareCallingMostPopular(value("services-called")) * servers();
         Estimate messages = figures.slope("capacity-report-messages-per-second-by-connections").times(connections);
         Estimate bytes = figures.slope("capacity-report-bytes-per-second-by-connections").times(connections)
                 .plus(messages.times(header()));
@@ -189,15 +192,16 @@
     private RoleCost bus(FleetLoad load) {
         double messages = servers() * (load.changes() + value("bookmarks-per-second"));
         double bytes = servers() * (load.changes() * updateBytes(Design.BROADCAST)
-                + value("bookmarks-per-second") * (BUS_BEAT_BYTES + header()));
+                + value("bookmarks-per-second") * (BUS_HEARTBEAT_BYTES + header()));
         return new RoleCost(String.format("%,.0f subscribers", servers()), Estimate.assumed(messages + load.reconnects()),
                 Estimate.assumed(bytes + load.reconnects() * reconnectBytes(Design.BROADCAST, load)),
                 Estimate.missing("bus-cpu"), Estimate.missing("bus-memory"), "event bus, a copy to each controller");
     }
 
-    /** Bytes for one that reconnects. */
+    /** Bytes for one controller that reconnects. */
     private double reconnectBytes(Design design, FleetLoad load) {
-        return load.fromAnew() ? snapshotBytes(design) : load.missedSeconds() * heard(design, load) * updateBytes(design);
+        return load.withoutState() ? snapshotBytes(design)
+                : load.missedSeconds() * receivedChanges(design, load) * updateBytes(design);
     }
 
     private RoleCost source(FleetLoad load) {
@@ -211,35 +215,36 @@
                 "one upstream watch, one for each zone relay");
     }
 
-    /** Whoever hands each change to each of a few subscribers, and perhaps takes it from above. */
-    private RoleCost fanOut(String state, double subscribers, FleetLoad load, boolean hasSource, String mechanism) {
-        double copies = subscribers + (hasSource ? 1 : 0);
+    /** Cost of a process that sends each change to a few subscribers and, for a relay, receives it from upstream. */
+    private RoleCost fanOut(String state, double subscribers, FleetLoad load, boolean hasUpstream, String mechanism) {
+        double copies = subscribers + (hasUpstream ? 1 : 0);
         double messages = copies * (load.changes() + 2 * value("bookmarks-per-second"));
         double bytes = copies * (load.changes() * updateBytes(Design.SCOPED)
                 + 2 * value("bookmarks-per-second") * (value("bookmark-bytes") + header()));
         return new RoleCost(state, Estimate.assumed(messages), Estimate.assumed(bytes),
-                figures.at("relay-cpu-percent", subscribers).times(PERCENT_IN_MILLIS),
+                figures.at("relay-cpu-percent", subscribers).times(MILLIS_PER_PERCENT),
                 figures.at("relay-memory-mb", subscribers).times(MEGABYTE), mechanism);
     }
 
-    /** The controllers of a zone; those of a lost relay come to the other relays of its region. */
+    /** Cost of a zone relay; the controllers of a lost relay move to the other relays of its region. */
     private RoleCost zoneRelay(FleetLoad load) {
         double relays = value("zone-relays");
         double subscribers = servers() / relays;
         double reconnects = load.reconnects() / relays;
-        boolean ofOneRelay = !load.fromAnew() && load.missedSeconds() < value("region-cut-seconds");
-        if (ofOneRelay) {
+        boolean isOneRelayLost = !load.withoutState() && load.missedSeconds() < value("region-cut-seconds");
+        if (isOneRelayLost) {
             reconnects = load.reconnects() / Math.max(1, relays / value("regions") - 1);
-        } else if (!load.fromAnew()) {
+        } else if (!load.withoutState()) {
             reconnects = load.reconnects() / Math.max(1, relays / value("regions"));
         }
-        double down = subscribers * heard(Design.SCOPED, load);
-        double signs = 2 * value("bookmarks-per-second") * (subscribers + 1);
-        double bytes = (load.changes() + down) * updateBytes(Design.SCOPED) + signs * (value("bookmark-bytes") + header())
-                + reconnects * reconnectBytes(Design.SCOPED, load);
+        double forwarded = subscribers * receivedChanges(Design.SCOPED, load);
+        double bookmarks = 2 * value("bookmarks-per-second") * (subscribers + 1);
+        double bytes =
+                (load.changes() + forwarded) * updateBytes(Design.SCOPED) + bookmarks * (value("bookmark-bytes") + header())
+                        + reconnects * reconnectBytes(Design.SCOPED, load);
         return new RoleCost(String.format("the whole catalogue; %,.0f controllers", subscribers),
-                Estimate.assumed(load.changes() + down + signs + reconnects), Estimate.assumed(bytes),
-                figures.at("relay-cpu-percent", subscribers).times(PERCENT_IN_MILLIS),
+                Estimate.assumed(load.changes() + forwarded + bookmarks + reconnects), Estimate.assumed(bytes),
+                figures.at("relay-cpu-percent", subscribers).times(MILLIS_PER_PERCENT),
                 figures.at("relay-memory-mb", subscribers).times(MEGABYTE),
                 "one upstream watch, one scoped watch for each controller");
     }
@@ -259,7 +264,7 @@
                 "one register of all");
     }
 
-    private RoleCost gatherer(Design design) {
+    private RoleCost acknowledgementCollector(Design design) {
         if (design == Design.BROADCAST) {
             return new RoleCost("nothing: nobody acknowledges", Estimate.assumed(0), Estimate.assumed(0),
                     Estimate.assumed(0),
@@ -274,17 +279,17 @@
 
     // ---- calls
 
-    /** Microseconds of one decision, where so many servers are in the list that it looks at. */
-    public Estimate decisionMicros(double inList) {
-        return figures.at("decision-time-us", inList);
+    /** Microseconds of one decision over a list of this many servers. */
+    public Estimate decisionMicros(double listedServers) {
+        return figures.at("decision-time-us", listedServers);
     }
 
-    /** Processor time of the decisions of all calls, in milliseconds a second; three events a call. */
-    public Estimate decisionsCpu(double inList) {
-        return figures.at("call-time-us", inList).times(callsPerSecond() / MILLIS_IN_SECOND);
+    /** Processor time of the decisions of all calls, in milliseconds per second; a call has three events. */
+    public Estimate decisionsCpu(double listedServers) {
+        return figures.at("call-time-us", listedServers).times(callsPerSecond() / MILLIS_IN_SECOND);
     }
 
-    /** A measured series at a size. */
+    /** Returns the figure of a measured series at a size. */
     public Estimate figure(String name, double size) {
         return figures.at(name, size);
     }
--- a/lab/src/main/java/pathlane/lab/capacity/CapacityPage.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityPage.java
@@ -4,7 +4,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A page that holds generated tables between marker comments. Pure. */
+/** Fills the generated tables of a page, which are enclosed in marker comments. Without side effects. */
 public final class CapacityPage {
 
     private static final Pattern BLOCK = Pattern.compile(
@@ -13,9 +13,9 @@
     private CapacityPage() {}
 
     /**
-     * The page with each block filled anew.
+     * Returns the page with the content of each block replaced by its table.
      *
-     * @throws IllegalArgumentException where a block has no table, or a table no block
+     * @throws IllegalArgumentException if a block has no table, or a table no block
      */
     public static String fill(String page, Map<String, String> tables) {
         StringBuilder filled = new StringBuilder();
@@ -24,7 +24,7 @@
         while (matcher.find()) {
             String table = tables.get(matcher.group(2));
             if (table == null) {
-                throw new IllegalArgumentException("the page has a block '" + matcher.group(2) + "' that no table fills");
+                throw new IllegalArgumentException("the page has a block '" + matcher.group(2) + "' without a table");
             }
             matcher.appendReplacement(filled, Matcher.quoteReplacement(matcher.group(1) + table + matcher.group(3)));
             blocks++;
--- a/lab/src/main/java/pathlane/lab/capacity/CapacityTables.java
+++ b/lab/src/main/java/pathlane/lab/capacity/CapacityTables.java
@@ -13,10 +13,10 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The tables of docs/CAPACITY.md, by name, as Markdown. Pure. */
+/** Builds the tables of docs/CAPACITY.md, by name, as Markdown. Without side effects. */
 public final class CapacityTables {
 
-    private static final double SAME_PART = 0.005;
+    private static final double SAME_RELATIVE_DIFFERENCE = 0.005;
     private static final String UNCHANGED = "-";
 
     private final Assumptions assumptions;
@@ -31,14 +31,14 @@
         this.limits = new Limits(assumptions, figures);
     }
 
-    /** All tables in the order of the page. */
+    /** Returns all tables in the order of the page. */
     public Map<String, String> all() {
         Map<String, String> tables = new LinkedHashMap<>();
-        tables.put("assumptions", assumed());
+        tables.put("assumptions", assumptions());
         tables.put("sensitivity", sensitivity());
         tables.put("machines", machines());
-        tables.put("breaks-broadcast", breaks(Design.BROADCAST));
-        tables.put("breaks-scoped", breaks(Design.SCOPED));
+        tables.put("breaks-broadcast", exceededLimits(Design.BROADCAST));
+        tables.put("breaks-scoped", exceededLimits(Design.SCOPED));
         tables.put("roles-broadcast", roles(Design.BROADCAST));
         tables.put("roles-scoped", roles(Design.SCOPED));
         tables.put("calls", calls());
@@ -48,7 +48,7 @@
         return tables;
     }
 
-    private String assumed() {
+    private String assumptions() {
         Markdown table = new Markdown("assumption", "value", "of", "origin", "note");
         for (Assumption one : assumptions.all()) {
             table.row(one.name(), Markdown.number(one.value()), one.unit(),
@@ -59,7 +59,7 @@
 
     // ---- sensitivity
 
-    /** A result that the page follows through all changes of assumptions. */
+    /** A result whose sensitivity to each assumption the page shows. */
     private record Outcome(String name, Function<CapacityModel, Estimate> figure, String unit) {}
 
     private static final List<Outcome> OUTCOMES = List.of(
@@ -100,7 +100,8 @@
     }
 
     private static boolean isSame(Estimate one, Estimate other) {
-        return !one.isKnown() && !other.isKnown() || Math.abs(one.value() - other.value()) <= SAME_PART * one.value();
+        return !one.isKnown() && !other.isKnown()
+                || Math.abs(one.value() - other.value()) <= SAME_RELATIVE_DIFFERENCE * one.value();
     }
 
     // ---- the plan
@@ -119,13 +120,13 @@
                 .text();
     }
 
-    /** What breaks, the smallest size first; of a cost's bad situations the first to break alone. */
-    private String breaks(Design design) {
+    /** Lists the budgets by the fleet size that exceeds them; of a cost's bad situations only the first to exceed it. */
+    private String exceededLimits(Design design) {
         record Break(Limit limit, double size) {}
         Map<String, Break> first = new LinkedHashMap<>();
         for (Limit limit : limits.of(design)) {
             if (limit.at(assumptions).isKnown()) {
-                Break here = new Break(limit, limit.breaksAt(assumptions));
+                Break here = new Break(limit, limit.exceededFrom(assumptions));
                 first.merge(groupOf(limit), here, (one, other) -> other.size() < one.size() ? other : one);
             }
         }
@@ -142,7 +143,7 @@
         return table.text();
     }
 
-    /** All bad situations of a cost are one group. */
+    /** Returns the group of a limit: all bad situations of a cost are one group. */
     private static String groupOf(Limit limit) {
         return limit.what().endsWith(Situation.ORDINARY.text()) ? limit.what() : limit.what().split(",")[0];
     }
@@ -153,11 +154,11 @@
         Markdown table = new Markdown("role", "when", "messages/s", "bytes/s", "processor", "memory", "over budget",
                 "basis", "from");
         for (Role role : Limits.roles(design)) {
-            Map<List<String>, List<Situation>> alike = new LinkedHashMap<>();
+            Map<List<String>, List<Situation>> situationsByCells = new LinkedHashMap<>();
             for (Situation situation : Situation.values()) {
-                alike.computeIfAbsent(cells(design, role, situation), any -> new ArrayList<>()).add(situation);
+                situationsByCells.computeIfAbsent(cells(design, role, situation), any -> new ArrayList<>()).add(situation);
             }
-            alike.forEach((cells, situations) -> {
+            situationsByCells.forEach((cells, situations) -> {
                 RoleCost cost = model.cost(design, role, situations.get(0));
                 List<String> row = new ArrayList<>(List.of(situations.get(0) == Situation.ORDINARY
                         ? "**" + role.text() + "**: " + cost.state() + "; " + cost.mechanism() : role.text(),
@@ -173,16 +174,16 @@
     private List<String> cells(Design design, Role role, Situation situation) {
         RoleCost cost = model.cost(design, role, situation);
         List<String> over = new ArrayList<>();
-        note(over, role, "bytes a second", cost.bytes());
-        note(over, role, "processor", cost.cpuMillis());
-        note(over, role, "memory", cost.memoryBytes());
+        addIfOverBudget(over, role, "bytes a second", cost.bytes());
+        addIfOverBudget(over, role, "processor", cost.cpuMillis());
+        addIfOverBudget(over, role, "memory", cost.memoryBytes());
         boolean noBudget = limits.budget(role, "processor").isEmpty();
         return List.of(Markdown.number(cost.messages()), Markdown.quantity(cost.bytes(), "B/s"),
                 Markdown.quantity(cost.cpuMillis(), "ms/s"), Markdown.bytes(cost.memoryBytes()),
                 noBudget ? "no budget" : over.isEmpty() ? "" : String.join(", ", over), cost.basis().basis());
     }
 
-    private void note(List<String> over, Role role, String quantity, Estimate cost) {
+    private void addIfOverBudget(List<String> over, Role role, String quantity, Estimate cost) {
         limits.budget(role, quantity).filter(budget -> cost.value() > budget).ifPresent(budget -> over
                 .add(String.format(Locale.ROOT, "**%s** %s times", quantity, Markdown.number(cost.value() / budget))));
     }
@@ -191,66 +192,69 @@
 
     private String calls() {
         Markdown table = new Markdown("of calls", "size", "figure", "basis", "from");
-        double called = model.listed(Design.SCOPED);
-        call(table, "one decision over every server", assumptions.value("servers"), "decision-time-us", "us");
-        call(table, "one decision over a controller's services", called, "decision-time-us", "us");
-        call(table, "one decision over the largest service", model.largestService(), "decision-time-us", "us");
-        call(table, "bytes allocated by one decision over every server", assumptions.value("servers"),
+        double listed = model.listed(Design.SCOPED);
+        addCallRow(table, "one decision over every server", assumptions.value("servers"), "decision-time-us", "us");
+        addCallRow(table, "one decision over a controller's services", listed, "decision-time-us", "us");
+        addCallRow(table, "one decision over the largest service", model.largestService(), "decision-time-us", "us");
+        addCallRow(table, "bytes allocated by one decision over every server", assumptions.value("servers"),
                 "decision-allocation-bytes", "B");
-        call(table, "the same over a controller's services", called, "decision-allocation-bytes", "B");
+        addCallRow(table, "the same over a controller's services", listed, "decision-allocation-bytes", "B");
         for (String rate : new String[] {"400", "2400"}) {
             for (String quantile : new String[] {"p50", "p99", "p99.9"}) {
-                call(table, quantile + " added at " + rate + " calls/s, a controller's services listed", called,
+                addCallRow(table, quantile + " added at " + rate + " calls/s, a controller's services listed", listed,
                         "added-latency-" + quantile + "-us-at-" + rate, "us");
             }
-            call(table, "processor at " + rate + " calls/s, a controller's services listed", called,
+            addCallRow(table, "processor at " + rate + " calls/s, a controller's services listed", listed,
                     "cpu-ms-per-second-at-" + rate, "ms/s");
         }
         Estimate decisions = model.decisionsCpu(assumptions.value("servers"));
         table.row("processor of decisions over every server, " + Markdown.number(model.callsPerSecond()) + " calls/s",
                 Markdown.number(assumptions.value("servers")), Markdown.quantity(decisions, "ms/s"),
                 decisions.basis(), decisions.sourceNames());
-        Estimate scoped = model.decisionsCpu(called);
-        table.row("the same over a controller's services", Markdown.number(called), Markdown.quantity(scoped, "ms/s"),
+        Estimate scoped = model.decisionsCpu(listed);
+        table.row("the same over a controller's services", Markdown.number(listed), Markdown.quantity(scoped, "ms/s"),
                 scoped.basis(), scoped.sourceNames());
         return table.text();
     }
 
-    private void call(Markdown table, String what, double size, String series, String unit) {
+    private void addCallRow(Markdown table, String description, double size, String series, String unit) {
         Estimate figure = figures.at(series, size);
-        table.row(what, Markdown.number(Math.rint(size)), Markdown.quantity(figure, unit), figure.basis(),
+        table.row(description, Markdown.number(Math.rint(size)), Markdown.quantity(figure, unit), figure.basis(),
                 figure.sourceNames());
     }
 
     // ---- measurements
 
-    /** What the scale run measures, against budgets. */
+    /** Compares the results of the scale run with the budgets. */
     private String scaleRun() {
         double controllers = assumptions.value("servers");
         double subscribers = controllers / assumptions.value("zone-relays");
         Markdown table = new Markdown("from the scale run", "size", "figure", "budget", "basis", "from");
         for (String name : new String[] {"in-force-p50-ms", "in-force-p99-ms", "in-force-max-ms"}) {
-            scale(table, name, controllers, "controllers", assumptions.value("in-force-seconds") * 1000);
+            addScaleRow(table, name, controllers, "controllers", assumptions.value("in-force-seconds") * 1000);
         }
-        scale(table, "controller-bytes-per-second", controllers, "controllers",
+        addScaleRow(table, "controller-bytes-per-second", controllers, "controllers",
                 assumptions.value("controller-bytes-per-second"));
-        scale(table, "controller-cpu-percent", controllers, "controllers", assumptions.value("controller-cpu-ms") / 10);
-        scale(table, "controller-memory-mb", controllers, "controllers",
+        addScaleRow(table, "controller-cpu-percent", controllers, "controllers",
+                assumptions.value("controller-cpu-ms") / 10);
+        addScaleRow(table, "controller-memory-mb", controllers, "controllers",
                 assumptions.value("controller-memory-bytes") / 1e6);
-        scale(table, "relay-bytes-per-second", subscribers, "subscribers", assumptions.value("machine-bytes-per-second"));
-        scale(table, "relay-cpu-percent", subscribers, "subscribers", assumptions.value("machine-cpu-ms") / 10);
-        scale(table, "relay-memory-mb", subscribers, "subscribers", assumptions.value("machine-memory-bytes") / 1e6);
+        addScaleRow(table, "relay-bytes-per-second", subscribers, "subscribers",
+                assumptions.value("machine-bytes-per-second"));
+        addScaleRow(table, "relay-cpu-percent", subscribers, "subscribers", assumptions.value("machine-cpu-ms") / 10);
+        addScaleRow(table, "relay-memory-mb", subscribers, "subscribers", assumptions.value("machine-memory-bytes") / 1e6);
         return table.text();
     }
 
-    private void scale(Markdown table, String name, double size, String of, double budget) {
+    private void addScaleRow(Markdown table, String name, double size, String countedUnit, double budget) {
         Estimate figure = figures.at(name, size);
-        table.row(name, Markdown.number(Math.rint(size)) + " " + of, Markdown.number(figure), Markdown.number(budget),
+        table.row(name, Markdown.number(Math.rint(size)) + " " + countedUnit, Markdown.number(figure),
+                Markdown.number(budget),
                 figure.basis(), figure.isKnown() ? figure.sourceNames() : "");
     }
 
-    private static Set<String> distinct(Collection<Measurement> rows, Function<Measurement, String> of) {
-        return rows.stream().map(of).filter(Objects::nonNull).collect(Collectors.toCollection(TreeSet::new));
+    private static Set<String> distinct(Collection<Measurement> rows, Function<Measurement, String> property) {
+        return rows.stream().map(property).filter(Objects::nonNull).collect(Collectors.toCollection(TreeSet::new));
     }
 
     private String figures() {
@@ -277,7 +281,7 @@
             table.row(series.name(), scientific(fit.slope()), scientific(fit.intercept()), scientific(fit.residual()),
                     Double.isNaN(fit.rSquare()) ? UNCHANGED : String.format(Locale.ROOT, "%.3f", fit.rSquare()),
                     fit.sizes() + ", " + Markdown.number(fit.smallest()) + " to " + Markdown.number(fit.largest())
-                            + (fit.sizes() < LinearFit.LEAST_SIZES ? " (too few for a slope)" : ""));
+                            + (fit.sizes() < LinearFit.MIN_SIZES ? " (too few for a slope)" : ""));
         }
         return table.text();
     }
--- a/lab/src/main/java/pathlane/lab/capacity/Design.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Design.java
@@ -1,10 +1,10 @@
 package pathlane.lab.capacity;
 
-/** How controllers hear of servers. */
+/** How controllers are notified of servers. */
 public enum Design {
-    /** As today: the bus tells each controller of every server, and each controller connects to all of them. */
+    /** The current design: the bus notifies each controller of every server, and each controller connects to all. */
     BROADCAST("today's broadcast"),
-    /** Each controller watches the services that it calls, at relays that hold the whole catalogue. */
+    /** Each controller watches the services that it calls, at relays that hold the complete catalogue. */
     SCOPED("scoped watches with relays");
 
     private final String text;
@@ -13,7 +13,7 @@
         this.text = text;
     }
 
-    /** As the page says it. */
+    /** Returns the wording on the page. */
     public String text() {
         return text;
     }
--- a/lab/src/main/java/pathlane/lab/capacity/Estimate.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Estimate.java
@@ -6,36 +6,36 @@
 import java.util.stream.Collectors;
 
 /**
- * A figure and what it rests on.
+ * A figure, the kinds of evidence for it, and its sources.
  *
- * @param value NaN where it was not measured
- * @param evidence of all that it was worked out of
- * @param sources measured series that it was worked out of, by name
+ * @param value NaN if it was not measured
+ * @param evidence evidence of all values that it was computed from
+ * @param sources names of the measured series that it was computed from
  */
 public record Estimate(double value, Set<Evidence> evidence, Set<String> sources) {
 
-    /** Keeps copies. */
+    /** Copies both sets. */
     public Estimate {
         evidence = Set.copyOf(evidence);
         sources = Set.copyOf(sources);
     }
 
-    /** A figure out of a measured series. */
+    /** Creates a figure from a measured series. */
     static Estimate of(double value, Evidence evidence, String source) {
         return new Estimate(value, Set.of(evidence), Set.of(source));
     }
 
-    /** A figure that is worked out of assumptions alone. */
+    /** Creates a figure that is computed from assumptions alone. */
     public static Estimate assumed(double value) {
         return new Estimate(value, Set.of(Evidence.ASSUMED), Set.of());
     }
 
-    /** A figure that is exact, such as a limit of the program's. */
+    /** Creates an exact figure, such as a limit of the program. */
     public static Estimate exact(double value) {
         return new Estimate(value, Set.of(), Set.of());
     }
 
-    /** A figure that nobody has measured. */
+    /** Creates an unknown figure, which was not measured. */
     public static Estimate missing(String source) {
         return of(Double.NaN, Evidence.NOT_MEASURED, source);
     }
@@ -44,7 +44,7 @@
         return !Double.isNaN(value);
     }
 
-    /** The sum; unknown where either is. */
+    /** Returns the sum; unknown if either is. */
     public Estimate plus(Estimate other) {
         Set<Evidence> allEvidence = EnumSet.noneOf(Evidence.class);
         allEvidence.addAll(evidence);
@@ -54,24 +54,24 @@
         return new Estimate(value + other.value, allEvidence, allSources);
     }
 
-    /** The difference, at least nought; unknown where either is. */
+    /** Returns the difference, at least zero; unknown if either is. */
     public Estimate minus(Estimate other) {
         Estimate difference = plus(other.times(-1));
         return new Estimate(Math.max(0, difference.value), difference.evidence, difference.sources);
     }
 
-    /** The product with a known factor; what it rests on stays. */
+    /** Returns the product with a known factor; the evidence stays the same. */
     public Estimate times(double factor) {
         return new Estimate(value * factor, evidence, sources);
     }
 
-    /** What it rests on, for people; an unknown figure rests on nothing. */
+    /** Describes the evidence; an unknown figure has none. */
     public String basis() {
         return isKnown() ? evidence.stream().sorted().map(Evidence::text).collect(Collectors.joining(", "))
                 : Evidence.NOT_MEASURED.text();
     }
 
-    /** The series, for people. */
+    /** Returns the names of the series as text. */
     public String sourceNames() {
         return String.join(", ", new TreeSet<>(sources));
     }
--- a/lab/src/main/java/pathlane/lab/capacity/Evidence.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Evidence.java
@@ -1,6 +1,6 @@
 package pathlane.lab.capacity;
 
-/** What a figure rests on, from best to worst. */
+/** How a figure was obtained, from most to least reliable. */
 public enum Evidence {
     MEASURED("measured"),
     INTERPOLATED("between measured sizes"),
@@ -14,7 +14,7 @@
         this.text = text;
     }
 
-    /** As the page says it. */
+    /** Returns the wording on the page. */
     public String text() {
         return text;
     }
--- a/lab/src/main/java/pathlane/lab/capacity/Figures.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Figures.java
@@ -16,12 +16,12 @@
 
     private final TreeMap<String, Series> byName = new TreeMap<>();
 
-    /** Of these series. */
+    /** Creates a collection of these series. */
     public Figures(Collection<Series> all) {
         all.forEach(series -> byName.put(series.name(), series));
     }
 
-    /** Reads each CSV file of a folder; a file's name is its series'. */
+    /** Reads each CSV file of a folder; a series has the name of its file without the suffix. */
     public static Figures read(Path folder) throws IOException {
         Figures figures = new Figures(List.of());
         List<Path> files;
@@ -47,12 +47,12 @@
         return Optional.ofNullable(byName.get(name));
     }
 
-    /** A series' figure at a size, or that it was not measured. */
+    /** Returns a series' figure at a size, or a missing estimate if the series was not measured. */
     public Estimate at(String name, double size) {
         return series(name).map(series -> series.at(size)).orElseGet(() -> Estimate.missing(name));
     }
 
-    /** What one more costs by a series' fit, or that it was not measured. */
+    /** Returns the slope of a series' fit, or a missing estimate if fewer than two sizes were measured. */
     public Estimate slope(String name) {
         return series(name).filter(series -> series.sizes() > 1).map(Series::slope)
                 .orElseGet(() -> Estimate.missing(name));
--- a/lab/src/main/java/pathlane/lab/capacity/Limit.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Limit.java
@@ -3,42 +3,42 @@
 import java.util.function.Function;
 
 /**
- * A cost with its budget, at whatever size of the fleet.
+ * A cost with its budget, for any size of the fleet.
  *
- * @param what it is
- * @param design under which it comes about
+ * @param what description of the cost
+ * @param design the design under which it occurs
  * @param unit of both figures
- * @param budget most that it may be
- * @param cost by assumptions about a fleet
- * @param mechanism what carries it
+ * @param budget maximum allowed cost
+ * @param cost computes the cost from assumptions about a fleet
+ * @param mechanism the mechanism that causes the cost
  */
 record Limit(String what, Design design, String unit, double budget, Function<Assumptions, Estimate> cost,
         String mechanism) {
 
-    /** Beyond so many times the planned size nobody looks. */
-    private static final double MOST_TIMES = 100;
+    /** Sizes beyond this multiple of the planned size are not searched. */
+    private static final double MAX_SEARCHED_MULTIPLE = 100;
     private static final int STEPS = 60;
 
     Estimate at(Assumptions assumptions) {
         return cost.apply(assumptions);
     }
 
-    /** Whether it is known to be over its budget. */
+    /** Whether the cost is known to exceed its budget. */
     boolean isOver(Assumptions assumptions) {
         return at(assumptions).value() > budget;
     }
 
     /**
-     * The smallest fleet at which the budget is broken: 1 where it always is, infinite where it is not within many times
-     * the planned size. Costs are taken to grow with the fleet.
+     * Returns the smallest fleet size that exceeds the budget: 1 if every size does, infinite if none does within the
+     * searched multiple of the planned size. Costs are assumed to grow with the fleet.
      */
-    double breaksAt(Assumptions assumptions) {
-        double most = assumptions.value("servers") * MOST_TIMES;
-        if (!isOver(assumptions.atFleet(most))) {
+    double exceededFrom(Assumptions assumptions) {
+        double largestSearched = assumptions.value("servers") * MAX_SEARCHED_MULTIPLE;
+        if (!isOver(assumptions.atFleet(largestSearched))) {
             return Double.POSITIVE_INFINITY;
         }
         double within = 1;
-        double beyond = most;
+        double beyond = largestSearched;
         if (isOver(assumptions.atFleet(within))) {
             return within;
         }
--- a/lab/src/main/java/pathlane/lab/capacity/Limits.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Limits.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** All costs that have a budget, under either design. */
+/** All costs that have a budget, for each design. */
 public final class Limits {
 
-    /** The bus feed takes no event of more than 256 KiB, at 27 bytes a server. */
-    public static final int LONGEST_LIST = 9_708;
+    /** The bus feed rejects events of more than 256 KiB; a server takes 27 bytes. */
+    public static final int MAX_LIST_SERVERS = 9_708;
 
     private static final String REPORTS = "a report a second on each connection";
 
@@ -22,10 +22,10 @@
         this.figures = figures;
     }
 
-    /** Budgets of a role's messages are none; the others are the asked ones, or those of a machine. */
+    /** Returns a role's budget for a quantity: the required one for controllers, that of a machine for other roles. */
     Optional<Double> budget(Role role, String quantity) {
         boolean controller = role == Role.CONTROLLER;
-        if (role == Role.SESSION_SERVER || role == Role.GATHERER) {
+        if (role == Role.SESSION_SERVER || role == Role.ACKNOWLEDGEMENT_COLLECTOR) {
             return Optional.empty();
         }
         return Optional.of(planned.value(switch (quantity) {
@@ -66,7 +66,7 @@
         limits.add(new Limit("call controller: processor of all decisions", design, "ms/s", 1000,
                 at -> model(at).decisionsCpu(model(at).listed(design)), "one event loop"));
         if (design == Design.BROADCAST) {
-            limits.add(new Limit("a whole list in one event", design, "servers", LONGEST_LIST,
+            limits.add(new Limit("a whole list in one event", design, "servers", MAX_LIST_SERVERS,
                     at -> Estimate.exact(at.value("servers")), "event bus; longer ones are refused"));
         } else {
             limits.add(new Limit("one decision over the largest service", design, "us", planned.value("added-latency-us"),
@@ -80,7 +80,7 @@
                 || role != Role.ZONE_RELAY && role != Role.REGION_RELAY).toList();
     }
 
-    /** Where there are no relays, none is lost. */
+    /** Returns the situations of a design; without relays, the loss of a relay does not apply. */
     private static List<Situation> situations(Design design) {
         return Arrays.stream(Situation.values()).filter(situation -> design == Design.SCOPED
                 || situation != Situation.RELAY_LOST).toList();
@@ -90,7 +90,7 @@
         return new CapacityModel(at, figures);
     }
 
-    /** The state is the same in each situation. */
+    /** Adds one limit of memory, since the state is the same in each situation. */
     private void addMemory(List<Limit> limits, Design design, Role role) {
         budget(role, "memory").ifPresent(budget -> limits.add(new Limit(role.text() + ": memory of its state", design, "B",
                 budget, at -> model(at).cost(design, role, Situation.ORDINARY).memoryBytes(),
--- a/lab/src/main/java/pathlane/lab/capacity/Markdown.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Markdown.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A table as Markdown, and figures as the page writes them. */
+/** Builds a Markdown table, and formats figures for it. */
 final class Markdown {
 
     private static final double THOUSAND = 1e3;
     private static final double MILLION = 1e6;
     private static final double BILLION = 1e9;
-    private static final double WHOLE_FROM = 100;
-    private static final double TENTHS_FROM = 10;
+    private static final double MIN_WITHOUT_DECIMALS = 100;
+    private static final double MIN_WITH_ONE_DECIMAL = 10;
 
     private final List<List<String>> rows = new ArrayList<>();
 
@@ -31,7 +31,7 @@
         return text.toString();
     }
 
-    /** Three digits or so. */
+    /** Formats a number with about three significant digits. */
     static String number(double value) {
         if (Double.isNaN(value)) {
             return Evidence.NOT_MEASURED.text();
@@ -40,8 +40,9 @@
             return "none";
         }
         double size = Math.abs(value);
-        String format = size >= WHOLE_FROM || value == Math.rint(value) ? "%,.0f" : size >= TENTHS_FROM ? "%.1f"
-                : size >= 1 ? "%.2f" : "%.3f";
+        String format =
+                size >= MIN_WITHOUT_DECIMALS || value == Math.rint(value) ? "%,.0f" : size >= MIN_WITH_ONE_DECIMAL ? "%.1f"
+                        : size >= 1 ? "%.2f" : "%.3f";
         return String.format(Locale.ROOT, format, value);
     }
 
@@ -49,7 +50,7 @@
         return number(estimate.value());
     }
 
-    /** Bytes with a decimal prefix. */
+    /** Formats bytes with a decimal prefix. */
     static String bytes(Estimate estimate) {
         double value = estimate.value();
         if (!estimate.isKnown() || value < THOUSAND) {
@@ -59,7 +60,7 @@
                 : number(value / BILLION) + " GB";
     }
 
-    /** A figure in a unit. */
+    /** Formats a figure with its unit. */
     static String quantity(Estimate estimate, String unit) {
         return switch (unit) {
             case "B" -> bytes(estimate);
--- a/lab/src/main/java/pathlane/lab/capacity/MeasurementFile.java
+++ b/lab/src/main/java/pathlane/lab/capacity/MeasurementFile.java
@@ -23,7 +23,7 @@
 
     private MeasurementFile() {}
 
-    /** Reads all rows, in their order. */
+    /** Reads all rows in file order. */
     public static List<Measurement> read(Path file) throws IOException {
         List<Measurement> rows = new ArrayList<>();
         try (Reader reader = Files.newBufferedReader(file)) {
@@ -36,13 +36,13 @@
         return rows;
     }
 
-    /** Writes a row at the file's end; a new file gets its header. Figures keep six digits. */
+    /** Appends a row to the file; a new file gets the header first. Figures are rounded to six significant digits. */
     public static void append(Path file, Measurement row) throws IOException {
         Files.createDirectories(file.getParent());
-        boolean fresh = Files.notExists(file);
+        boolean isNew = Files.notExists(file);
         try (Writer writer = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
                 CSVPrinter printer = new CSVPrinter(writer, FORMAT)) {
-            if (fresh) {
+            if (isNew) {
                 printer.printRecord((Object[]) HEADER);
             }
             printer.printRecord(row.commit(), row.machine(), plain(row.size()), row.repetition(), plain(row.figure()));
--- a/lab/src/main/java/pathlane/lab/capacity/MeasurementOrigin.java
+++ b/lab/src/main/java/pathlane/lab/capacity/MeasurementOrigin.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 
 /**
- * Where figures come from.
+ * The code and the machine that figures were measured with.
  *
  * @param commit of the code that is measured, abbreviated; a tree with changes gets a plus sign
  * @param machine its cores, memory and version of Java
@@ -17,7 +17,7 @@
 
     private static final long GIB = 1L << 30;
 
-    /** This machine, and the commit of the project at {@code home}. */
+    /** Returns this machine and the commit of the project at {@code home}. */
     public static MeasurementOrigin of(Path home) {
         String changes = output(home, "git", "status", "--porcelain", "--untracked-files=no", "--", "*.java", "pom.xml");
         String commit = output(home, "git", "rev-parse", "--short", "HEAD") + (changes.isEmpty() ? "" : "+");
--- a/lab/src/main/java/pathlane/lab/capacity/Role.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Role.java
@@ -1,6 +1,6 @@
 package pathlane.lab.capacity;
 
-/** Who bears a cost. */
+/** The roles whose costs are estimated. */
 public enum Role {
     CONTROLLER("call controller"),
     SESSION_SERVER("session server"),
@@ -8,7 +8,7 @@
     ZONE_RELAY("zone relay"),
     REGION_RELAY("region relay"),
     VOTER("voter of the register"),
-    GATHERER("gatherer of acknowledgements");
+    ACKNOWLEDGEMENT_COLLECTOR("gatherer of acknowledgements");
 
     private final String text;
 
@@ -16,7 +16,7 @@
         this.text = text;
     }
 
-    /** As the page says it. */
+    /** Returns the wording on the page. */
     public String text() {
         return text;
     }
--- a/lab/src/main/java/pathlane/lab/capacity/RoleCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/RoleCost.java
@@ -3,19 +3,19 @@
 import java.util.stream.Stream;
 
 /**
- * What one holder of a role bears in a situation.
+ * The cost of one process of a role in a situation.
  *
- * @param state what it keeps, in words
- * @param messages sent and received, a second
- * @param bytes sent and received, a second
- * @param cpuMillis of processor time, a second
+ * @param state description of the state that it keeps
+ * @param messages sent and received per second
+ * @param bytes sent and received per second
+ * @param cpuMillis milliseconds of processor time per second
  * @param memoryBytes of the state
- * @param mechanism what carries it
+ * @param mechanism the mechanism that causes the cost
  */
 public record RoleCost(String state, Estimate messages, Estimate bytes, Estimate cpuMillis, Estimate memoryBytes,
         String mechanism) {
 
-    /** What the known figures rest on together, as one that is nought. */
+    /** Returns a zero estimate with the combined evidence of the known figures. */
     public Estimate basis() {
         return Stream.of(messages, bytes, cpuMillis, memoryBytes).filter(Estimate::isKnown).map(one -> one.times(0))
                 .reduce(Estimate::plus).orElse(Estimate.missing(""));
--- a/lab/src/main/java/pathlane/lab/capacity/Series.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Series.java
@@ -8,8 +8,8 @@
 /** The measurements of one quantity, by size. Immutable. */
 public final class Series {
 
-    /** Sizes closer than this part are the same. */
-    private static final double SAME = 0.01;
+    /** Sizes whose relative difference is at most this are considered equal. */
+    private static final double SAME_RELATIVE_DIFFERENCE = 0.01;
 
     private final String name;
     private final List<Measurement> rows;
@@ -42,29 +42,29 @@
         return LinearFit.of(rows);
     }
 
-    /** Mean over the repetitions, by size. */
+    /** Returns the mean over the repetitions, by size. */
     public Map<Double, Double> means() {
         return new TreeMap<>(means);
     }
 
-    /** The figure at a size: the mean there, a line between its neighbours, or the fit beyond all sizes. */
+    /** Returns the mean at a measured size, else interpolates between its neighbours or extrapolates by the fit. */
     public Estimate at(double size) {
         Map.Entry<Double, Double> below = means.floorEntry(size);
         Map.Entry<Double, Double> above = means.ceilingEntry(size);
-        if (below != null && size - below.getKey() <= SAME * size) {
+        if (below != null && size - below.getKey() <= SAME_RELATIVE_DIFFERENCE * size) {
             return estimate(below.getValue(), Evidence.MEASURED);
         }
-        if (above != null && above.getKey() - size <= SAME * size) {
+        if (above != null && above.getKey() - size <= SAME_RELATIVE_DIFFERENCE * size) {
             return estimate(above.getValue(), Evidence.MEASURED);
         }
         if (below != null && above != null) {
-            double part = (size - below.getKey()) / (above.getKey() - below.getKey());
-            return estimate(below.getValue() + part * (above.getValue() - below.getValue()), Evidence.INTERPOLATED);
+            double share = (size - below.getKey()) / (above.getKey() - below.getKey());
+            return estimate(below.getValue() + share * (above.getValue() - below.getValue()), Evidence.INTERPOLATED);
         }
         return estimate(sizes() < 2 ? means.firstEntry().getValue() : fit().at(size), Evidence.EXTRAPOLATED);
     }
 
-    /** What one more costs, by the fit. */
+    /** Returns the fit's increase per unit of size. */
     public Estimate slope() {
         return estimate(fit().slope(), Evidence.EXTRAPOLATED);
     }
--- a/lab/src/main/java/pathlane/lab/capacity/Situation.java
+++ b/lab/src/main/java/pathlane/lab/capacity/Situation.java
@@ -1,6 +1,6 @@
 package pathlane.lab.capacity;
 
-/** An ordinary second, or a bad one. */
+/** The load situations for which costs are estimated: ordinary operation and failures. */
 public enum Situation {
     ORDINARY("ordinary second"),
     ZONE_LOST("zone lost at once"),
@@ -16,7 +16,7 @@
         this.text = text;
     }
 
-    /** As the page says it. */
+    /** Returns the wording on the page. */
     public String text() {
         return text;
     }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ControllerProcess.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ControllerProcess.java
@@ -14,18 +14,18 @@
 import org.tomlj.Toml;
 
 /**
- * A call controller of the built jar as a process of its own, started by the command that {@code deploy/balancer.toml}
- * names, with its processor time and memory as the system and the JVM tell them. Ended by its own id.
+ * Runs a call controller of the built jar as a separate process, started by the command in {@code deploy/balancer.toml}, and
+ * reads its processor time and memory from the system and the JVM. Only this process is ended.
  */
 final class ControllerProcess implements AutoCloseable {
 
     private static final String READY = "serves on";
-    private static final Duration MOST_START = Duration.ofSeconds(30);
-    private static final Duration POLL = Duration.ofMillis(20);
-    private static final int END_SECONDS = 5;
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
+    private static final int EXIT_TIMEOUT_SECONDS = 5;
     private static final int KIB = 1024;
-    /** The serial collector leaves some dead objects where they are, but for each fourth full collection. */
-    private static final String COLLECT_AND_TELL = "GC.run\n".repeat(4) + "GC.heap_info\n";
+    /** The serial collector reclaims all dead objects only at each fourth full collection. */
+    private static final String COLLECT_AND_REPORT_HEAP = "GC.run\n".repeat(4) + "GC.heap_info\n";
     private static final Pattern RESIDENT = Pattern.compile("VmRSS:\\s+(\\d+) kB");
     private static final Pattern USED = Pattern.compile("(?:def new generation|tenured generation).*?used (\\d+)K");
 
@@ -38,11 +38,11 @@
     }
 
     /**
-     * Starts one and waits until it serves.
+     * Starts a controller and waits until it is ready.
      *
-     * @param home where the project was built
+     * @param home root of the built project
      * @param config the text of its configuration
-     * @param folder for its configuration and its log
+     * @param folder folder for its configuration and its log
      */
     static ControllerProcess start(Path home, String config, Path folder) throws InterruptedException {
         Path log = folder.resolve("controller.log");
@@ -60,20 +60,20 @@
         }
     }
 
-    /** The part of {@code run} that begins with the JVM: what stands before it is the shell's. */
+    /** Returns the part of {@code run} from the JVM on; the part before it belongs to the shell. */
     private static List<String> command(Path home) throws IOException {
         String run = Toml.parse(home.resolve("deploy/balancer.toml")).getString("run");
         return Arrays.asList(run.substring(run.indexOf("java ")).split(" "));
     }
 
     private void awaitReady() throws IOException, InterruptedException {
-        long until = System.nanoTime() + MOST_START.toNanos();
+        long until = System.nanoTime() + START_TIMEOUT.toNanos();
         while (!Files.readString(log).contains(READY)) {
             if (!process.isAlive() || System.nanoTime() > until) {
                 close();
-                throw new IllegalStateException("the controller did not come to serve: " + lastLines());
+                throw new IllegalStateException("the controller did not become ready: " + lastLines());
             }
-            Thread.sleep(POLL.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
     }
 
@@ -82,7 +82,7 @@
         return String.join(" / ", lines.subList(Math.max(0, lines.size() - 3), lines.size()));
     }
 
-    /** Processor time so far. */
+    /** Processor time used so far. */
     ProcessorTime processorTime() {
         return ProcessorTime.of(process.pid());
     }
@@ -92,15 +92,15 @@
         return KIB * number(RESIDENT.matcher(read(Path.of("/proc", Long.toString(process.pid()), "status"))));
     }
 
-    /** What is in use of the Java heap after full collections, which this asks for. */
+    /** Returns the used Java heap after full collections, which this method requests. */
     long liveHeapBytes() throws InterruptedException {
-        Matcher used = USED.matcher(jcmd(COLLECT_AND_TELL));
+        Matcher used = USED.matcher(jcmd(COLLECT_AND_REPORT_HEAP));
         return KIB * (number(used) + number(used));
     }
 
     private static long number(Matcher matcher) {
         if (!matcher.find()) {
-            throw new IllegalStateException("no figure like " + matcher.pattern());
+            throw new IllegalStateException("no match for " + matcher.pattern());
         }
         return Long.parseLong(matcher.group(1));
     }
@@ -126,9 +126,9 @@
         }
     }
 
-    /** SIGKILL: nothing that it still has to say is measured. */
+    /** Ends the process by SIGKILL: its shutdown is not measured. */
     @Override
     public void close() throws InterruptedException {
-        process.destroyForcibly().waitFor(END_SECONDS, TimeUnit.SECONDS);
+        process.destroyForcibly().waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/PacedCaller.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/FixedRateClient.java
@@ -16,28 +16,28 @@
 import pathlane.wire.Message;
 
 /**
- * One caller's connection with a thread that reads it. A call's latency runs from when it was meant to be asked, not from
- * when it was written, so that a stall of either side is not left out (coordinated omission). Safe for threads.
+ * One client connection with a thread that reads it. A call's latency is measured from its scheduled request time, not from
+ * when it was written, so that a stall of either side is included (no coordinated omission). Thread-safe.
  */
-final class PacedCaller implements AutoCloseable {
+final class FixedRateClient implements AutoCloseable {
 
     private static final String CALL_CLASS = "status-check";
-    private static final String PATIENCE_MILLIS = "6000";
-    private static final int OVER = 16;
-    private static final int BUFFER = 64 * 1024;
+    private static final String REMAINING_DEADLINE_MILLIS = "6000";
+    private static final int NORMAL_RELEASE_CAUSE = 16;
+    private static final int BUFFER_BYTES = 64 * 1024;
     private static final long NANOS_IN_MICRO = 1_000;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final Socket socket;
     private final OutputStream out;
     private final boolean releases;
-    private final Map<Long, Long> meantAt = new ConcurrentHashMap<>();
+    private final Map<Long, Long> scheduledNanosByCall = new ConcurrentHashMap<>();
     private final AtomicLong answered = new AtomicLong();
-    private final AtomicLong refused = new AtomicLong();
-    private volatile Histogram latencies = new ConcurrentHistogram(DIGITS);
+    private final AtomicLong rejected = new AtomicLong();
+    private volatile Histogram latencies = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
 
-    /** Connects; {@code releases} is whether each call is released as soon as it is answered, or stands. */
-    PacedCaller(int port, boolean releases) throws IOException {
+    /** Connects; {@code releases} is whether each call is released as soon as it is answered, or stays established. */
+    FixedRateClient(int port, boolean releases) throws IOException {
         this.socket = new Socket(InetAddress.getLoopbackAddress(), port);
         this.releases = releases;
         socket.setTcpNoDelay(true);
@@ -47,11 +47,12 @@
         reader.start();
     }
 
-    /** Asks for a call that was meant to be asked at this time of {@link System#nanoTime}. */
-    void ask(long id, int place, long meantNanos) throws IOException {
-        meantAt.put(id, meantNanos);
-        write(new Message(Message.SET_UP, id).with(Message.CLASS, CALL_CLASS).with(Message.PATIENCE, PATIENCE_MILLIS)
-                .with(Message.NUMBER, "n" + id).with(Message.FIGURES, "dest:" + place + ";width:1;via:-1")
+    /** Requests a call that was scheduled for this time of {@link System#nanoTime}. */
+    void request(long id, int destination, long scheduledNanos) throws IOException {
+        scheduledNanosByCall.put(id, scheduledNanos);
+        write(new Message(Message.SET_UP, id).with(Message.CLASS, CALL_CLASS)
+                .with(Message.PATIENCE, REMAINING_DEADLINE_MILLIS)
+                .with(Message.NUMBER, "n" + id).with(Message.FIGURES, "dest:" + destination + ";width:1;via:-1")
                 .with(Message.DESCRIPTION, new byte[] {1, 2}));
     }
 
@@ -61,41 +62,41 @@
 
     private void read() {
         FrameAssembler assembler = Message.assembler();
-        byte[] buffer = new byte[BUFFER];
+        byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = socket.getInputStream();
             for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-                assembler.feed(ByteBuffer.wrap(buffer, 0, count), frame -> heard(Message.read(frame)));
+                assembler.feed(ByteBuffer.wrap(buffer, 0, count), frame -> handleResponse(Message.read(frame)));
             }
         } catch (IOException | UncheckedIOException e) {
-            return;   // closed; what was asked and not heard of is counted as unanswered
+            return;   // closed; requests without a response are counted as unanswered
         }
     }
 
-    private void heard(Message message) {
-        Long meant = meantAt.remove(message.call);
-        if (meant == null) {
+    private void handleResponse(Message message) {
+        Long scheduledNanos = scheduledNanosByCall.remove(message.call);
+        if (scheduledNanos == null) {
             return;
         }
         if (message.type != Message.ANSWER) {
-            refused.incrementAndGet();
+            rejected.incrementAndGet();
             return;
         }
-        latencies.recordValue(Math.max(0, System.nanoTime() - meant) / NANOS_IN_MICRO);
+        latencies.recordValue(Math.max(0, System.nanoTime() - scheduledNanos) / NANOS_IN_MICRO);
         answered.incrementAndGet();
         if (releases) {
             try {
-                write(new Message(Message.RELEASE, message.call).withCause(OVER));
+                write(new Message(Message.RELEASE, message.call).withCause(NORMAL_RELEASE_CAUSE));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
     }
 
-    /** Microseconds of what was answered since this was last called. */
+    /** Returns the latencies in microseconds of the calls answered since the last invocation. */
     Histogram takeLatencies() {
         Histogram taken = latencies;
-        latencies = new ConcurrentHistogram(DIGITS);
+        latencies = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
         return taken;
     }
 
@@ -103,14 +104,14 @@
         return answered.get();
     }
 
-    /** Calls that ended without an answer. */
-    long refused() {
-        return refused.get();
+    /** Number of calls that were rejected or failed. */
+    long rejected() {
+        return rejected.get();
     }
 
-    /** Calls that wait. */
-    int open() {
-        return meantAt.size();
+    /** Number of calls without a response. */
+    int pending() {
+        return scheduledNanosByCall.size();
     }
 
     @Override
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
@@ -24,29 +24,29 @@
 import pathlane.transport.Protocol;
 
 /**
- * What the whole platform front (bus feed, core, decision module, server links) costs by the number of listed servers, in
- * virtual time and without sockets: an event, a whole list, and memory. Nothing is written to the log.
+ * Measures the cost of the complete platform front (bus feed, core, decision module, server links) by the number of listed
+ * servers, in virtual time and without sockets: an event, a complete list, and memory. Logging is off.
  */
 final class ListCost {
 
     private static final int[] EVENT_SIZES = {3, 30, 300, 3_000, 26_000};
     private static final int[] MEMORY_SIZES = {300, 3_000, 9_000, 26_000};
-    /** The bus feed refuses an event of more than 256 KiB, which is 9,708 servers. */
-    private static final int[] WHOLE_SIZES = {3, 30, 300, 3_000, 9_000};
+    /** The bus feed rejects an event of more than 256 KiB, which is 9,708 servers. */
+    private static final int[] COMPLETE_LIST_SIZES = {3, 30, 300, 3_000, 9_000};
     private static final int FULL_SIZE = 26_000;
-    private static final int FEW = 3;
+    private static final int FEW_SERVERS = 3;
     private static final int BUS_PORT = 9092;
     private static final int SERVER_PORT = 10_000;
-    private static final int CALLER_PORT = 5000;
+    private static final int CLIENT_PORT = 5000;
     private static final int CONTROLLERS = 100;
-    private static final Duration CATCH_UP = Duration.ofMillis(300);
+    private static final Duration STARTUP_TIME = Duration.ofMillis(300);
     private static final Duration WARM_UP = Duration.ofMillis(200);
-    private static final Duration MEASURED = Duration.ofMillis(400);
-    private static final int LEAST_ROUNDS = 5;
-    /** The serial collector leaves some dead objects where they are, but for each fourth full collection. */
+    private static final Duration MEASUREMENT_TIME = Duration.ofMillis(400);
+    private static final int MIN_ROUNDS = 5;
+    /** The serial collector reclaims all dead objects only at each fourth full collection. */
     private static final int COLLECTIONS = 4;
-    private static final double MICROS = 1e3;
-    private static final double MILLIS = 1e6;
+    private static final double NANOS_IN_MICRO = 1e3;
+    private static final double NANOS_IN_MILLI = 1e6;
 
     private ListCost() {}
 
@@ -56,30 +56,32 @@
             for (int size : EVENT_SIZES) {
                 events(recorder, size, repetition);
             }
-            for (int size : WHOLE_SIZES) {
-                wholeLists(recorder, size, repetition);
+            for (int size : COMPLETE_LIST_SIZES) {
+                completeLists(recorder, size, repetition);
             }
             for (int size : MEMORY_SIZES) {
                 memory(recorder, size, repetition);
             }
         }
         System.out.println("a whole list of " + FULL_SIZE + " servers: "
-                + refusal(FULL_SIZE).map(end -> "refused, " + end).orElse("applied"));
+                + rejection(FULL_SIZE).map(end -> "refused, " + end).orElse("applied"));
     }
 
-    /** How the bus feed ends its connection over a whole list of so many servers, where it does. */
-    static Optional<CloseReason> refusal(int servers) {
-        return new Front(FEW).refusal(servers);
+    /** Returns why the bus feed closes its connection on a complete list of this many servers; empty if it does not. */
+    static Optional<CloseReason> rejection(int servers) {
+        return new Front(FEW_SERVERS).rejection(servers);
     }
 
     private static void events(Recorder recorder, int size, int repetition) {
         Front front = new Front(size);
-        recorder.record("event-apply-us", size, repetition, timed(front::changeOne, WARM_UP, MEASURED) / MICROS);
+        recorder.record("event-apply-us", size, repetition,
+                timed(front::changeOne, WARM_UP, MEASUREMENT_TIME) / NANOS_IN_MICRO);
     }
 
-    private static void wholeLists(Recorder recorder, int size, int repetition) {
+    private static void completeLists(Recorder recorder, int size, int repetition) {
         Front front = new Front(size);
-        recorder.record("whole-list-apply-ms", size, repetition, timed(front::replace, WARM_UP, MEASURED) / MILLIS);
+        recorder.record("whole-list-apply-ms", size, repetition,
+                timed(front::replace, WARM_UP, MEASUREMENT_TIME) / NANOS_IN_MILLI);
     }
 
     private static double timed(Runnable task, Duration warmUp, Duration measured) {
@@ -87,46 +89,46 @@
         return rounds(task, measured);
     }
 
-    private static double rounds(Runnable task, Duration most) {
+    private static double rounds(Runnable task, Duration minTime) {
         int rounds = 0;
-        long begun = System.nanoTime();
-        long ended = begun;
-        while (ended - begun < most.toNanos() || rounds < LEAST_ROUNDS) {
+        long start = System.nanoTime();
+        long end = start;
+        while (end - start < minTime.toNanos() || rounds < MIN_ROUNDS) {
             task.run();
             rounds++;
-            ended = System.nanoTime();
+            end = System.nanoTime();
         }
-        return (double) (ended - begun) / rounds;
+        return (double) (end - start) / rounds;
     }
 
     private static void memory(Recorder recorder, int size, int repetition) {
-        recorder.record("memory-list-bytes", size, repetition, retained(() -> serverLines(size)));
+        recorder.record("memory-list-bytes", size, repetition, retained(() -> endpoints(size)));
         recorder.record("memory-module-bytes", size, repetition, retained(() -> module(size)));
         String config = config(size);
         recorder.record("memory-front-bytes", size, repetition, retained(() -> new Front(config)));
     }
 
-    private static List<ServerEndpoint> serverLines(int size) {
-        List<ServerEndpoint> lines = new ArrayList<>(size);
+    private static List<ServerEndpoint> endpoints(int size) {
+        List<ServerEndpoint> endpoints = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
-            lines.add(new ServerEndpoint(i, new InetSocketAddress("127.0.0.1", SERVER_PORT), ServerStatus.RUNNING, i, 1,
+            endpoints.add(new ServerEndpoint(i, new InetSocketAddress("127.0.0.1", SERVER_PORT), ServerStatus.RUNNING, i, 1,
                     Instant.ofEpochMilli(i)));
         }
-        return lines;
+        return endpoints;
     }
 
     private static AdaptiveRoutingPolicy module(int size) {
-        AdaptiveRoutingPolicy logic = new AdaptiveRoutingPolicy(DecisionCost.settings(), 7, new IgnoredActions());
-        logic.serversListed(0, true, DecisionCost.lines(ServerStatus.RUNNING, size));
-        return logic;
+        AdaptiveRoutingPolicy policy = new AdaptiveRoutingPolicy(DecisionCost.settings(), 7, new IgnoredActions());
+        policy.serversListed(0, true, DecisionCost.listedServers(ServerStatus.RUNNING, size));
+        return policy;
     }
 
-    /** Bytes of the heap that what is made holds: the heap in use after a full collection, with and without it. */
-    private static double retained(Supplier<Object> make) {
+    /** Returns the heap bytes that an object retains: the difference in used heap after full collections. */
+    private static double retained(Supplier<Object> factory) {
         long before = usedHeap();
-        Object made = make.get();
+        Object retainedObject = factory.get();
         long after = usedHeap();
-        java.lang.ref.Reference.reachabilityFence(made);
+        java.lang.ref.Reference.reachabilityFence(retainedObject);
         return after - before;
     }
 
@@ -138,10 +140,10 @@
     }
 
     private static String config(int size) {
-        return FleetConfig.text("n1", CALLER_PORT, size, place -> SERVER_PORT, BUS_PORT, CONTROLLERS, 7);
+        return FleetConfig.text("n1", CLIENT_PORT, size, place -> SERVER_PORT, BUS_PORT, CONTROLLERS, 7);
     }
 
-    /** A front whose only connection is the one to the bus. */
+    /** A platform front whose only connection is the one to the bus. */
     private static final class Front implements Connection {
 
         private final PlatformFront front;
@@ -167,7 +169,7 @@
                 }
             }, time, () -> true, Optional::empty);
             bus.opened(this);
-            time.pass(CATCH_UP);
+            time.pass(STARTUP_TIME);
         }
 
         void changeOne() {
@@ -177,12 +179,12 @@
         }
 
         void replace() {
-            bus.received(ByteBuffer.wrap(BusFrames.whole(++number, size, SERVER_PORT)));
+            bus.received(ByteBuffer.wrap(BusFrames.completeList(++number, size, SERVER_PORT)));
         }
 
-        /** How the feed ended its connection over a whole list of so many servers, where it did. */
-        Optional<CloseReason> refusal(int servers) {
-            bus.received(ByteBuffer.wrap(BusFrames.whole(++number, servers, SERVER_PORT)));
+        /** Returns why the feed closed its connection on a complete list of this many servers; empty if it did not. */
+        Optional<CloseReason> rejection(int servers) {
+            bus.received(ByteBuffer.wrap(BusFrames.completeList(++number, servers, SERVER_PORT)));
             return closed;
         }
 
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ProcessCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ProcessCost.java
@@ -7,25 +7,25 @@
 import pathlane.lab.Folders;
 
 /**
- * What the built program costs as a process that serves nobody: at its start, by listed servers, by connections to servers,
- * and by the rate of events on the bus.
+ * Measures the cost of the built program as a process without clients: at its start, by listed servers, by connections to
+ * servers, and by the rate of events on the bus.
  */
 final class ProcessCost {
 
-    private static final int FEW = 3;
+    private static final int FEW_SERVERS = 3;
     private static final int[] LISTED = {3, 300, 3_000, 9_000, 26_000};
     private static final int[] CONNECTED = {3, 30, 300, 1_000, 3_000};
     private static final int[] EVENTS_PER_SECOND = {0, 10, 100, 1_000};
     private static final int[] LISTED_UNDER_EVENTS = {3, 300, 1_000, 3_000};
-    private static final int LISTED_USUAL = 300;
-    private static final int EVENTS_USUAL = 100;
-    /** A start visits each listed server within 4 s. */
-    private static final Duration SETTLED = Duration.ofSeconds(5);
-    private static final Duration WARM = Duration.ofMillis(1000);
-    /** Until the code that takes an event is compiled. */
-    private static final Duration COMPILING = Duration.ofSeconds(2);
-    private static final int COMPILING_EVENTS = 500;
-    /** Whole seconds: servers report once a second, all at the same time. */
+    private static final int DEFAULT_LISTED = 300;
+    private static final int DEFAULT_EVENTS_PER_SECOND = 100;
+    /** After its start the controller connects to each listed server within 4 s. */
+    private static final Duration SETTLING_TIME = Duration.ofSeconds(5);
+    private static final Duration WARM_UP = Duration.ofMillis(1000);
+    /** Time until the code that handles an event is compiled. */
+    private static final Duration COMPILATION_TIME = Duration.ofSeconds(2);
+    private static final int COMPILATION_EVENTS_PER_SECOND = 500;
+    /** A multiple of one second, because servers report once a second, all at the same time. */
     private static final Duration WINDOW = Duration.ofSeconds(2);
 
     private final Path home;
@@ -38,14 +38,14 @@
         this.repetitions = repetitions;
     }
 
-    /** Something that is measured on a controller that serves. */
+    /** A measurement of a running controller. */
     private interface Measure {
-        void on(ControllerProcess controller, StandInPlatform platform) throws InterruptedException;
+        void on(ControllerProcess controller, SimulatedPlatform platform) throws InterruptedException;
     }
 
-    private void with(int listed, int reachable, Measure measure) throws IOException, InterruptedException {
+    private void withController(int listed, int reachable, Measure measure) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("pathlane-capacity");
-        try (StandInPlatform platform = new StandInPlatform();
+        try (SimulatedPlatform platform = new SimulatedPlatform();
                 ControllerProcess controller = ControllerProcess.start(home, platform.config(listed, reachable), folder)) {
             measure.on(controller, platform);
         } finally {
@@ -53,17 +53,18 @@
         }
     }
 
-    /** Processor time and memory of a start, by listed servers; a size that does not come to serve is said and left out. */
+    /** Processor time and memory of a start, by listed servers; a size that fails to start is reported and skipped. */
     void start() throws IOException, InterruptedException {
         for (int listed : LISTED) {
             for (int repetition = 1; repetition <= repetitions; repetition++) {
-                int at = repetition;
+                int currentRepetition = repetition;
                 try {
-                    with(listed, 0, (controller, platform) -> {
-                        recorder.record("start-cpu-ms", listed, at, controller.processorTime().millis());
-                        Thread.sleep(WARM.toMillis());
-                        recorder.record("start-memory-resident-bytes", listed, at, controller.residentBytes());
-                        recorder.record("start-memory-heap-bytes", listed, at, controller.liveHeapBytes());
+                    withController(listed, 0, (controller, platform) -> {
+                        recorder.record("start-cpu-ms", listed, currentRepetition, controller.processorTime().millis());
+                        Thread.sleep(WARM_UP.toMillis());
+                        recorder.record("start-memory-resident-bytes", listed, currentRepetition,
+                                controller.residentBytes());
+                        recorder.record("start-memory-heap-bytes", listed, currentRepetition, controller.liveHeapBytes());
                     });
                 } catch (IllegalStateException e) {
                     System.out.println("start with " + listed + " listed servers: " + e.getMessage());
@@ -72,12 +73,12 @@
         }
     }
 
-    /** An idle second by listed servers that cannot be reached, so that nothing but the list differs. */
+    /** An idle second by the number of listed servers, all unreachable, so that only the list differs. */
     void idleByListed() throws IOException, InterruptedException {
         for (int listed : LISTED) {
             try {
-                with(listed, 0, (controller, platform) -> {
-                    Thread.sleep(SETTLED.toMillis());
+                withController(listed, 0, (controller, platform) -> {
+                    Thread.sleep(SETTLING_TIME.toMillis());
                     for (int repetition = 1; repetition <= repetitions; repetition++) {
                         ProcessorTime before = controller.processorTime();
                         Thread.sleep(WINDOW.toMillis());
@@ -91,26 +92,26 @@
         }
     }
 
-    /** An idle second by connections to servers that report their capacity each second. */
+    /** An idle second by the number of connections to servers that report their capacity each second. */
     void idleByConnections() throws IOException, InterruptedException {
         for (int connected : CONNECTED) {
-            with(connected, connected, (controller, platform) -> {
-                Thread.sleep(SETTLED.toMillis());
-                long open = platform.toldByServers().open();
+            withController(connected, connected, (controller, platform) -> {
+                Thread.sleep(SETTLING_TIME.toMillis());
+                long open = platform.sentByServers().open();
                 if (open < connected) {
                     System.out.println(open + " of " + connected + " listed servers are connected");
                 }
                 for (int repetition = 1; repetition <= repetitions; repetition++) {
                     ProcessorTime cpu = controller.processorTime();
-                    long bytes = platform.toldByServers().bytes();
-                    long messages = platform.toldByServers().messages();
+                    long bytes = platform.sentByServers().bytes();
+                    long messages = platform.sentByServers().messages();
                     Thread.sleep(WINDOW.toMillis());
                     recorder.record("idle-cpu-ms-per-second-by-connections", open, repetition,
                             perSecond(controller.processorTime().millisSince(cpu)));
                     recorder.record("capacity-report-bytes-per-second-by-connections", open, repetition,
-                            perSecond(platform.toldByServers().bytes() - bytes));
+                            perSecond(platform.sentByServers().bytes() - bytes));
                     recorder.record("capacity-report-messages-per-second-by-connections", open, repetition,
-                            perSecond(platform.toldByServers().messages() - messages));
+                            perSecond(platform.sentByServers().messages() - messages));
                     recorder.record("memory-by-server-connections-heap-bytes", open, repetition, controller.liveHeapBytes());
                     recorder.record("memory-by-server-connections-resident-bytes", open, repetition,
                             controller.residentBytes());
@@ -119,36 +120,36 @@
         }
     }
 
-    /** A second under events of the bus, by their rate and by listed servers. */
+    /** A second with events of the bus, by their rate and by the number of listed servers. */
     void discovery() throws IOException, InterruptedException {
         for (int rate : EVENTS_PER_SECOND) {
-            events(LISTED_USUAL, rate, "by-events", rate);
+            events(DEFAULT_LISTED, rate, "by-events", rate);
         }
         for (int listed : LISTED_UNDER_EVENTS) {
-            events(listed, EVENTS_USUAL, "by-listed-at-100-events", listed);
+            events(listed, DEFAULT_EVENTS_PER_SECOND, "by-listed-at-100-events", listed);
         }
     }
 
     private void events(int listed, int rate, String against, int size) throws IOException, InterruptedException {
-        with(listed, 0, (controller, platform) -> {
-            if (listed > LISTED_USUAL) {
-                Thread.sleep(SETTLED.toMillis());
+        withController(listed, 0, (controller, platform) -> {
+            if (listed > DEFAULT_LISTED) {
+                Thread.sleep(SETTLING_TIME.toMillis());
             }
-            platform.tellEvents(COMPILING_EVENTS, listed);
-            Thread.sleep(COMPILING.toMillis());
-            platform.tellEvents(rate, listed);
-            Thread.sleep(WARM.toMillis());
+            platform.sendEvents(COMPILATION_EVENTS_PER_SECOND, listed);
+            Thread.sleep(COMPILATION_TIME.toMillis());
+            platform.sendEvents(rate, listed);
+            Thread.sleep(WARM_UP.toMillis());
             for (int repetition = 1; repetition <= repetitions; repetition++) {
                 ProcessorTime cpu = controller.processorTime();
-                long bytes = platform.toldByBus().bytes();
-                long messages = platform.toldByBus().messages();
+                long bytes = platform.sentByBus().bytes();
+                long messages = platform.sentByBus().messages();
                 Thread.sleep(WINDOW.toMillis());
                 recorder.record("discovery-cpu-ms-per-second-" + against, size, repetition,
                         perSecond(controller.processorTime().millisSince(cpu)));
                 recorder.record("discovery-bytes-per-second-" + against, size, repetition,
-                        perSecond(platform.toldByBus().bytes() - bytes));
+                        perSecond(platform.sentByBus().bytes() - bytes));
                 recorder.record("discovery-messages-per-second-" + against, size, repetition,
-                        perSecond(platform.toldByBus().messages() - messages));
+                        perSecond(platform.sentByBus().messages() - messages));
             }
         });
     }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ProcessorTime.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ProcessorTime.java
@@ -10,15 +10,15 @@
 import java.util.stream.Stream;
 
 /**
- * Processor time of a process's threads, user and system, as the scheduler counts it.
+ * Processor time of a process's threads, user and system, as counted by the kernel's scheduler.
  *
- * @param nanosByThread of the threads that were there, by the system's id of the thread
+ * @param nanosByThread nanoseconds of each live thread, by its system id
  */
 record ProcessorTime(Map<String, Long> nanosByThread) {
 
     private static final double NANOS_IN_MILLI = 1e6;
 
-    /** Reads it from {@code /proc}. */
+    /** Reads the processor time of a process from {@code /proc}. */
     static ProcessorTime of(long pid) {
         Map<String, Long> nanos = new HashMap<>();
         for (Path thread : threads(pid)) {
@@ -40,12 +40,12 @@
         }
     }
 
-    /** All of it. */
+    /** Returns the total in milliseconds. */
     double millis() {
         return millisSince(new ProcessorTime(Map.of()));
     }
 
-    /** What was used since then; a thread that has ended meanwhile is left out. */
+    /** Returns the milliseconds used since an earlier reading, without threads that have ended meanwhile. */
     double millisSince(ProcessorTime earlier) {
         return nanosByThread.entrySet().stream()
                 .mapToLong(one -> one.getValue() - earlier.nanosByThread.getOrDefault(one.getKey(), 0L))
--- a/lab/src/main/java/pathlane/lab/capacity/measure/Recorder.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/Recorder.java
@@ -7,7 +7,7 @@
 import pathlane.lab.capacity.Measurement;
 import pathlane.lab.capacity.MeasurementFile;
 
-/** Appends figures to the files of a folder, each with the commit and the machine, and prints them. */
+/** Appends figures with the commit and the machine to the files of a folder, and prints them. */
 final class Recorder {
 
     private static final long GIB = 1L << 30;
@@ -16,7 +16,7 @@
     private final String commit;
     private final String machine;
 
-    /** {@code home} is the project's root, whose commit is noted; a tree with changes gets a plus sign. */
+    /** {@code home} is the project's root, whose commit is recorded; a tree with changes gets a plus sign. */
     Recorder(Path home, Path folder) {
         this.folder = folder;
         String changes = output(home, "git", "status", "--porcelain", "--untracked-files=no", "--", "*.java", "pom.xml");
--- a/lab/src/main/java/pathlane/lab/capacity/measure/RegisterCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/RegistryCost.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import pathlane.lab.rig.IdleGroup;
 
-/** What the group's register costs a member and a voter by the number of members, with real processes that are idle. */
-final class RegisterCost {
+/** Measures the cost of the group's lease registry for a member and a voter, with idle processes, by members. */
+final class RegistryCost {
 
     private static final int[] MEMBERS = {3, 6, 12, 24};
 
-    private RegisterCost() {}
+    private RegistryCost() {}
 
     static void measure(Path home, Recorder recorder, int repetitions) throws IOException, InterruptedException {
         for (int members : MEMBERS) {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/CountedBytes.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/TrafficCounter.java
@@ -6,8 +6,8 @@
 import pathlane.transport.Connection;
 import pathlane.transport.Protocol;
 
-/** Counts what a stand-in's state machines write, in bytes and messages, over all of their connections. Safe for threads. */
-final class CountedBytes {
+/** Counts the bytes and messages that a simulated peer writes over all of its connections. Thread-safe. */
+final class TrafficCounter {
 
     private final LongAdder bytes = new LongAdder();
     private final LongAdder messages = new LongAdder();
@@ -21,12 +21,12 @@
         return messages.sum();
     }
 
-    /** Connections that are up. */
+    /** Number of open connections. */
     long open() {
         return open.sum();
     }
 
-    /** The same state machine with its writes counted. */
+    /** Wraps a state machine so that its writes are counted. */
     Protocol counting(Protocol protocol) {
         return new Counting(protocol);
     }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/package-info.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Commands that measure cost against size and append their figures to {@code docs/measurements/capacity}: parts of the
- * program in this process, and the built program as a process of its own on loopback. What the figures mean is decided in
+ * Commands that measure costs by size and append the figures to {@code docs/measurements/capacity}: parts of the program in
+ * this process, and the built program as a separate process on loopback. The figures are evaluated by
  * {@link pathlane.lab.capacity}.
  */
 package pathlane.lab.capacity.measure;
--- a/lab/src/main/java/pathlane/lab/capacity/package-info.java
+++ b/lab/src/main/java/pathlane/lab/capacity/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Capacity planning: measured slopes of cost against size, their fits, the assumptions about the fleet, and the model that
- * gives each role's cost at the full size. Pure functions over files of figures; nothing here opens a socket or reads a
- * clock. What takes the figures is in {@link pathlane.lab.capacity.measure}.
+ * Capacity planning: measured costs by size, their linear fits, the assumptions about the fleet, and the model that computes
+ * each role's cost at full size. Nothing in this package opens a socket or reads a clock. The measurements are taken by
+ * {@link pathlane.lab.capacity.measure}.
  */
 package pathlane.lab.capacity;
--- a/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
@@ -26,7 +26,8 @@
 
 /**
  * Runs discovery's state machines as a fleet in virtual time on one thread: a source, a relay for each region, relays for
- * each zone, and controllers, each a separate process, over authenticated links with faults. A seed always gives the same run.
+ * each zone, and controllers, each a separate process, over authenticated links with faults. A seed gives the same events
+ * in every run.
  */
 final class DiscoveryFleet {
 
--- a/lab/src/main/java/pathlane/lab/discovery/DiscoverySchedule.java
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoverySchedule.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Checks that a change in a fleet without faults is soon in force everywhere, and that no controller is counted early. */
+    /** Checks that without faults a change is soon in force everywhere, and that no controller is counted early. */
     private Optional<String> checkSingleChange() {
         fleet.change(contents -> contents.addService(2));
         String service = List.copyOf(fleet.contents().services().keySet()).get(0);
--- a/lab/src/main/java/pathlane/lab/discovery/FaultInjector.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FaultInjector.java
@@ -71,7 +71,7 @@
             case RESTART_EVERY_RELAY -> relays().forEach(relay -> restart(relay, millis(0, 500)));
             case RESTART_RELAY_CUT_OFF -> restartDisconnected(randomRelay());
             case RESTART_CONTROLLER -> restart(pickRandom(fleet.controllers()), millis(0, 500));
-            case STOP -> stop(pickRandom(fleet.processes()));
+            case STOP -> pause(pickRandom(fleet.processes()));
             case RESET -> resetOne();
             case RESET_ALL -> subscribers().forEach(one -> publishers(one).forEach(
                     other -> fleet.faults().reset(one.name(), other.name())));
@@ -103,7 +103,7 @@
         restart(relay, millis(0, 100));
     }
 
-    private void stop(FleetProcess process) {
+    private void pause(FleetProcess process) {
         if (!process.isRunning()) {
             return;
         }
--- a/lab/src/main/java/pathlane/lab/discovery/ProgressInvariants.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ProgressInvariants.java
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Counts the controllers below a publisher's incarnation that it may know of and that ever had the revision in force. */
+    /** Counts the controllers that a publisher's incarnation may know of and that ever had the revision in force. */
     private long knownControllers(FleetProcess publisher, int incarnation, Revision revision) {
         Instant since = fleet.virtualTime().now().minus(countedAfterClose);
         Set<String> seen = new HashSet<>();
--- a/lab/src/test/java/pathlane/lab/capacity/CapacityModelTest.java
+++ b/lab/src/test/java/pathlane/lab/capacity/CapacityModelTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The model on figures that lie on a line each, so that each result can be worked out by hand. */
+/** Tests the model with linear series, so that each result can be computed by hand. */
 class CapacityModelTest {
 
-    private static final double CLOSE = 1e-6;
+    private static final double TOLERANCE = 1e-6;
 
     private Assumptions assumptions;
     private Figures figures;
 
-    private static Series line(String name, double intercept, double slope) {
+    private static Series linearSeries(String name, double intercept, double slope) {
         return new Series(name, DoubleStream.of(1, 10, 1000, 100_000)
                 .mapToObj(size -> new Measurement("c", "m", size, 1, intercept + slope * size)).toList());
     }
@@ -28,9 +28,9 @@
     void setUp() throws IOException {
         assumptions = Assumptions.read(java.nio.file.Path.of("..").resolve(CapacityCommand.FOLDER)
                 .resolve("assumptions.toml")).with("header-bytes", 0).with("server-connections-most", 500);
-        figures = new Figures(List.of(line("capacity-report-messages-per-second-by-connections", 0, 1),
-                line("capacity-report-bytes-per-second-by-connections", 0, 40),
-                line("decision-time-us", 10, 1)));
+        figures = new Figures(List.of(linearSeries("capacity-report-messages-per-second-by-connections", 0, 1),
+                linearSeries("capacity-report-bytes-per-second-by-connections", 0, 40),
+                linearSeries("decision-time-us", 10, 1)));
     }
 
     private double controllerBytes(Design design, Situation situation) {
@@ -38,11 +38,11 @@
     }
 
     @Test
-    void todaysControllerHearsOfEveryServerAndEachConnectionReports() {
+    void aBroadcastControllerReceivesEveryChangeAndEachConnectionsReports() {
         double events = (12_000 + 2 * (5_300 + 62)) / 86_400.0 * assumptions.value("peak-over-mean");
-        assertEquals(500 * 40 + 13 + 40 * events, controllerBytes(Design.BROADCAST, Situation.ORDINARY), CLOSE);
+        assertEquals(500 * 40 + 13 + 40 * events, controllerBytes(Design.BROADCAST, Situation.ORDINARY), TOLERANCE);
         assertEquals(500 * 40 + 13 + 40 * (events + 26_000 / 17.0 / 7),
-                controllerBytes(Design.BROADCAST, Situation.ZONE_LOST), CLOSE);
+                controllerBytes(Design.BROADCAST, Situation.ZONE_LOST), TOLERANCE);
     }
 
     @Test
@@ -54,34 +54,34 @@
     }
 
     @Test
-    void whatWasNotMeasuredIsNeverAFigure() {
+    void aCostThatWasNotMeasuredIsUnknown() {
         RoleCost cost = new CapacityModel(assumptions, figures).cost(Design.BROADCAST, Role.CONTROLLER, Situation.ORDINARY);
         assertFalse(cost.cpuMillis().isKnown());
         assertTrue(cost.bytes().isKnown());
     }
 
     @Test
-    void theSizeAtWhichABudgetBreaksIsTheFirstAboveIt() {
+    void aBudgetIsExceededFromTheFirstSizeAboveIt() {
         Limit limit = new Limit("decision", Design.BROADCAST, "us", 360,
                 at -> new CapacityModel(at, figures).decisionMicros(at.value("servers")), "one list");
-        assertEquals(351, limit.breaksAt(assumptions), 1);
+        assertEquals(351, limit.exceededFrom(assumptions), 1);
         assertEquals(Double.POSITIVE_INFINITY, new Limit("decision", Design.BROADCAST, "us", 1e9, limit.cost(), "")
-                .breaksAt(assumptions));
+                .exceededFrom(assumptions));
     }
 
     @Test
-    void servicesOfAllSizesHaveAllServersTogether() {
+    void allServicesTogetherHaveAllServers() {
         Assumptions few = assumptions.with("servers", 300).with("services", 3).with("service-size-exponent", 1)
                 .with("caller-exponent", 0);
         ServiceSizes sizes = new ServiceSizes(few);
         double largest = 300 / (1 + 1 / 2.0 + 1 / 3.0);
-        assertEquals(largest, sizes.largest(), CLOSE);
-        assertEquals(100, sizes.meanCalled(), CLOSE);
-        assertEquals(2 / 3.0, sizes.mostPopular(2), CLOSE);
+        assertEquals(largest, sizes.largest(), TOLERANCE);
+        assertEquals(100, sizes.meanCalled(), TOLERANCE);
+        assertEquals(2 / 3.0, sizes.shareCallingMostPopular(2), TOLERANCE);
     }
 
     @Test
-    void ranksBeyondTheFirstAreAddedUpClosely() {
+    void theSumOverManyRanksIsApproximatedClosely() {
         Assumptions many = assumptions.with("service-size-exponent", 0.8);
         double sum = IntStream.rangeClosed(1, 4_600).mapToDouble(rank -> Math.pow(rank, -0.8)).sum();
         assertEquals(26_000 / sum, new ServiceSizes(many).largest(), 0.01);
--- a/lab/src/test/java/pathlane/lab/capacity/CapacityPageTest.java
+++ b/lab/src/test/java/pathlane/lab/capacity/CapacityPageTest.java
@@ -14,10 +14,10 @@
     private static final Path HOME = Path.of("..");
 
     @Test
-    void thePageSaysWhatTheMeasurementsAndAssumptionsGive() throws IOException {
+    void thePageMatchesTheMeasurementsAndAssumptions() throws IOException {
         String page = Files.readString(HOME.resolve(CapacityCommand.PAGE));
         Map<String, String> tables = CapacityCommand.tables(HOME.resolve(CapacityCommand.FOLDER));
-        assertEquals(CapacityPage.fill(page, tables), page, "run 'lab capacity --write' and read what has changed");
+        assertEquals(CapacityPage.fill(page, tables), page, "run 'lab capacity --write' and review the changes");
     }
 
     @Test
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aBlockWithoutATableAndATableWithoutABlockAreRefused() {
+    void aBlockWithoutATableAndATableWithoutABlockAreRejected() {
         String page = "<!-- begin generated: one -->\n<!-- end generated: one -->\n";
         assertThrows(IllegalArgumentException.class, () -> CapacityPage.fill(page, Map.of("other", "")));
         assertThrows(IllegalArgumentException.class, () -> CapacityPage.fill(page, Map.of("one", "", "other", "")));
--- a/lab/src/test/java/pathlane/lab/capacity/SeriesTest.java
+++ b/lab/src/test/java/pathlane/lab/capacity/SeriesTest.java
@@ -14,44 +14,44 @@
 
 class SeriesTest {
 
-    private static final double CLOSE = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     private static Measurement row(double size, int repetition, double figure) {
         return new Measurement("c", "m", size, repetition, figure);
     }
 
-    /** On the line 10 + 2 x size, but for the repetitions at 100, which are 3 apart from it. */
+    /** On the line 10 + 2 x size, except for the repetitions at 100, which differ from it by 3. */
     private static Series series() {
         return new Series("cost-us", List.of(row(0, 1, 10), row(10, 1, 30), row(100, 1, 207), row(100, 2, 213),
                 row(200, 1, 410)));
     }
 
     @Test
-    void theFitHasTheLineAndItsResidual() {
+    void theFitGivesTheLineAndItsResidual() {
         LinearFit fit = series().fit();
-        assertEquals(2, fit.slope(), CLOSE);
-        assertEquals(10, fit.intercept(), CLOSE);
-        assertEquals(Math.sqrt(2 * 9 / 3.0), fit.residual(), CLOSE);
+        assertEquals(2, fit.slope(), TOLERANCE);
+        assertEquals(10, fit.intercept(), TOLERANCE);
+        assertEquals(Math.sqrt(2 * 9 / 3.0), fit.residual(), TOLERANCE);
         assertEquals(4, fit.sizes());
     }
 
     @Test
     void aMeasuredSizeGivesItsMean() {
-        assertEquals(210, series().at(100).value(), CLOSE);
+        assertEquals(210, series().at(100).value(), TOLERANCE);
         assertEquals(Set.of(Evidence.MEASURED), series().at(100).evidence());
     }
 
     @Test
-    void betweenSizesALineIsDrawnAndBeyondThemTheFitIsUsed() {
-        assertEquals(20, series().at(5).value(), CLOSE);
+    void figuresAreInterpolatedBetweenSizesAndExtrapolatedBeyondThem() {
+        assertEquals(20, series().at(5).value(), TOLERANCE);
         assertEquals(Set.of(Evidence.INTERPOLATED), series().at(5).evidence());
-        assertEquals(2010, series().at(1000).value(), CLOSE);
+        assertEquals(2010, series().at(1000).value(), TOLERANCE);
         assertEquals(Set.of(Evidence.EXTRAPOLATED), series().at(1000).evidence());
         assertEquals(Set.of("cost-us"), series().at(1000).sources());
     }
 
     @Test
-    void aFileGivesBackWhatWasAppended(@TempDir Path folder) throws IOException {
+    void appendedRowsAreReadBack(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("cost-us.csv");
         MeasurementFile.append(file, new Measurement("abc", "8 cores, 24 GiB", 3, 1, 0.125));
         MeasurementFile.append(file, new Measurement("abc", "8 cores, 24 GiB", 26_000, 2, 1_234_567));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aSumWithSomethingNotMeasuredIsNotMeasured() {
+    void aSumWithAnUnknownFigureIsUnknown() {
         Estimate sum = Estimate.assumed(3).plus(new Figures(List.of(series())).at("other", 1));
         assertFalse(sum.isKnown());
         assertEquals("not measured", Markdown.number(sum));
--- a/lab/src/test/java/pathlane/lab/capacity/measure/ListCostTest.java
+++ b/lab/src/test/java/pathlane/lab/capacity/measure/ListCostTest.java
@@ -17,7 +17,7 @@
     private Level before;
 
     @BeforeEach
-    void silenceALineForEachServer() {
+    void disableLogging() {
         before = log.getLevel();
         log.setLevel(Level.OFF);
     }
@@ -28,8 +28,8 @@
     }
 
     @Test
-    void theLongestWholeListIsAppliedAndOneServerMoreIsRefused() {
-        assertEquals(Optional.empty(), ListCost.refusal(Limits.LONGEST_LIST));
-        assertEquals(Optional.of(CloseReason.PROTOCOL_ERROR), ListCost.refusal(Limits.LONGEST_LIST + 1));
+    void theLongestCompleteListIsAppliedAndOneServerMoreIsRejected() {
+        assertEquals(Optional.empty(), ListCost.rejection(Limits.MAX_LIST_SERVERS));
+        assertEquals(Optional.of(CloseReason.PROTOCOL_ERROR), ListCost.rejection(Limits.MAX_LIST_SERVERS + 1));
     }
 }
