--- a/lab/src/test/java/pathlane/lab/discovery/DiscoveryFailureTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/DiscoveryFailureTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pathlane.lab.discovery.FleetAssertions.SERVICE;
 import static pathlane.lab.discovery.FleetAssertions.CONVERGENCE_TIMEOUT;
+import static pathlane.lab.discovery.FleetAssertions.SERVICE;
 import static pathlane.lab.discovery.FleetAssertions.TERMS;
 import static pathlane.lab.discovery.FleetAssertions.assertConverges;
+import static pathlane.lab.discovery.FleetAssertions.assertInvariantsHold;
 import static pathlane.lab.discovery.FleetAssertions.configure;
-import static pathlane.lab.discovery.FleetAssertions.partition;
 import static pathlane.lab.discovery.FleetAssertions.fleet;
-import static pathlane.lab.discovery.FleetAssertions.assertInvariantsHold;
 import static pathlane.lab.discovery.FleetAssertions.millisUntil;
+import static pathlane.lab.discovery.FleetAssertions.partition;
 import static pathlane.lab.discovery.FleetAssertions.receivedSnapshots;
 import static pathlane.lab.discovery.FleetAssertions.states;
 
--- a/lab/src/test/java/pathlane/lab/discovery/DiscoveryLoadTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/DiscoveryLoadTest.java
@@ -2,16 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pathlane.lab.discovery.FleetAssertions.SERVICE;
 import static pathlane.lab.discovery.FleetAssertions.CONVERGENCE_TIMEOUT;
+import static pathlane.lab.discovery.FleetAssertions.SERVICE;
 import static pathlane.lab.discovery.FleetAssertions.TERMS;
 import static pathlane.lab.discovery.FleetAssertions.assertConverges;
+import static pathlane.lab.discovery.FleetAssertions.assertInvariantsHold;
 import static pathlane.lab.discovery.FleetAssertions.configure;
 import static pathlane.lab.discovery.FleetAssertions.connected;
-import static pathlane.lab.discovery.FleetAssertions.partition;
 import static pathlane.lab.discovery.FleetAssertions.fleet;
-import static pathlane.lab.discovery.FleetAssertions.assertInvariantsHold;
 import static pathlane.lab.discovery.FleetAssertions.millisUntil;
+import static pathlane.lab.discovery.FleetAssertions.partition;
 
 import java.time.Duration;
 import java.util.HashMap;
