--- a/bench/src/main/java/pathlane/grpc/WorthKept.java
+++ b/bench/src/main/java/pathlane/grpc/WorthKept.java
@@ -11,7 +11,7 @@
 import pathlane.standin.Processor;
 
 /**
- * How much worth callers get over the plug-in and over {@code round_robin}: the same arrivals on the same four stand-in
+ * How much worth clients get over the plug-in and over {@code round_robin}: the same arrivals on the same four stand-in
  * servers, one slowed by 3 for 15 s and one replaced by a cold one. Virtual time; the same figures every time.
  */
 public final class WorthKept {
@@ -22,7 +22,7 @@
     private static final int SEEDS = 5;
     private static final int REDIALS = 2;
     private static final double SIGN_SHARE = 0.06;
-    /** A try is given up after 35% of its class's deadline; the plug-in is told as much, as a caller's deadline would. */
+    /** An attempt is cancelled after 35% of its class's deadline; the plug-in gets this time as the class's deadline. */
     private static final long CHECK_PATIENCE = 3150;
     private static final long SIGN_PATIENCE = 2100;
 
@@ -34,7 +34,7 @@
     /** Prints the table; takes no arguments. */
     public static void main(String[] args) {
         System.out.println("| load | round_robin | pathlane | ratio | pushed over, round_robin | pushed over, pathlane"
-                + " | most of the cold budget, pathlane | set-ups a call, round_robin | pathlane |");
+                + " | most of the cold budget, pathlane | attempts per call, round_robin | pathlane |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (double load : new double[] {0.6, 1.0, 1.2}) {
             List<Result> plain = new ArrayList<>();
@@ -91,7 +91,7 @@
         double earned;
     }
 
-    /** One call of a caller who dials again by himself, up to twice. */
+    /** One call of a client that retries by itself, up to twice. */
     private static final class Caller {
         private final PluginHarness harness;
         private final ManagedChannel channel;
--- a/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
+++ b/bench/src/main/java/pathlane/retry/FailedTryBenchmark.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The index of calls that ended in vain against plain maps of the same bound, at a steady turnover. */
+/** Compares the index of failed calls with plain maps of the same bound, at a steady turnover. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
--- a/bench/src/main/java/pathlane/retry/package-info.java
+++ b/bench/src/main/java/pathlane/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of what is remembered of calls that ended in vain; nothing here is part of a release. */
+/** Measurements of the records kept of failed calls; nothing here is part of a release. */
 package pathlane.retry;
--- a/core/src/main/java/pathlane/config/InvalidSettingException.java
+++ b/core/src/main/java/pathlane/config/InvalidSettingException.java
@@ -7,6 +7,6 @@
 
     /** {@code setting} is the setting's name as written in the configuration. */
     public InvalidSettingException(String setting) {
-        super("setting can't be used: " + setting);
+        super("invalid setting: " + setting);
     }
 }
--- a/core/src/test/java/pathlane/core/LateAnswerTest.java
+++ b/core/src/test/java/pathlane/core/LateAnswerTest.java
@@ -63,7 +63,7 @@
     private final class RecordingServerPort implements ServerPort {
         @Override
         public void sendRequest(CallRequest request, Duration timeout, boolean mayHaveRun) {
-            received.add("set up " + request.id());
+            received.add("request " + request.id());
         }
 
         @Override
@@ -98,7 +98,7 @@
         controller.updateServers(true, List.of());
         controller.serverAnswered(1, "a", new byte[0]);
         controller.serverReleased(1, "a", Outcome.COMPLETED, Duration.ZERO);
-        assertEquals(List.of("set up a"), received);
+        assertEquals(List.of("request a"), received);
         assertEquals(1, controller.openCalls());
         assertEquals(0, controller.establishedCalls());
     }
--- a/daemon/src/main/java/pathlane/takeover/GroupNode.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupNode.java
@@ -42,7 +42,7 @@
     /**
      * Does not start anything yet.
      *
-     * @throws IllegalArgumentException with a sentence if the keys can't be used, or a class is not in the settings
+     * @throws IllegalArgumentException if the keys are invalid or a class is not in the settings
      */
     public GroupNode(GroupFile file, String ownName, Settings settings, Network network, Scheduler scheduler) {
         this.file = file;
@@ -80,7 +80,7 @@
     /**
      * Starts to accept connections of other members. Called off the event loop thread.
      *
-     * @throws IllegalArgumentException if the address can't be used
+     * @throws IllegalArgumentException if the address is invalid
      */
     public void listen() {
         InetSocketAddress bound = network.listen(file.listen(), handover::accept, MAX_CONNECTIONS, MAX_UNWRITTEN_BYTES);
@@ -103,13 +103,13 @@
         scheduler.after(STATE_LOG_INTERVAL, this::logState);
     }
 
-    /** Reads the keys again; if they can't be used, the old ones stay in use. */
+    /** Reloads the keys; if the new ones are invalid, the old ones stay in use. */
     public void reload() {
         try {
             keys = file.readKeys();
             LOG.log(Level.INFO, "keys reloaded: {0}", Integer.toString(keys.keys().size()));
         } catch (IllegalArgumentException e) {
-            LOG.log(Level.WARNING, "keys not reloaded, the old ones stay: {0}", e.getMessage());
+            LOG.log(Level.WARNING, "keys not reloaded, keeping the old ones: {0}", e.getMessage());
         }
     }
 
--- a/grpc/src/test/java/pathlane/grpc/ChannelTest.java
+++ b/grpc/src/test/java/pathlane/grpc/ChannelTest.java
@@ -155,7 +155,7 @@
         PathlaneLoadBalancerProvider provider = new PathlaneLoadBalancerProvider();
         Status error = provider.parseLoadBalancingPolicyConfig(json(
                 PluginHarness.SETTINGS.replace("\"cold-ms\": 13000,", ""))).getError();
-        assertEquals("invalid config for the policy 'pathlane': setting can't be used: cold-ms",
+        assertEquals("invalid config for the policy 'pathlane': invalid setting: cold-ms",
                 error.getDescription());
         assertThrows(IllegalArgumentException.class, () -> Pathlane.builder().configuration("no json"));
         assertThrows(IllegalArgumentException.class,
--- a/standin/src/main/java/pathlane/standin/GrpcFront.java
+++ b/standin/src/main/java/pathlane/standin/GrpcFront.java
@@ -20,7 +20,7 @@
 /**
  * The session server as a gRPC service with three methods: {@code Check} is a unary call, over with its answer;
  * {@code Sign} a stream whose first message is the answer and which ends after the time that it holds; {@code Talk} goes
- * both ways: headers are the answer, every message comes back, and it ends with its caller's last word.
+ * both ways: headers are the answer, every message comes back, and it ends when its client half-closes.
  */
 public final class GrpcFront {
 
@@ -32,9 +32,9 @@
     public static final MethodDescriptor<byte[], byte[]> SIGN = method("Sign", MethodType.SERVER_STREAMING);
     /** Both ways: headers are the answer to the first message, every message comes back. */
     public static final MethodDescriptor<byte[], byte[]> TALK = method("Talk", MethodType.BIDI_STREAMING);
-    /** What all tries of a call bear, for the rules to be watched; callers of a test set it. */
+    /** Identifies a call in all its attempts so that the rules can be checked; set by a test's clients. */
     public static final Metadata.Key<String> CALL = Metadata.Key.of("call", Metadata.ASCII_STRING_MARSHALLER);
-    /** The wait that a server states when it turns a call away. */
+    /** The wait that a server states when it rejects a call. */
     public static final Metadata.Key<String> PUSHBACK =
             Metadata.Key.of("grpc-retry-pushback-ms", Metadata.ASCII_STRING_MARSHALLER);
 
--- a/standin/src/main/java/pathlane/standin/PlatformServer.java
+++ b/standin/src/main/java/pathlane/standin/PlatformServer.java
@@ -14,8 +14,8 @@
 import pathlane.wire.Message;
 
 /**
- * The session server as the platform's protocol has it, for one connection: answers set-ups as the processor does,
- * releases each call after the time that it holds, and passes tests.
+ * A session server that speaks the platform's protocol, for one connection: answers requests as the processor does,
+ * releases each call after its holding time, and answers test messages.
  */
 public final class PlatformServer implements Protocol {
 
--- a/standin/src/main/java/pathlane/standin/Processor.java
+++ b/standin/src/main/java/pathlane/standin/Processor.java
@@ -12,21 +12,21 @@
 import pathlane.core.Scheduler;
 
 /**
- * A session server's processor: one line that set-ups, answers and releases wait in. It turns set-ups away once its
- * wait is too long, starts cold and warms, falls over under too much while cold, works on what was given up, and cuts
- * its calls when it stops. One thread at a time; time is the scheduler's.
+ * Models the processor of a session server: requests, answers and releases wait in a single queue. It rejects requests
+ * once the wait is too long, starts cold and warms up, crashes if overloaded while cold, still processes cancelled
+ * requests, and closes its calls when it stops. Not thread-safe; the scheduler provides the time.
  */
 public final class Processor {
 
     /**
      * What the model costs and bears. Work is in milliseconds of a warm processor that is not slowed.
      *
-     * @param setUp work of a set-up
+     * @param setUp work of a request
      * @param answer work of an answer; a release costs as much
-     * @param reject work of turning a set-up away
-     * @param repeat work of a set-up that comes once more while the first still waits
-     * @param repeatAfter a waiting set-up comes again after this and at doubling gaps; nought for never
-     * @param longestWait a set-up that would wait longer is turned away
+     * @param reject work of rejecting a request
+     * @param repeat work of a repeated request that arrives while the first still waits
+     * @param repeatAfter time after which a waiting request is repeated, then at doubling intervals; zero for never
+     * @param longestWait a request that would wait longer is rejected
      * @param rules the figures of the cold start
      */
     public record Model(double setUp, double answer, double reject, double repeat, Duration repeatAfter,
@@ -39,18 +39,18 @@
                     Duration.ofMillis(2500), rules);
         }
 
-        /** Set-ups a second that a warm processor can do, their answers and releases with them. */
+        /** Requests per second that a warm processor can process, including their answers and releases. */
         public double callsPerSecond() {
             return 1000 / (setUp + 2 * answer);
         }
     }
 
-    /** Who has a call here. */
+    /** The client of a call. */
     public interface Caller {
-        /** The call stands. */
+        /** The call is established. */
         void answered();
 
-        /** The set-up was turned away; the wait is the processor's at this moment. */
+        /** The request was rejected; {@code wait} is the processor's current wait. */
         void turnedAway(Duration wait);
 
         /** The process died or stopped: nothing more will come. */
@@ -152,7 +152,7 @@
 
     // ---- calls
 
-    /** A set-up has come. */
+    /** Handles a request. */
     public void setUp(String id, Caller caller) {
         if (state == State.DOWN) {
             caller.cut();
@@ -193,7 +193,7 @@
         }
     }
 
-    /** The caller gives a set-up up, or releases a call that stands; the work on a set-up goes on all the same. */
+    /** The client cancels a request or releases an established call; a cancelled request is still processed. */
     public void released(String id) {
         Call call = calls.get(id);
         if (call == null) {
@@ -254,7 +254,7 @@
         });
     }
 
-    /** How long a set-up that comes now would wait. */
+    /** How long a request that arrives now would wait. */
     public double waitMs() {
         return queued * slow / warmth();
     }
@@ -303,7 +303,7 @@
         return answers;
     }
 
-    /** Set-ups that were turned away. */
+    /** Number of rejected requests. */
     public long rejects() {
         return rejects;
     }
--- a/standin/src/main/java/pathlane/standin/VirtualTime.java
+++ b/standin/src/main/java/pathlane/standin/VirtualTime.java
@@ -5,7 +5,7 @@
 import java.util.TreeSet;
 import pathlane.core.Scheduler;
 
-/** Time that moves when it is told to: tasks run in the order in which they are due, those due together as asked for. */
+/** Virtual time that advances on request: tasks run in due order, those due at the same time in scheduling order. */
 public final class VirtualTime implements Scheduler {
 
     private record Due(Instant at, long order, Runnable task) implements Comparable<Due> {
--- a/voter/src/main/java/pathlane/voter/VoterMain.java
+++ b/voter/src/main/java/pathlane/voter/VoterMain.java
@@ -109,7 +109,7 @@
             keys = file.readKeys();
             LOG.log(Level.INFO, "keys reloaded: {0}", Integer.toString(keys.keys().size()));
         } catch (IllegalArgumentException e) {
-            LOG.log(Level.WARNING, "keys not reloaded, the old ones stay: {0}", e.getMessage());
+            LOG.log(Level.WARNING, "keys not reloaded, keeping the old ones: {0}", e.getMessage());
         }
     }
 
