--- a/standin/src/main/java/pathlane/standin/Processor.java
+++ b/standin/src/main/java/pathlane/standin/Processor.java
@@ -293,12 +293,12 @@
         return state;
     }
 
-    /** Set-ups that have come. */
+    /** Number of requests received. */
     public long setUps() {
         return setUps;
     }
 
-    /** Set-ups that were answered. */
+    /** Number of requests answered. */
     public long answers() {
         return answers;
     }
