--- a/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
+++ b/bench/src/main/java/pathlane/decision/FleetSizeBenchmark.java
@@ -101,7 +101,7 @@
 
     /** A load report of one server; each server sends one a second on each of its connections. */
     @Benchmark
-    public void told() {
+    public void loadReport() {
         now += 1;
         policy.loadReported(now, nextServer++ % servers, report());
     }
--- a/bench/src/main/java/pathlane/grpc/CallCost.java
+++ b/bench/src/main/java/pathlane/grpc/CallCost.java
@@ -18,7 +18,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.HdrHistogram.Histogram;
-import pathlane.standin.GrpcFront;
+import pathlane.standin.GrpcSessionServer;
 
 /**
  * Measures the client-side cost of a call: latency and CPU time of unary calls over {@code pick_first}, {@code round_robin}
@@ -55,7 +55,7 @@
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             servers.add(NettyServerBuilder.forAddress(new InetSocketAddress("127.0.0.1", 0)).directExecutor()
-                    .addService(ServerServiceDefinition.builder(GrpcFront.SERVICE).addMethod(GrpcFront.CHECK,
+                    .addService(ServerServiceDefinition.builder(GrpcSessionServer.SERVICE).addMethod(GrpcSessionServer.CHECK,
                             (call, headers) -> echo(call)).build())
                     .build().start());
         }
@@ -138,7 +138,7 @@
         long cpuBefore = system.getProcessCpuTime();
         for (int i = 0; i < calls; i++) {
             long startedAt = System.nanoTime();
-            ClientCalls.blockingUnaryCall(channel, GrpcFront.CHECK,
+            ClientCalls.blockingUnaryCall(channel, GrpcSessionServer.CHECK,
                     CallOptions.DEFAULT.withDeadlineAfter(5, java.util.concurrent.TimeUnit.SECONDS), REQUEST);
             latencyNanos.recordValue(System.nanoTime() - startedAt);
         }
--- a/bench/src/main/java/pathlane/grpc/WorthKept.java
+++ b/bench/src/main/java/pathlane/grpc/WorthKept.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import pathlane.standin.GrpcFront;
+import pathlane.standin.GrpcSessionServer;
 import pathlane.standin.Processor;
 
 /**
@@ -36,7 +36,7 @@
     public static void main(String[] args) {
         System.out.println(
                 "| load | round_robin | pathlane | ratio | runs with a crash, round_robin | runs with a crash, pathlane"
-                        + " | maximum share of the cold-start budget, pathlane | attempts per call, round_robin | pathlane |");
+                        + " | max share of the cold-start budget, pathlane | attempts per call, round_robin | pathlane |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (double load : new double[] {0.6, 1.0, 1.2}) {
             List<Result> roundRobin = new ArrayList<>();
@@ -62,15 +62,15 @@
                 .replace("\"deadline-ms\": 6000", "\"deadline-ms\": " + SIGN_TIMEOUT_MS);
         try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(settings), "s0", "s1", "s2", "s3")) {
             ManagedChannel channel = usesPlugin ? harness.channel()
-                    : harness.keep(harness.builder("pool").defaultLoadBalancingPolicy("round_robin").build());
+                    : harness.closeWithHarness(harness.builder("pool").defaultLoadBalancingPolicy("round_robin").build());
             SplittableRandom random = new SplittableRandom(seed);
             ValueTotals totals = new ValueTotals();
-            harness.time.after(Duration.ofSeconds(10), () -> harness.processors.get("s0").slow(3));
-            harness.time.after(Duration.ofSeconds(25), () -> harness.processors.get("s0").slow(1));
+            harness.time.after(Duration.ofSeconds(10), () -> harness.processors.get("s0").setSlowFactor(3));
+            harness.time.after(Duration.ofSeconds(25), () -> harness.processors.get("s0").setSlowFactor(1));
             harness.time.after(Duration.ofSeconds(12), () -> {
                 harness.processors.get("s3").drain(Duration.ofSeconds(4));
-                harness.add("s4").startCold();
-                harness.list("s0", "s1", "s2", "s4");
+                harness.addServer("s4").startCold();
+                harness.setListedServers("s0", "s1", "s2", "s4");
             });
             double arrivalMs = 0;
             int count = 0;
@@ -80,11 +80,11 @@
                         random.split());
                 harness.time.after(Duration.ofNanos((long) (arrivalMs * 1e6)), client::attempt);
             }
-            harness.time.pass(Duration.ofSeconds(DURATION_SECONDS + 30));
+            harness.time.advance(Duration.ofSeconds(DURATION_SECONDS + 30));
             Processor cold = harness.processors.get("s4");
-            long requests = harness.processors.values().stream().mapToLong(Processor::setUps).sum();
+            long requests = harness.processors.values().stream().mapToLong(Processor::requests).sum();
             return new Result(totals.earned / totals.offered,
-                    harness.processors.values().stream().anyMatch(Processor::fell), cold.mostOfBudget(),
+                    harness.processors.values().stream().anyMatch(Processor::hasCrashed), cold.maxColdBudgetUse(),
                     requests * 100 / count);
         }
     }
@@ -122,13 +122,13 @@
                 totals.offered += isSigning ? 6 : 1;
             }
             attempts++;
-            MethodDescriptor<byte[], byte[]> method = isSigning ? GrpcFront.SIGN : GrpcFront.CHECK;
+            MethodDescriptor<byte[], byte[]> method = isSigning ? GrpcSessionServer.SIGN : GrpcSessionServer.CHECK;
             PluginHarness.Response response =
                     harness.call(channel, method, CallOptions.DEFAULT.withOption(PathlaneOptions.CLASS,
                             isSigning ? "deadline-sign" : "status-check"), key);
             response.onClose = () -> closed(response);
             harness.time.after(Duration.ofMillis(isSigning ? SIGN_TIMEOUT_MS : CHECK_TIMEOUT_MS), () -> {
-                if (response.closes == 0 && response.messages.isEmpty()) {
+                if (response.closeCount == 0 && response.messages.isEmpty()) {
                     response.call.cancel("client timeout", null);
                 }
             });
@@ -136,7 +136,7 @@
 
         private void closed(PluginHarness.Response response) {
             if (!response.messages.isEmpty() && response.status.isOk()) {
-                double latencyMs = response.firstAt - firstAt;
+                double latencyMs = response.firstMessageAtMs - firstAt;
                 earned = latencyMs <= (isSigning ? 800 : 1500) ? 1 : isSigning ? 0.1 : 0.25;
                 totals.earned += earned * (isSigning ? 6 : 1);
             } else if (response.messages.isEmpty() && attempts <= MAX_CLIENT_RETRIES) {
--- a/core/src/main/java/pathlane/core/CallController.java
+++ b/core/src/main/java/pathlane/core/CallController.java
@@ -45,7 +45,7 @@
     /** Creates a controller with a single service; {@code replication} replicates call state to its group. */
     public CallController(Settings settings, long seed, Scheduler scheduler, ServerPortFactory ports,
             CallReplication replication) {
-        this(settings, seed, scheduler, ports, replication, ServiceDirectory.ONE);
+        this(settings, seed, scheduler, ports, replication, ServiceDirectory.SINGLE_SERVICE);
     }
 
     /**
@@ -68,7 +68,7 @@
         attempts = new AttemptManager(context, servers);
         open = new OpenCalls(context, directory, this::service, attempts);
         established = new EstablishedCalls(context, servers, attempts);
-        if (directory == ServiceDirectory.ONE) {
+        if (directory == ServiceDirectory.SINGLE_SERVICE) {
             service(ServiceDirectory.ONLY_SERVICE);   // created at the start, not at the first call
         }
     }
@@ -143,7 +143,7 @@
     }
 
     /** Returns whether a call of this client's connection was ever established. */
-    public boolean hasServed(ClientPort client) {
+    public boolean hasHadEstablishedCall(ClientPort client) {
         return clients.usage(client).hasHadEstablishedCall;
     }
 
--- a/core/src/main/java/pathlane/core/EstablishedCalls.java
+++ b/core/src/main/java/pathlane/core/EstablishedCalls.java
@@ -39,7 +39,7 @@
 
     private void releaseAt(Server server, String id, byte[] content) {
         server.port().release(id, Outcome.COMPLETED, content);
-        server.port().pendingRelease(id)
+        server.port().pendingReleaseToken(id)
                 .ifPresent(token -> context.replication().serverReleasePending(id, server.id(), token));
     }
 
--- a/core/src/main/java/pathlane/core/ServerPort.java
+++ b/core/src/main/java/pathlane/core/ServerPort.java
@@ -35,7 +35,7 @@
      * Returns the token with which another controller could release a call, if the release waits here for a connection;
      * {@link CallController#releaseSent} is called once it is sent.
      */
-    default Optional<byte[]> pendingRelease(String callId) {
+    default Optional<byte[]> pendingReleaseToken(String callId) {
         return Optional.empty();
     }
 
--- a/core/src/main/java/pathlane/core/ServiceDirectory.java
+++ b/core/src/main/java/pathlane/core/ServiceDirectory.java
@@ -14,7 +14,7 @@
     String ONLY_SERVICE = "";
 
     /** A directory with {@link #ONLY_SERVICE} alone, whose servers count as known from the start. */
-    ServiceDirectory ONE = new ServiceDirectory() {};
+    ServiceDirectory SINGLE_SERVICE = new ServiceDirectory() {};
 
     /** Returns the service whose servers may handle a call; empty if there is none. */
     default Optional<String> serviceOf(CallRequest request) {
--- a/core/src/main/java/pathlane/decision/RoutingPolicy.java
+++ b/core/src/main/java/pathlane/decision/RoutingPolicy.java
@@ -38,8 +38,8 @@
     }
 
     /** A server's free and total slots, and the load that it reports; a value that is missing is NaN. */
-    record LoadReport(double freeSlots, double slots, double queued, double requestsPerSecond, double queueMs,
-            double busy) {}
+    record LoadReport(double freeSlots, double slots, double queuedRequests, double requestsPerSecond, double queueDelayMs,
+            double cpuUtilization) {}
 
     /**
      * The end of one attempt, or of the call that it established.
--- a/core/src/main/java/pathlane/decision/support/ReportedLoad.java
+++ b/core/src/main/java/pathlane/decision/support/ReportedLoad.java
@@ -12,8 +12,8 @@
     /** Applies a report; values missing from it keep their last state. */
     public void update(double now, LoadReport report) {
         slots = report.slots() > 0 ? report.slots() : slots;
-        if (report.requestsPerSecond() > 0 && report.queued() >= 0) {
-            delay = 1000 * report.queued() / report.requestsPerSecond();
+        if (report.requestsPerSecond() > 0 && report.queuedRequests() >= 0) {
+            delay = 1000 * report.queuedRequests() / report.requestsPerSecond();
             delayAt = now;
         }
     }
--- a/core/src/main/java/pathlane/transport/Connection.java
+++ b/core/src/main/java/pathlane/transport/Connection.java
@@ -7,13 +7,13 @@
 public interface Connection {
 
     /** The result of cancelling the write of a message. */
-    enum Withdrawal {
+    enum CancelResult {
         /** No byte of it was sent, and none will be. */
-        WITHDRAWN,
+        CANCELLED,
         /** No byte of it was sent, but sending it can only be prevented by aborting the connection. */
-        BOUND,
+        COMMITTED,
         /** It was sent, in part or completely. */
-        LEFT
+        SENT
     }
 
     /** Writes a message, which is sent at the end of the loop iteration, or after earlier messages have been sent. */
@@ -27,8 +27,8 @@
      *
      * @param bytes the same array object that was passed to {@link #write}
      */
-    default Withdrawal cancelWrite(byte[] bytes) {
-        return Withdrawal.LEFT;
+    default CancelResult cancelWrite(byte[] bytes) {
+        return CancelResult.SENT;
     }
 
     /** Returns whether messages from before this loop iteration are still unsent because the peer does not read. */
@@ -46,7 +46,7 @@
      * Half-closes the connection: everything written is sent, then this side is shut down, and what the peer wrote before it
      * noticed is still received. {@link Protocol#closed} follows when the peer has closed too, or after a timeout.
      */
-    default void finish(CloseReason reason) {
+    default void halfClose(CloseReason reason) {
         close(reason);
     }
 
--- a/core/src/main/java/pathlane/transport/ConnectionLimiter.java
+++ b/core/src/main/java/pathlane/transport/ConnectionLimiter.java
@@ -59,7 +59,7 @@
     }
 
     /** Returns whether less than {@code 1 / parts} of the limit is in use. */
-    public boolean isBelowShare(int parts) {
+    public boolean isBelowFraction(int parts) {
         return open.size() < maxConnections / parts;
     }
 
--- a/core/src/test/java/pathlane/decision/policy/SizeTest.java
+++ b/core/src/test/java/pathlane/decision/policy/ManyControllersTest.java
@@ -13,7 +13,7 @@
 import pathlane.decision.ServerStatus;
 
 /** Regression tests for faults found where hundreds of controllers share few servers and each observes little traffic. */
-class SizeTest {
+class ManyControllersTest {
 
     private static final int CONTROLLER_COUNT = 250;
 
--- a/core/src/test/java/pathlane/decision/policy/MechanismTest.java
+++ b/core/src/test/java/pathlane/decision/policy/RoutingMechanismsTest.java
@@ -16,7 +16,7 @@
  * Normal operation of the routing policy: the paper's conditions against hand-computed values, overload levels, rate gate,
  * guaranteed rates and server selection.
  */
-class MechanismTest {
+class RoutingMechanismsTest {
 
     private static final double[] ONE_LIMIT = {1000};
     private static final double[] TWO_LIMITS = {1000, 3000};
--- a/daemon/src/main/java/pathlane/Main.java
+++ b/daemon/src/main/java/pathlane/Main.java
@@ -57,14 +57,14 @@
 
     private static void configureLogging() {
         // Must precede the first use of the logging API, which reads this property only once.
-        System.setProperty("java.util.logging.manager", SteadyLog.class.getName());
+        System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
         // -Dpathlane.log=FINE on the command line traces each step of a call.
         Level level = Level.parse(System.getProperty("pathlane.log", "INFO"));
         Logger callLogger = Logger.getLogger("calls");
         callLogger.setLevel(level);
         for (Handler handler : LogManager.getLogManager().getLogger("").getHandlers()) {
             handler.setLevel(level);
-            handler.setFormatter(new SteadyLog.LineFormatter());
+            handler.setFormatter(new PersistentLogManager.LineFormatter());
         }
     }
 
--- a/daemon/src/main/java/pathlane/Node.java
+++ b/daemon/src/main/java/pathlane/Node.java
@@ -17,7 +17,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import pathlane.config.Settings;
-import pathlane.config.file.CallerLimits;
+import pathlane.config.file.ClientLimits;
 import pathlane.config.file.ConfigFile;
 import pathlane.config.file.DiameterConfig;
 import pathlane.config.file.NodeConfig;
@@ -52,7 +52,7 @@
 
     /** A protocol front: its call controller, the protocol for client connections and their limits, how it disconnects
      * from its peers and reloads its configuration, and when its server list is current. */
-    private record Front(CallController controller, Supplier<Protocol> clientProtocol, CallerLimits clientLimits,
+    private record Front(CallController controller, Supplier<Protocol> clientProtocol, ClientLimits clientLimits,
             Runnable disconnectPeers,
             Runnable reload, Future<Void> serverListCurrent, Optional<GroupNode> group) {}
 
@@ -73,8 +73,8 @@
             Optional<GroupNode> group = node.createGroup(groupFile, config.name(), config.settings());
             PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.isShuttingDown,
                     configFile::readIfChanged, replication(group));
-            return new Front(platform.controller(), platform::accept, config.callers(), () -> {},
-                    () -> platform.reload(configFile.read()), platform.current(), group);
+            return new Front(platform.controller(), platform::accept, config.clientLimits(), () -> {},
+                    () -> platform.reload(configFile.read()), platform.initialSync(), group);
         });
     }
 
@@ -91,8 +91,8 @@
             PlatformFront platform = new PlatformFront(config, node.network, node.loop, () -> !node.isShuttingDown,
                     Optional::empty, CallReplication.NONE, Optional.of(directory));
             directory.start(platform.controller());
-            return new Front(platform.controller(), platform::accept, config.callers(), directory::stop,
-                    directory::reload, platform.current(), Optional.empty());
+            return new Front(platform.controller(), platform::accept, config.clientLimits(), directory::stop,
+                    directory::reload, platform.initialSync(), Optional.empty());
         });
     }
 
@@ -113,7 +113,7 @@
                 new CollectdReporter(config.collectd(), config.host(), diameter.controller().counters(), node.network,
                         node.loop).start();
             }
-            return new Front(diameter.controller(), diameter::accept, config.callers(),
+            return new Front(diameter.controller(), diameter::accept, config.clientLimits(),
                     diameter::disconnect, () -> {
                         throw new IllegalArgumentException("the Diameter front reads its configuration only at startup");
                     }, CompletableFuture.completedFuture(null), group);
@@ -148,8 +148,8 @@
                 loop.execute(() -> front.group().get().start(front.controller()));
             }
             mayHaveClients = true;
-            bound = network.listen(listen, front.clientProtocol(), front.clientLimits().connections(),
-                    front.clientLimits().unwritten());
+            bound = network.listen(listen, front.clientProtocol(), front.clientLimits().maxConnections(),
+                    front.clientLimits().maxUnwrittenBytes());
         } catch (ExecutionException e) {
             loop.close();
             throw new IllegalArgumentException(e.getCause().getMessage(), e);
@@ -212,7 +212,7 @@
      */
     private void shutDownWhenIdle(Instant drainedAt, Instant previousCheck, long previouslyAccepted) {
         Instant now = loop.now();
-        long accepted = network.accepted() + front.controller().counters().value(Counters.Name.CALL_REQUESTS);
+        long accepted = network.acceptedCount() + front.controller().counters().value(Counters.Name.CALL_REQUESTS);
         boolean isQuiet = accepted == previouslyAccepted && !previousCheck.isBefore(drainedAt)
                 || now.isAfter(drainedAt.plus(MAX_EXTRA_DRAIN));
         if (front.controller().openCalls() > 0 || !isQuiet) {
@@ -225,9 +225,9 @@
     private void disconnect() {
         front.disconnectPeers().run();
         LOG.log(Level.INFO, "ended: {0}", front.controller().counters().summary());
-        runWhen(network::hasWritten, loop.now().plus(FLUSH_TIMEOUT), () -> {
-            network.partFromCallers();
-            runWhen(network::hasParted, loop.now().plus(FLUSH_TIMEOUT), ended::countDown);
+        runWhen(network::hasNoUnsentBytes, loop.now().plus(FLUSH_TIMEOUT), () -> {
+            network.closeAcceptedConnections();
+            runWhen(network::areAcceptedConnectionsClosed, loop.now().plus(FLUSH_TIMEOUT), ended::countDown);
         });
     }
 
--- a/daemon/src/main/java/pathlane/SteadyLog.java
+++ b/daemon/src/main/java/pathlane/PersistentLogManager.java
@@ -12,7 +12,7 @@
  * A {@code java.util.logging} manager that keeps its handlers open until the process exits. The default one closes them
  * as soon as shutdown begins, and log lines written while the last calls are answered would be lost.
  */
-public final class SteadyLog extends LogManager {
+public final class PersistentLogManager extends LogManager {
 
     @Override
     public void reset() {
--- a/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/DiameterConfig.java
@@ -17,13 +17,13 @@
 /**
  * Configuration of the Diameter front: its identity, listen address, server peers and call classes.
  *
- * @param callers limits for clients, derived from the descriptors in {@code limits}
+ * @param clientLimits limits for clients, derived from the descriptors in {@code limits}
  * @param graphite where counters are reported to Graphite, or null
  * @param collectd where counters are reported to collectd, or null
  */
 public record DiameterConfig(String host, String realm, InetSocketAddress listen, Duration watchdogInterval,
         List<Peer> peers, List<ServiceClass> classes, Settings settings,
-        CallerLimits callers, GraphiteConfig graphite, CollectdConfig collectd) {
+        ClientLimits clientLimits, GraphiteConfig graphite, CollectdConfig collectd) {
 
     /** The minimum that RFC 3539 allows. */
     private static final Duration MIN_WATCHDOG_INTERVAL = Duration.ofSeconds(6);
@@ -83,7 +83,7 @@
         }
         DiameterConfig config = new DiameterConfig(NodeConfig.text(root, "host"), NodeConfig.text(root, "realm"),
                 Addresses.parse(NodeConfig.text(root, "listen")), watchdogInterval, List.copyOf(peers),
-                List.copyOf(classes), settings, CallerLimits.of(descriptors.clients()), GraphiteConfig.read(root),
+                List.copyOf(classes), settings, ClientLimits.of(descriptors.clients()), GraphiteConfig.read(root),
                 CollectdConfig.read(root));
         config.classOf(-1);
         return config;
--- a/daemon/src/main/java/pathlane/config/file/NodeConfig.java
+++ b/daemon/src/main/java/pathlane/config/file/NodeConfig.java
@@ -14,13 +14,13 @@
  * Configuration of a call controller on the platform, from the file that RELAY_CONFIG names.
  *
  * @param seed for random numbers; differs for each start
- * @param bus the event bus, or null where there is none
+ * @param busAddress the event bus, or null where there is none
  * @param descriptors how the file descriptors in {@code limits} are divided
- * @param callers limits for clients
+ * @param clientLimits limits for clients
  * @param knownOffset the number of the last event in {@code knownEvents}
  */
-public record NodeConfig(String name, InetSocketAddress listen, long seed, InetSocketAddress bus,
-        Descriptors descriptors, CallerLimits callers, long knownOffset, JsonArray knownEvents, Settings settings) {
+public record NodeConfig(String name, InetSocketAddress listen, long seed, InetSocketAddress busAddress,
+        Descriptors descriptors, ClientLimits clientLimits, long knownOffset, JsonArray knownEvents, Settings settings) {
 
     private static final int HEX_RADIX = 16;
     /** A process that has just begun to serve uses about 40. */
@@ -39,7 +39,7 @@
         return new NodeConfig(text(root, "name"), Addresses.parse(text(root, "listen")),
                 Long.parseUnsignedLong(text(root, "seed"), HEX_RADIX),
                 root.has("bus") ? Addresses.parse(text(root, "bus")) : null, descriptors,
-                CallerLimits.of(descriptors.clients()),
+                ClientLimits.of(descriptors.clients()),
                 known.has("offset") ? known.get("offset").getAsLong() : 0, SettingsReader.array(known, "batch"),
                 SettingsReader.read(SettingsReader.object(root, "settings")));
     }
--- a/daemon/src/main/java/pathlane/diameter/DiameterFront.java
+++ b/daemon/src/main/java/pathlane/diameter/DiameterFront.java
@@ -40,7 +40,7 @@
         this.scheduler = scheduler;
         this.random = random;
         this.local = new LocalNode(config.host(), config.realm(), config.listen().getAddress().getAddress(),
-                config.callers(), new RateLimitedLog("diameter", scheduler));
+                config.clientLimits(), new RateLimitedLog("diameter", scheduler));
         // Allows one attempt at a time: a request that timed out may still be running, so it stays outstanding.
         this.controller = new CallController(config.settings().withoutCancellation(), seed, scheduler, endpoint -> {
             DiameterConfig.Peer peer = config.peer(endpoint.id());
--- a/daemon/src/main/java/pathlane/diameter/LocalNode.java
+++ b/daemon/src/main/java/pathlane/diameter/LocalNode.java
@@ -1,7 +1,7 @@
 package pathlane.diameter;
 
 import java.util.List;
-import pathlane.config.file.CallerLimits;
+import pathlane.config.file.ClientLimits;
 import pathlane.transport.RateLimitedLog;
 
 /**
@@ -9,7 +9,7 @@
  *
  * @param log rate-limited, for messages that peers can trigger at will
  */
-record LocalNode(String host, String realm, byte[] address, CallerLimits limits, RateLimitedLog log) {
+record LocalNode(String host, String realm, byte[] address, ClientLimits limits, RateLimitedLog log) {
 
     private static final String PRODUCT = "pathlane";
 
--- a/daemon/src/main/java/pathlane/diameter/PeerSession.java
+++ b/daemon/src/main/java/pathlane/diameter/PeerSession.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import pathlane.config.file.CallerLimits;
+import pathlane.config.file.ClientLimits;
 import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.transport.Connection;
@@ -76,10 +76,10 @@
         this.random = random;
         this.handler = handler;
         this.nextHopByHop = random.nextInt();
-        CallerLimits limits = local.limits();
-        this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(),
+        ClientLimits limits = local.limits();
+        this.frameDeadline = new FrameDeadline(scheduler, limits.messageTimeout(),
                 () -> connection.close(CloseReason.UNFINISHED));
-        this.messageLimiter = new RateLimiter(limits.messages(), limits.messageEvery(), scheduler);
+        this.messageLimiter = new RateLimiter(limits.messageBurst(), limits.messageInterval(), scheduler);
         this.createdAt = scheduler.now();
     }
 
@@ -102,7 +102,7 @@
         // Frees the descriptors of clients that connect and send nothing.
         exchangeTimer = isInitiator
                 ? scheduler.after(EXCHANGE_TIMEOUT, () -> connection.close(CloseReason.CONNECT_TIMED_OUT))
-                : scheduler.after(local.limits().unused(), () -> connection.close(CloseReason.IDLE));
+                : scheduler.after(local.limits().unusedTimeout(), () -> connection.close(CloseReason.IDLE));
         if (isInitiator) {
             send(baseRequest(DiameterMessage.CAPABILITIES_EXCHANGE, local.capabilities()));
         }
--- a/daemon/src/main/java/pathlane/diameter/ServerPeer.java
+++ b/daemon/src/main/java/pathlane/diameter/ServerPeer.java
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public Optional<byte[]> pendingRelease(String call) {
+    public Optional<byte[]> pendingReleaseToken(String call) {
         return Optional.ofNullable(waitingTerminations.get(call)).map(ServerPeer::releaseToken);
     }
 
--- a/daemon/src/main/java/pathlane/directory/DirectoryNode.java
+++ b/daemon/src/main/java/pathlane/directory/DirectoryNode.java
@@ -91,7 +91,7 @@
 
     @Override
     public boolean requireService(String service) {
-        return watches.use(service);
+        return watches.recordUse(service);
     }
 
     @Override
--- a/daemon/src/main/java/pathlane/directory/DiscoveryFile.java
+++ b/daemon/src/main/java/pathlane/directory/DiscoveryFile.java
@@ -37,12 +37,13 @@
         TomlFile toml = TomlFile.parse(file);
         Set<String> known = new HashSet<>(Set.of(NAME, KEYS, SERVICES, DEFAULT_SERVICE));
         known.addAll(WatchTables.WATCH_KEYS);
-        toml.onlyKeys(known);
+        toml.requireKnownKeys(known);
         Map<String, Set<Integer>> services = WatchTables.services(toml);
         Map<Integer, String> serviceByPool = new HashMap<>();
         services.forEach((service, pools) -> pools.forEach(pool -> serviceByPool.put(pool, service)));
         String name = toml.has(NAME) ? WatchTables.name(toml, NAME) : ownName;
-        return new DiscoveryFile(WatchTables.watchTerms(toml, name), toml.beside(toml.text(KEYS)), Map.copyOf(serviceByPool),
+        return new DiscoveryFile(WatchTables.watchTerms(toml, name), toml.resolveSibling(toml.text(KEYS)),
+                Map.copyOf(serviceByPool),
                 defaultService(toml, services.keySet()));
     }
 
--- a/daemon/src/main/java/pathlane/directory/ServerListFeed.java
+++ b/daemon/src/main/java/pathlane/directory/ServerListFeed.java
@@ -43,7 +43,7 @@
         } else {
             controller.updateServers(service, true, state.endpoints());
         }
-        watches.known(service);
+        watches.stateKnown(service);
     }
 
     private static List<ServerEndpoint> changedEndpoints(ServiceState previous, ServiceChange.Delta delta) {
@@ -66,7 +66,7 @@
     public void absent(String service, Revision revision) {
         lastStates.remove(service);
         controller.updateServers(service, true, List.of());
-        watches.known(service);
+        watches.stateKnown(service);
     }
 
     @Override
--- a/daemon/src/main/java/pathlane/platform/CallRequestReader.java
+++ b/daemon/src/main/java/pathlane/platform/CallRequestReader.java
@@ -30,22 +30,22 @@
     private CallRequestReader() {}
 
     static CallRequest read(Message message, Settings settings) {
-        if (message.call == NO_ID) {
+        if (message.callId == NO_ID) {
             throw new InvalidRequestException("no call id");
         }
-        int callClass = settings.indexOfClass(required(message, Message.CLASS, "class"));
+        int callClass = settings.indexOfClass(required(message, Message.CALL_CLASS, "class"));
         if (callClass < 0) {
             throw new InvalidRequestException("unknown call class");
         }
         Duration maxDeadline = settings.classes().get(callClass).deadline().multipliedBy(MAX_DEADLINE_MULTIPLE);
-        int remainingMillis = integer("patience", required(message, Message.PATIENCE, "patience"), 1,
+        int remainingMillis = integer("patience", required(message, Message.REMAINING_DEADLINE, "patience"), 1,
                 (int) Math.min(Integer.MAX_VALUE, maxDeadline.toMillis()));
-        String destination = required(message, Message.NUMBER, "destination");
+        String destination = required(message, Message.DESTINATION, "destination");
         byte[] description = message.value(Message.DESCRIPTION);
         if (description == null) {
             throw new InvalidRequestException("no description");
         }
-        int preferredPool = preferredPool(required(message, Message.FIGURES, "figures"));
+        int preferredPool = preferredPool(required(message, Message.ROUTING_PARAMETERS, "figures"));
         return new CallRequest(message.id(), callClass, destination, Duration.ofMillis(remainingMillis), preferredPool,
                 description);
     }
--- a/daemon/src/main/java/pathlane/platform/CapacityReport.java
+++ b/daemon/src/main/java/pathlane/platform/CapacityReport.java
@@ -1,6 +1,6 @@
 package pathlane.platform;
 
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * A session server's report of its slots, such as {@code free:12;size:299} on the wire.
@@ -16,7 +16,7 @@
     /**
      * Parses a report; fields with other names are ignored.
      *
-     * @throws BadInput if a value is not a number
+     * @throws ProtocolException if a value is not a number
      */
     static CapacityReport parse(String report) {
         double freeSlots = Double.NaN;
@@ -29,7 +29,7 @@
                     slots = Double.parseDouble(field.substring(SIZE_PREFIX.length()));
                 }
             } catch (NumberFormatException e) {
-                throw new BadInput("malformed capacity report '" + field + "'");
+                throw new ProtocolException("malformed capacity report '" + field + "'");
             }
         }
         return new CapacityReport(freeSlots, slots);
--- a/daemon/src/main/java/pathlane/platform/ClientSession.java
+++ b/daemon/src/main/java/pathlane/platform/ClientSession.java
@@ -5,7 +5,7 @@
 import java.time.Instant;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
-import pathlane.config.file.CallerLimits;
+import pathlane.config.file.ClientLimits;
 import pathlane.core.CallController;
 import pathlane.core.CallRequest;
 import pathlane.core.ClientPort;
@@ -17,14 +17,14 @@
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
 import pathlane.transport.RateLimiter;
-import pathlane.wire.BadInput;
 import pathlane.wire.Cause;
 import pathlane.wire.FrameAssembler;
 import pathlane.wire.Message;
+import pathlane.wire.ProtocolException;
 
 /**
  * One connection from clients, shared by many calls, each identified by its id. It is closed when it violates the protocol,
- * sends too many invalid requests or too many messages, leaves a message incomplete, or stays idle ({@link CallerLimits}).
+ * sends too many invalid requests or too many messages, leaves a message incomplete, or stays idle ({@link ClientLimits}).
  */
 public final class ClientSession implements Protocol, ClientPort {
 
@@ -33,7 +33,7 @@
     private static final Duration EVICT_LAST_OFFSET = Duration.ofDays(1);
 
     private final CallController controller;
-    private final CallerLimits limits;
+    private final ClientLimits limits;
     private final Scheduler scheduler;
     private final RateLimitedLog log;
     private final BooleanSupplier isReady;
@@ -48,17 +48,17 @@
     private int invalidRequests;
 
     /** Creates a session; {@code isReady} is evaluated for each health check that the client sends. */
-    public ClientSession(CallController controller, CallerLimits limits, Scheduler scheduler, RateLimitedLog log,
+    public ClientSession(CallController controller, ClientLimits limits, Scheduler scheduler, RateLimitedLog log,
             BooleanSupplier isReady) {
         this.controller = controller;
         this.limits = limits;
         this.scheduler = scheduler;
         this.log = log;
         this.isReady = isReady;
-        this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(),
+        this.frameDeadline = new FrameDeadline(scheduler, limits.messageTimeout(),
                 () -> connection.close(CloseReason.UNFINISHED));
-        this.messageLimiter = new RateLimiter(limits.messages(), limits.messageEvery(), scheduler);
-        this.unknownReleases = new UnknownReleases(limits.unknownReleases(), limits.unknownReleaseEvery(), scheduler,
+        this.messageLimiter = new RateLimiter(limits.messageBurst(), limits.messageInterval(), scheduler);
+        this.unknownReleases = new UnknownReleases(limits.unknownReleaseBurst(), limits.unknownReleaseInterval(), scheduler,
                 this::releaseUnknown);
         this.lastUsed = scheduler.now();
     }
@@ -67,7 +67,7 @@
     public void opened(Connection opened) {
         connection = opened;
         controller.clientConnected(this);
-        idleTimer = scheduler.after(limits.unused(), this::closeIfIdle);
+        idleTimer = scheduler.after(limits.unusedTimeout(), this::closeIfIdle);
     }
 
     /**
@@ -75,7 +75,7 @@
      * indefinitely. A connection with an established call stays open, since the end of the call is reported on it.
      */
     private void closeIfIdle() {
-        Duration timeout = controller.hasServed(this) ? limits.idle() : limits.unused();
+        Duration timeout = controller.hasHadEstablishedCall(this) ? limits.idleTimeout() : limits.unusedTimeout();
         Duration remaining = Duration.between(scheduler.now(), lastUsed.plus(timeout));
         if (controller.openCallsOn(this) > 0 || controller.establishedCallsOn(this) > 0) {
             idleTimer = scheduler.after(timeout, this::closeIfIdle);
@@ -98,8 +98,9 @@
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            frameDeadline.bytesReceived(assembler.feed(bytes, frame -> handle(Message.read(frame))), assembler.begun());
-        } catch (BadInput e) {
+            frameDeadline.bytesReceived(assembler.feed(bytes, frame -> handle(Message.read(frame))),
+                    assembler.hasPartialFrame());
+        } catch (ProtocolException e) {
             log.warn("client connection {0} closed for invalid input: {1}", connection.remote(), e.getMessage());
             bytes.position(bytes.limit());
             connection.close(CloseReason.PROTOCOL_ERROR);
@@ -110,19 +111,19 @@
         lastUsed = scheduler.now();
         if (!messageLimiter.tryAcquire()) {
             // A client that sends at full speed would use up most of the loop's time at the cost of all others.
-            throw new BadInput("message rate limit exceeded");
+            throw new ProtocolException("message rate limit exceeded");
         }
         switch (message.type) {
-            case Message.SET_UP -> handleRequest(message);
+            case Message.CALL_REQUEST -> handleRequest(message);
             case Message.RELEASE -> {
                 if (!controller.clientReleased(message.id(), EMPTY, this)) {
                     unknownReleases.add(message.id());
                 }
             }
-            case Message.TEST -> connection.write(new Message(Message.TEST_RESULT, message.call)
+            case Message.HEALTH_CHECK -> connection.write(new Message(Message.HEALTH_CHECK_RESULT, message.callId)
                     .withCause(isReady.getAsBoolean() ? 1 : 0).bytes());
-            case Message.PROGRESS, Message.RELEASE_HEARD -> {}
-            default -> throw new BadInput("unexpected message of type " + message.type);
+            case Message.PROGRESS, Message.RELEASE_COMPLETE -> {}
+            default -> throw new ProtocolException("unexpected message of type " + message.type);
         }
     }
 
@@ -148,9 +149,9 @@
 
     /** Answers an invalid request with a failure; beyond a limit of such requests, the connection is closed. */
     private void failInvalid(Message request, String reason) {
-        if (++invalidRequests > limits.faults() || controller.isOpenOn(request.id(), this)) {
+        if (++invalidRequests > limits.maxInvalidRequests() || controller.isOpenOn(request.id(), this)) {
             // With two requests for one id on the same connection, no answer could say which of them it is for.
-            throw new BadInput(reason);
+            throw new ProtocolException(reason);
         }
         log.warn("client {0}: invalid call request: {1}", connection.remote(), reason);
         fail(request.id());
@@ -191,7 +192,7 @@
     public void reject(String callId, Duration retryAfter) {
         Message rejection = new Message(Message.RELEASE, callId).withCause(Cause.REJECTED);
         if (retryAfter.toMillis() > 0) {
-            rejection.with(Message.COME_BACK, Long.toString(retryAfter.toMillis()));
+            rejection.with(Message.RETRY_AFTER, Long.toString(retryAfter.toMillis()));
         }
         write(rejection);
     }
--- a/daemon/src/main/java/pathlane/platform/ConnectionPool.java
+++ b/daemon/src/main/java/pathlane/platform/ConnectionPool.java
@@ -60,7 +60,7 @@
 
     /** The server was listed: connects at once if enough descriptors are free, or else later. */
     void connectWhenListed() {
-        if (context.connectionLimiter().isBelowShare(EAGER_CONNECT_DIVISOR)) {
+        if (context.connectionLimiter().isBelowFraction(EAGER_CONNECT_DIVISOR)) {
             openConnection();
         } else if (context.now().isBefore(context.startedAt().plus(STARTUP_PERIOD))) {
             reconnectTimer = context.scheduler().after(randomBelow(DEFERRED_CONNECT_SPREAD), this::reconnect);
@@ -113,7 +113,7 @@
 
     /** Opens one more connection, for the next request, when a request is sent on a busy one. */
     void growIfBusy(ServerSession chosen) {
-        if (!chosen.isBusy() || !isBelowLimit() || !context.connectionLimiter().isBelowShare(EXTRA_CONNECT_DIVISOR)
+        if (!chosen.isBusy() || !isBelowLimit() || !context.connectionLimiter().isBelowFraction(EXTRA_CONNECT_DIVISOR)
                 || !mayConnectExtra()) {
             return;
         }
@@ -138,7 +138,7 @@
     }
 
     private boolean isBelowLimit() {
-        return sessions.size() < context.limits().connections();
+        return sessions.size() < context.limits().maxConnections();
     }
 
     private boolean mayConnectExtra() {
--- a/daemon/src/main/java/pathlane/platform/DrainDetector.java
+++ b/daemon/src/main/java/pathlane/platform/DrainDetector.java
@@ -35,7 +35,7 @@
         Duration period = context.reportPeriod().length();
         Duration allowed = context.isListCurrent().getAsBoolean()
                 ? period.multipliedBy(3).dividedBy(2)
-                : period.plus(context.limits().linesVary());
+                : period.plus(context.limits().reportTransitVariation());
         return hasReported && lastAcceptingAt.plus(allowed).isBefore(context.now());
     }
 }
--- a/daemon/src/main/java/pathlane/platform/OvertakenCheck.java
+++ b/daemon/src/main/java/pathlane/platform/OvertakenCheck.java
@@ -42,7 +42,7 @@
     OvertakenCheck(ServerLinkContext context, OutstandingRequests outstanding, Supplier<Instant> lastReceived,
             Runnable onConfirmed) {
         this.scheduler = context.scheduler();
-        this.overtakenAfter = context.limits().overtaken();
+        this.overtakenAfter = context.limits().overtakenAfter();
         this.outstanding = outstanding;
         this.lastReceived = lastReceived;
         this.onConfirmed = onConfirmed;
--- a/daemon/src/main/java/pathlane/platform/PlatformFront.java
+++ b/daemon/src/main/java/pathlane/platform/PlatformFront.java
@@ -9,7 +9,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import pathlane.bus.BusFeed;
-import pathlane.config.file.CallerLimits;
+import pathlane.config.file.ClientLimits;
 import pathlane.config.file.NodeConfig;
 import pathlane.config.file.ServerLimits;
 import pathlane.core.CallController;
@@ -30,7 +30,7 @@
     private final BooleanSupplier isReady;
     private final BusFeed feed;
     private final Optional<ServerDiscovery> discovery;
-    private final CallerLimits limits;
+    private final ClientLimits limits;
     private final Scheduler scheduler;
     private final RateLimitedLog clientLog;
     private final Supplier<Optional<NodeConfig>> changedConfig;
@@ -64,27 +64,28 @@
         this.discovery = discovery;
         this.isReady = isReady;
         this.changedConfig = changedConfig;
-        this.limits = config.callers();
+        this.limits = config.clientLimits();
         this.scheduler = scheduler;
         this.clientLog = new RateLimitedLog("callers", scheduler);
         SplittableRandom random = new SplittableRandom(config.seed());
         Instant startedAt = scheduler.now();
         ConnectionLimiter serverLimiter = new ConnectionLimiter(config.descriptors().servers());
-        ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.USUAL, this::controller,
+        ServerLinkContext context = new ServerLinkContext(config.settings(), ServerLimits.DEFAULT, this::controller,
                 this::isListCurrent, connector, scheduler, serverLimiter,
-                new ReportPeriod(ServerLimits.USUAL.lines(), ServerLimits.USUAL.linesFirst()), random, startedAt);
+                new ReportPeriod(ServerLimits.DEFAULT.maxReportPeriod(), ServerLimits.DEFAULT.maxFirstReportPeriod()),
+                random, startedAt);
         controller = new CallController(config.settings(), config.seed(), scheduler,
                 endpoint -> new ServerLink(endpoint, context), replication,
-                discovery.<ServiceDirectory>map(directory -> directory).orElse(ServiceDirectory.ONE));
+                discovery.<ServiceDirectory>map(directory -> directory).orElse(ServiceDirectory.SINGLE_SERVICE));
         if (discovery.isEmpty()) {
-            KnownEvents.read(config).forEach(event -> controller.updateServers(event.whole(), event.lines()));
+            KnownEvents.read(config).forEach(event -> controller.updateServers(event.isComplete(), event.endpoints()));
         }
         feed = new BusFeed(config.knownOffset(), connector, scheduler, random.split(),
-                event -> controller.updateServers(event.whole(), event.lines()), this::reloadIfChanged);
-        if (config.bus() != null && discovery.isEmpty()) {
-            feed.follow(config.bus());
+                event -> controller.updateServers(event.isComplete(), event.endpoints()), this::reloadIfChanged);
+        if (config.busAddress() != null && discovery.isEmpty()) {
+            feed.follow(config.busAddress());
         } else {
-            feed.current().complete(null);
+            feed.initialSync().complete(null);
         }
     }
 
@@ -95,10 +96,10 @@
      * @throws IllegalArgumentException if it has no event bus; the previous one is still followed
      */
     public void reload(NodeConfig newConfig) {
-        if (newConfig.bus() == null) {
+        if (newConfig.busAddress() == null) {
             throw new IllegalArgumentException("'bus' is missing");
         }
-        feed.follow(newConfig.bus());
+        feed.follow(newConfig.busAddress());
     }
 
     /**
@@ -123,8 +124,8 @@
     }
 
     /** Completed once the list is what the event bus had at the start, or at once if there is no event bus. */
-    public CompletableFuture<Void> current() {
-        return feed.current();
+    public CompletableFuture<Void> initialSync() {
+        return feed.initialSync();
     }
 
     public CallController controller() {
--- a/daemon/src/main/java/pathlane/platform/Reachability.java
+++ b/daemon/src/main/java/pathlane/platform/Reachability.java
@@ -41,7 +41,7 @@
     void connectionLost(CloseReason reason, boolean isLast) {
         wasClosedByServer = reason == CloseReason.RESET || reason == CloseReason.CLOSED_BY_PEER;
         if (isLast && unreachableTimer == null) {
-            unreachableTimer = context.scheduler().after(context.limits().unreached(), this::handleUnreachable);
+            unreachableTimer = context.scheduler().after(context.limits().unreachableTimeout(), this::handleUnreachable);
         }
     }
 
@@ -55,7 +55,7 @@
         unreachableTimer = null;
         if (context.controller().get().hasEstablishedCallsAt(serverId)) {
             LOG.log(Level.WARNING, "server {0} has been unreachable for {1} ms: its calls are treated as lost", name,
-                    Long.toString(context.limits().unreached().toMillis()));
+                    Long.toString(context.limits().unreachableTimeout().toMillis()));
             context.controller().get().serverLost(serverId, false);
         }
     }
--- a/daemon/src/main/java/pathlane/platform/ServerLink.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLink.java
@@ -49,10 +49,10 @@
     @Override
     public void sendRequest(CallRequest request, Duration remainingDeadline, boolean mayHaveRun) {
         isDraining = false;   // no request is sent to a draining server, so it does not drain any more
-        byte[] bytes = new Message(Message.SET_UP, request.id())
-                .with(Message.CLASS, context.settings().classes().get(request.callClass()).name())
-                .with(Message.PATIENCE, Long.toString(Math.max(1, remainingDeadline.toMillis())))
-                .with(Message.NUMBER, request.destination())
+        byte[] bytes = new Message(Message.CALL_REQUEST, request.id())
+                .with(Message.CALL_CLASS, context.settings().classes().get(request.callClass()).name())
+                .with(Message.REMAINING_DEADLINE, Long.toString(Math.max(1, remainingDeadline.toMillis())))
+                .with(Message.DESTINATION, request.destination())
                 .with(Message.DESCRIPTION, request.payload()).bytes();
         ServerSession session = drainDetector.mayBeDraining() ? null : pool.leastBusyFor(request.id());
         if (session != null) {
@@ -102,13 +102,13 @@
         ServerSession session = preferred == null ? pool.leastBusy() : preferred;
         if (session != null) {
             session.release(callId, bytes);
-        } else if (!pool.isClosed() && pending.addRelease(callId, bytes, context.limits().waitingReleases())) {
+        } else if (!pool.isClosed() && pending.addRelease(callId, bytes, context.limits().maxWaitingReleases())) {
             pool.connectIfNone();
         }
     }
 
     @Override
-    public Optional<byte[]> pendingRelease(String callId) {
+    public Optional<byte[]> pendingReleaseToken(String callId) {
         return pending.hasRelease(callId) ? Optional.of(EMPTY) : Optional.empty();
     }
 
@@ -130,8 +130,8 @@
         if (pool.leastBusy() != null) {
             release(callId, Outcome.COMPLETED, EMPTY);
         } else if (!pool.isClosed()) {
-            byte[] bytes = new Message(Message.RELEASE, callId).withCause(Cause.OVER).bytes();
-            pending.addRelease(callId, bytes, context.limits().waitingUnknown());
+            byte[] bytes = new Message(Message.RELEASE, callId).withCause(Cause.NORMAL_CLEARING).bytes();
+            pending.addRelease(callId, bytes, context.limits().maxWaitingUnknownReleases());
         }
     }
 
@@ -181,7 +181,7 @@
         } else if (context.isListCurrent().getAsBoolean()) {
             failPendingRequests();
         } else {
-            context.scheduler().after(context.limits().firstLines(), this::failPendingUnlessReported);
+            context.scheduler().after(context.limits().firstReportTimeout(), this::failPendingUnlessReported);
         }
     }
 
@@ -199,7 +199,7 @@
     /**
      * The server has reported its capacity on this connection, and therefore takes requests.
      *
-     * @throws pathlane.wire.BadInput if the report is malformed
+     * @throws pathlane.wire.ProtocolException if the report is malformed
      */
     void capacityReported(ServerSession session, String text) {
         drainDetector.capacityReported(context.now());
@@ -220,7 +220,7 @@
         session.failRequests(reason);
         if (!reason.isVoluntary()) {
             session.unconfirmedReleases()
-                    .forEach((callId, bytes) -> pending.addRelease(callId, bytes, context.limits().waitingReleases()));
+                    .forEach((callId, bytes) -> pending.addRelease(callId, bytes, context.limits().maxWaitingReleases()));
         }
         if (pool.isEmpty()) {
             allClosed(reason);
--- a/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
+++ b/daemon/src/main/java/pathlane/platform/ServerLinkContext.java
@@ -42,8 +42,8 @@
 
     /** How long a connection may receive nothing: at least two report periods, where the period is known. */
     Duration silenceTimeout() {
-        Duration twoReports = reportPeriod.length().multipliedBy(2).plus(limits.linesVary());
-        boolean isLonger = reportPeriod.hasMeasurement() && twoReports.compareTo(limits.silence()) > 0;
-        return isLonger ? twoReports : limits.silence();
+        Duration twoReports = reportPeriod.length().multipliedBy(2).plus(limits.reportTransitVariation());
+        boolean isLonger = reportPeriod.hasMeasurement() && twoReports.compareTo(limits.silenceTimeout()) > 0;
+        return isLonger ? twoReports : limits.silenceTimeout();
     }
 }
--- a/daemon/src/main/java/pathlane/platform/ServerSession.java
+++ b/daemon/src/main/java/pathlane/platform/ServerSession.java
@@ -16,10 +16,10 @@
 import pathlane.transport.Connection;
 import pathlane.transport.FrameDeadline;
 import pathlane.transport.Protocol;
-import pathlane.wire.BadInput;
 import pathlane.wire.Cause;
 import pathlane.wire.FrameAssembler;
 import pathlane.wire.Message;
+import pathlane.wire.ProtocolException;
 
 /**
  * One connection to a session server: the requests outstanding on it, the messages that the server sends, and when the
@@ -68,8 +68,8 @@
         this.scheduler = context.scheduler();
         this.idleTimeout = context.idleTimeout();
         this.longestDeadline = context.settings().longestDeadline();
-        this.frameDeadline = new FrameDeadline(scheduler, limits.unfinished(), () -> close(CloseReason.UNFINISHED));
-        this.unconfirmedReleases = new UnconfirmedReleases(limits.waitingReleases());
+        this.frameDeadline = new FrameDeadline(scheduler, limits.messageTimeout(), () -> close(CloseReason.UNFINISHED));
+        this.unconfirmedReleases = new UnconfirmedReleases(limits.maxWaitingReleases());
         this.reportIntervals = new ReportIntervals(context.reportPeriod());
         this.overtakenCheck = new OvertakenCheck(context, link.outstanding(), () -> lastReceived, this::closeAsOvertaken);
     }
@@ -146,11 +146,11 @@
     /** Withdraws a request that was not sent, notifies the server of one that was, or else aborts the connection. */
     void cancel(String callId) {
         SentMessage request = sentRequests.remove(callId);
-        Connection.Withdrawal withdrawal = connection.cancelWrite(request.bytes());
-        if (withdrawal == Connection.Withdrawal.WITHDRAWN) {
+        Connection.CancelResult withdrawal = connection.cancelWrite(request.bytes());
+        if (withdrawal == Connection.CancelResult.CANCELLED) {
             return;
         }
-        if (withdrawal == Connection.Withdrawal.BOUND || !isWritable()) {
+        if (withdrawal == Connection.CancelResult.COMMITTED || !isWritable()) {
             isClosing = true;
             connection.abort(CloseReason.OVERFLOW);
             return;
@@ -176,7 +176,7 @@
         boolean isAnyBound = false;
         for (Map.Entry<String, SentMessage> request : List.copyOf(sentRequests.entrySet())) {
             String callId = request.getKey();
-            if (connection.cancelWrite(request.getValue().bytes()) == Connection.Withdrawal.WITHDRAWN) {
+            if (connection.cancelWrite(request.getValue().bytes()) == Connection.CancelResult.CANCELLED) {
                 sentRequests.remove(callId);
                 link.outstanding().remove(callId);
                 link.serverReleased(callId, Outcome.UNREACHABLE);
@@ -255,7 +255,7 @@
         if (!reason.isVoluntary()) {
             connection.abort(reason);
         } else if (link.hasEstablishedCalls()) {
-            connection.finish(reason);
+            connection.halfClose(reason);
         } else {
             connection.close(reason);
         }
@@ -270,8 +270,9 @@
     public void received(ByteBuffer bytes) {
         lastUsed = scheduler.now();
         try {
-            frameDeadline.bytesReceived(assembler.feed(bytes, frame -> handle(Message.read(frame))), assembler.begun());
-        } catch (BadInput e) {
+            frameDeadline.bytesReceived(assembler.feed(bytes, frame -> handle(Message.read(frame))),
+                    assembler.hasPartialFrame());
+        } catch (ProtocolException e) {
             LOG.log(Level.WARNING, "connection to server {0} closed for invalid input: {1}", link.name(), e.getMessage());
             bytes.position(bytes.limit());
             close(CloseReason.PROTOCOL_ERROR);
@@ -280,17 +281,17 @@
 
     private void handle(Message message) {
         lastReceived = scheduler.now();
-        unconfirmedReleases.confirm(lastReceived.minus(limits.firstLines()));
+        unconfirmedReleases.confirm(lastReceived.minus(limits.firstReportTimeout()));
         switch (message.type) {
             case Message.ANSWER -> handleAnswer(message.id(), message.value(Message.DESCRIPTION));
             case Message.RELEASE -> handleRelease(message.id(), message);
-            case Message.RELEASE_HEARD -> cancelledAt.remove(message.id());   // no answer follows
-            case Message.PROGRESS, Message.TEST_RESULT -> {}
-            case Message.GROUP_STATE -> {
+            case Message.RELEASE_COMPLETE -> cancelledAt.remove(message.id());   // no answer follows
+            case Message.PROGRESS, Message.HEALTH_CHECK_RESULT -> {}
+            case Message.CAPACITY_REPORT -> {
                 reportIntervals.reported(scheduler.now());
-                link.capacityReported(this, message.text(Message.STATE));
+                link.capacityReported(this, message.text(Message.CAPACITY));
             }
-            default -> throw new BadInput("unexpected message of type " + message.type);
+            default -> throw new ProtocolException("unexpected message of type " + message.type);
         }
     }
 
@@ -315,7 +316,7 @@
             return;
         }
         requestEnded(callId);
-        link.serverReleased(callId, Cause.outcomeOf(message.cause(), message.text(Message.NOTE)));
+        link.serverReleased(callId, Cause.outcomeOf(message.cause(), message.text(Message.CAUSE_DETAIL)));
     }
 
     /**
@@ -341,7 +342,7 @@
     }
 
     private static byte[] cancellation(String callId) {
-        return new Message(Message.RELEASE, callId).withCause(Cause.OVER).bytes();
+        return new Message(Message.RELEASE, callId).withCause(Cause.NORMAL_CLEARING).bytes();
     }
 
     /** A request on this connection has ended, which shows how far the server has processed its requests. */
--- a/daemon/src/main/java/pathlane/takeover/GroupNode.java
+++ b/daemon/src/main/java/pathlane/takeover/GroupNode.java
@@ -69,7 +69,7 @@
                         synchronousClasses, file.maxAnswerDelay(), file.adoptionsPerSecond(), file.orphanTimeout(),
                         settings.rules().retryDelay()),
                 random.nextLong(),
-                file.voters(), network.dialer(MAX_UNWRITTEN_BYTES), linkContext, System::nanoTime);
+                file.voters(), network.connector(MAX_UNWRITTEN_BYTES), linkContext, System::nanoTime);
     }
 
     /** The replication that the core notifies of each call's state. */
--- a/daemon/src/test/java/pathlane/SteadyLogTest.java
+++ b/daemon/src/test/java/pathlane/PersistentLogManagerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The format of log lines, on which the on-call page and log parsers rely. */
-class SteadyLogTest {
+class PersistentLogManagerTest {
 
     private static LogRecord record(String text, Object... values) {
         LogRecord record = new LogRecord(Level.WARNING, text);
@@ -23,14 +23,14 @@
     @Test
     void formatsOneLine() {
         assertEquals("2026-01-02 03:04:05.067 WARNING callers: caller 7 closed: IDLE\n",
-                new SteadyLog.LineFormatter().format(record("caller {0} closed: {1}", "7", "IDLE")));
+                new PersistentLogManager.LineFormatter().format(record("caller {0} closed: {1}", "7", "IDLE")));
     }
 
     @Test
     void stackTraceFollowsTheLine() {
         LogRecord record = record("fault");
         record.setThrown(new IllegalStateException("why"));
-        String text = new SteadyLog.LineFormatter().format(record);
+        String text = new PersistentLogManager.LineFormatter().format(record);
         assertTrue(text.startsWith("2026-01-02 03:04:05.067 WARNING callers: fault\njava.lang.IllegalStateException: why"));
     }
 }
--- a/daemon/src/test/java/pathlane/crossings/ClientDisconnectTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ClientDisconnectTest.java
@@ -28,7 +28,7 @@
             });
             controller.awaitCount(Counters.Name.GIVEN_UP_BY_CLIENT, 1);
             other.send(Peer.callRequest(2, 0));
-            server.next(Message.SET_UP, 2);
+            server.next(Message.CALL_REQUEST, 2);
         }
     }
 
@@ -46,7 +46,7 @@
             });
             leaving.awaitEnd();
             other.send(Peer.callRequest(2, 0));
-            server.next(Message.SET_UP, 2);
+            server.next(Message.CALL_REQUEST, 2);
         }
     }
 
@@ -56,7 +56,7 @@
                 Controller controller = new Controller(Controller.config("", "", listening));
                 Peer server = Peer.at(listening); Peer client = Peer.to(controller.address)) {
             client.send(Peer.callRequest(1, 0), Peer.release(1), Peer.callRequest(2, 0));
-            server.next(Message.SET_UP, 2);
+            server.next(Message.CALL_REQUEST, 2);
         }
     }
 
@@ -77,7 +77,7 @@
             attempt.run();
             try (Peer server = Peer.at(listening)) {
                 other.send(Peer.callRequest(2, 0));
-                server.next(Message.SET_UP, 2);
+                server.next(Message.CALL_REQUEST, 2);
             }
         }
     }
@@ -90,14 +90,14 @@
             Peer leaving = Peer.to(controller.address);
             try (Peer first = Peer.at(listening)) {
                 leaving.send(Peer.callRequest(1, 0));
-                first.next(Message.SET_UP, 1);
+                first.next(Message.CALL_REQUEST, 1);
             }
             controller.awaitCount(Counters.Name.ATTEMPTS_RESET, 1);
             leaving.close();
             controller.awaitCount(Counters.Name.GIVEN_UP_BY_CLIENT, 1);
             other.send(Peer.callRequest(2, 0));
             try (Peer second = Peer.at(listening)) {
-                second.next(Message.SET_UP, 2);
+                second.next(Message.CALL_REQUEST, 2);
             }
         }
     }
--- a/daemon/src/test/java/pathlane/crossings/ClientReconnectTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ClientReconnectTest.java
@@ -16,7 +16,7 @@
             Peer leaving = Peer.to(controller.address);
             other.awaitTestPassed();
             leaving.send(Peer.callRequest(1, 0));
-            server.next(Message.SET_UP, 1);
+            server.next(Message.CALL_REQUEST, 1);
             server.send(Peer.answer(1));
             leaving.next(Message.ANSWER, 1);
             controller.whileBlocked(() -> {
@@ -34,7 +34,7 @@
                 Peer server = Peer.at(listening)) {
             Peer leaving = Peer.to(controller.address);
             leaving.send(Peer.callRequest(1, 0));
-            server.next(Message.SET_UP, 1);
+            server.next(Message.CALL_REQUEST, 1);
             controller.whileBlocked(() -> {
                 server.send(Peer.answer(1));
                 leaving.close();
--- a/daemon/src/test/java/pathlane/crossings/ConnectionCloseTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ConnectionCloseTest.java
@@ -15,7 +15,7 @@
                 Controller controller = new Controller(Controller.config("", ", \"idle-close-ms\": 300", listening));
                 Peer server = Peer.at(listening); Peer client = Peer.to(controller.address)) {
             client.send(Peer.callRequest(1, 0));
-            server.next(Message.SET_UP, 1);
+            server.next(Message.CALL_REQUEST, 1);
             server.send(Peer.answer(1));
             client.next(Message.ANSWER, 1);
             server.awaitEnd();   // closed as idle; the server writes the release before it notices
@@ -40,7 +40,7 @@
             });
             next[0].awaitTestPassed();
             try (Peer server = Peer.at(listening)) {
-                server.next(Message.SET_UP, 1);
+                server.next(Message.CALL_REQUEST, 1);
                 server.send(Peer.answer(1));
             }
             idle.get(0).next(Message.ANSWER, 1);
--- a/daemon/src/test/java/pathlane/crossings/Controller.java
+++ b/daemon/src/test/java/pathlane/crossings/Controller.java
@@ -47,8 +47,8 @@
         });
         await(done);
         front = created[0];
-        address = network.listen(parsed.listen(), front::accept, parsed.callers().connections(),
-                parsed.callers().unwritten());
+        address = network.listen(parsed.listen(), front::accept, parsed.clientLimits().maxConnections(),
+                parsed.clientLimits().maxUnwrittenBytes());
     }
 
     /** Returns a configuration with servers at these ports and further members of {@code limits} and {@code ceilings}. */
--- a/daemon/src/test/java/pathlane/crossings/DescriptorsTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DescriptorsTest.java
@@ -55,7 +55,7 @@
                     program.awaitLine("s-00000009");
                     client.send(Peer.callRequest(1, 9));
                     try (Peer server = Peer.at(added)) {
-                        server.next(Message.SET_UP, 1);
+                        server.next(Message.CALL_REQUEST, 1);
                         server.send(Peer.answer(1));
                         client.next(Message.ANSWER, 1);
                     }
--- a/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DiscoveryTest.java
@@ -42,7 +42,7 @@
     Path folder;
 
     private final EventLoop loop = new EventLoop();
-    private final Source source = onLoop(() -> new Source(1, PublisherTerms.USUAL, new AuthenticatedLink.Context("source",
+    private final Source source = onLoop(() -> new Source(1, PublisherTerms.DEFAULTS, new AuthenticatedLink.Context("source",
             () -> KeyRing.read(KEYS), () -> new byte[16], loop, new RateLimitedLog("source", loop)), loop,
             new SplittableRandom(1)));
 
@@ -124,7 +124,7 @@
     }
 
     private static void establish(Peer client, Peer server, long call) throws Exception {
-        server.next(Message.SET_UP, call);
+        server.next(Message.CALL_REQUEST, call);
         server.send(Peer.answer(call));
         client.next(Message.ANSWER, call);
     }
--- a/daemon/src/test/java/pathlane/crossings/DrainTest.java
+++ b/daemon/src/test/java/pathlane/crossings/DrainTest.java
@@ -24,7 +24,7 @@
                 byte[] event = drainEvent(2, one.getLocalPort());
                 busPeer.sendBytes(event, 0, event.length);
             });
-            running.next(Message.SET_UP, 1);
+            running.next(Message.CALL_REQUEST, 1);
             running.send(Peer.answer(1));
             client.next(Message.ANSWER, 1);
             controller.awaitCount(Counters.Name.ESTABLISHED, 1);
@@ -48,7 +48,7 @@
                 controller.awaitCount(Counters.Name.ATTEMPTS, 1);
                 byte[] event = drainEvent(2, one.getLocalPort());
                 busPeer.sendBytes(event, 0, event.length);
-                running.next(Message.SET_UP, 1);
+                running.next(Message.CALL_REQUEST, 1);
             }
         }
     }
--- a/daemon/src/test/java/pathlane/crossings/Peer.java
+++ b/daemon/src/test/java/pathlane/crossings/Peer.java
@@ -65,7 +65,7 @@
     /** Reads the next message and checks its type and call. */
     Message next(int type, long call) throws IOException {
         Message message = next();
-        assertEquals(type + " of " + Long.toHexString(call), message.type + " of " + Long.toHexString(message.call));
+        assertEquals(type + " of " + Long.toHexString(call), message.type + " of " + Long.toHexString(message.callId));
         return message;
     }
 
@@ -76,8 +76,8 @@
 
     /** Exchanges a connection test: it passes once the connection is open and the program reads it. */
     void awaitTestPassed() throws IOException {
-        send(new Message(Message.TEST, 0xab).withCause(0));
-        next(Message.TEST_RESULT, 0xab);
+        send(new Message(Message.HEALTH_CHECK, 0xab).withCause(0));
+        next(Message.HEALTH_CHECK_RESULT, 0xab);
     }
 
     /** Half-closes the connection: closes the output and keeps reading. */
@@ -91,8 +91,9 @@
     }
 
     static Message callRequest(long call, int cell) {
-        return new Message(Message.SET_UP, call).with(Message.CLASS, "plain").with(Message.PATIENCE, "8000")
-                .with(Message.NUMBER, "n" + call).with(Message.FIGURES, "dest:" + cell + ";width:1;via:-1")
+        return new Message(Message.CALL_REQUEST, call).with(Message.CALL_CLASS, "plain")
+                .with(Message.REMAINING_DEADLINE, "8000")
+                .with(Message.DESTINATION, "n" + call).with(Message.ROUTING_PARAMETERS, "dest:" + cell + ";width:1;via:-1")
                 .with(Message.DESCRIPTION, new byte[] {1, 2});
     }
 
--- a/daemon/src/test/java/pathlane/crossings/ProgramEndTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ProgramEndTest.java
@@ -35,7 +35,7 @@
                 client.send(Peer.callRequest(1, 0));
                 Thread.sleep(PAST_ACCEPT_TIMEOUT_MS);   // the accept timeout passes while the process is stopped
                 program.signal("CONT");
-                server.next(Message.SET_UP, 1);
+                server.next(Message.CALL_REQUEST, 1);
                 Thread.sleep(ANSWER_DELAY_MS);   // a program that exits by elapsed time alone would have exited by now
                 server.send(Peer.answer(1));
                 client.next(Message.ANSWER, 1);
@@ -51,7 +51,7 @@
                 Controller.config("", "", listening)); Peer server = Peer.at(listening);
                 Peer client = Peer.to(program.address()); Peer other = Peer.to(program.address())) {
             client.send(Peer.callRequest(1, 0));
-            server.next(Message.SET_UP, 1);
+            server.next(Message.CALL_REQUEST, 1);
             byte[] late = Peer.callRequest(2, 0).bytes();
             other.sendBytes(late, 0, late.length / 2);
             program.signal("HUP");
@@ -59,7 +59,7 @@
             program.awaitLine("asked to end");
             program.signal("TERM");
             other.sendBytes(late, late.length / 2, late.length);
-            server.next(Message.SET_UP, 2);
+            server.next(Message.CALL_REQUEST, 2);
             server.send(Peer.answer(2), Peer.answer(1));
             client.next(Message.ANSWER, 1);
             other.next(Message.ANSWER, 2);
@@ -75,12 +75,12 @@
                 Controller.config("", "", listening)); Peer client = Peer.to(program.address())) {
             try (Peer first = Peer.at(listening)) {
                 client.send(Peer.callRequest(1, 0));
-                first.next(Message.SET_UP, 1);
+                first.next(Message.CALL_REQUEST, 1);
                 program.signal("TERM");
                 program.awaitLine("asked to end");
             }
             try (Peer second = Peer.at(listening)) {
-                second.next(Message.SET_UP, 1);
+                second.next(Message.CALL_REQUEST, 1);
                 second.send(Peer.answer(1));
                 client.next(Message.ANSWER, 1);
             }
--- a/daemon/src/test/java/pathlane/crossings/ReloadTest.java
+++ b/daemon/src/test/java/pathlane/crossings/ReloadTest.java
@@ -27,7 +27,7 @@
                 program.awaitServes();
                 try (Peer server = Peer.at(listening); Peer client = Peer.to(program.address())) {
                     client.send(Peer.callRequest(1, 0));
-                    server.next(Message.SET_UP, 1);
+                    server.next(Message.CALL_REQUEST, 1);
                     oldPeer.sendBytes(HEARTBEAT, 0, HEARTBEAT.length / 2);   // a partly read frame
                     Files.writeString(folder.resolve("config.json"), "{\"name\": \"n1\"");
                     program.signal("HUP");
@@ -42,7 +42,7 @@
                         server.send(Peer.answer(1));
                         client.next(Message.ANSWER, 1);
                         client.send(Peer.callRequest(2, 0));
-                        server.next(Message.SET_UP, 2);
+                        server.next(Message.CALL_REQUEST, 2);
                         server.send(Peer.answer(2));
                         client.next(Message.ANSWER, 2);
                     }
--- a/daemon/src/test/java/pathlane/crossings/WriteCancellationTest.java
+++ b/daemon/src/test/java/pathlane/crossings/WriteCancellationTest.java
@@ -16,7 +16,7 @@
 import pathlane.net.EventLoop;
 import pathlane.net.Network;
 import pathlane.transport.Connection;
-import pathlane.transport.Connection.Withdrawal;
+import pathlane.transport.Connection.CancelResult;
 import pathlane.transport.Protocol;
 import pathlane.wire.Message;
 
@@ -64,7 +64,7 @@
             try (Peer peer = Peer.at(listening)) {
                 byte[] wanted = Peer.release(3).bytes();
                 int[] sent = new int[1];
-                assertEquals(Withdrawal.WITHDRAWN, onEventLoop(observed, connection -> {
+                assertEquals(CancelResult.CANCELLED, onEventLoop(observed, connection -> {
                     while (!connection.isBlocked()) {
                         sent[0]++;
                         assertTrue(sent[0] < MAX_MESSAGES, "the connection does not block");
@@ -81,7 +81,7 @@
                     peer.next(Message.PROGRESS, 1);
                 }
                 peer.next(Message.RELEASE, 3);
-                assertEquals(Withdrawal.LEFT, onEventLoop(observed, connection -> connection.cancelWrite(wanted)));
+                assertEquals(CancelResult.SENT, onEventLoop(observed, connection -> connection.cancelWrite(wanted)));
             }
         }
     }
--- a/daemon/src/test/java/pathlane/directory/ServicesTest.java
+++ b/daemon/src/test/java/pathlane/directory/ServicesTest.java
@@ -72,7 +72,7 @@
 
         @Override
         public boolean requireService(String service) {
-            return watches.use(service);
+            return watches.recordUse(service);
         }
 
         @Override
@@ -138,7 +138,7 @@
 
     private void call(String id, int pool, Duration timeout) {
         controller.submit(new CallRequest(id, 0, "n" + id, timeout, pool, new byte[0]), client);
-        time.pass(STEP);
+        time.advance(STEP);
     }
 
     private ServiceState state(String service, long... servers) {
@@ -164,7 +164,7 @@
         call("a", 0, TIMEOUT);
         assertEquals(List.of("watch billing"), log);
         listServers("billing", 1);
-        time.pass(STEP);
+        time.advance(STEP);
         call("b", 0, TIMEOUT);
         assertEquals(List.of("watch billing", "a at 1", "a stands", "b at 1", "b stands"), log);
     }
@@ -173,12 +173,12 @@
     void waitIsBoundedByItsOwnLimitAndByTheDeadline() {
         call("short", 0, Duration.ofMillis(300));
         call("long", 0, TIMEOUT);
-        time.pass(Duration.ofMillis(200));
+        time.advance(Duration.ofMillis(200));
         assertEquals(List.of("watch billing", "short refused 1000"), log);
-        time.pass(OnDemandWatches.MOST_WAIT);
+        time.advance(OnDemandWatches.MAX_WAIT);
         assertEquals("long refused 1000", log.get(2));
         listServers("billing", 1);
-        time.pass(STEP);
+        time.advance(STEP);
         assertEquals(3, log.size());
         assertEquals(0, controller.openCalls());
     }
@@ -188,7 +188,7 @@
         call("a", 0, TIMEOUT);
         call("b", 1, TIMEOUT);
         listServers("billing", 1);
-        time.pass(STEP);
+        time.advance(STEP);
         listServers("mail", 2, 1);   // server 1 belongs to billing
         for (int i = 0; i < 20; i++) {
             call("m" + i, 1, TIMEOUT);
@@ -197,7 +197,7 @@
         assertTrue(log.contains("b at 2"));
         assertEquals(21, log.stream().filter(line -> line.endsWith(" at 2")).count());
         feed.absent("mail", new Revision(1, ++revisions));
-        time.pass(STEP);
+        time.advance(STEP);
         assertEquals(21, log.stream().filter(line -> line.endsWith(" over")).count());
         assertEquals(0, count("a over"));
         assertEquals(0, controller.counters().value(Counters.Name.BLOCKED_BY_GUARD));
@@ -232,17 +232,17 @@
     void unusedServiceIsUnwatchedUnlessItHasEstablishedCalls() {
         call("a", 0, TIMEOUT);
         listServers("billing", 1);
-        time.pass(OnDemandWatches.UNUSED_AFTER.plusMinutes(2));
+        time.advance(OnDemandWatches.UNUSED_AFTER.plusMinutes(2));
         assertTrue(count("keep billing") > 0);
         assertEquals(0, count("closed 1"));
         controller.clientReleased("a", new byte[0], client);
-        time.pass(Duration.ofMinutes(2));
+        time.advance(Duration.ofMinutes(2));
         assertEquals(1, count("unwatch billing"));
         assertEquals(1, count("closed 1"));
         call("b", 0, TIMEOUT);
         assertEquals(2, count("watch billing"));
         listServers("billing", 1);
-        time.pass(STEP);
+        time.advance(STEP);
         assertEquals(1, count("b stands"));
     }
 }
--- a/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
+++ b/daemon/src/test/java/pathlane/exchange/ExchangeHarness.java
@@ -108,8 +108,8 @@
         }
 
         @Override
-        public Withdrawal cancelWrite(byte[] bytes) {
-            return blocked && written.removeIf(one -> one == bytes) ? Withdrawal.WITHDRAWN : Withdrawal.LEFT;
+        public CancelResult cancelWrite(byte[] bytes) {
+            return blocked && written.removeIf(one -> one == bytes) ? CancelResult.CANCELLED : CancelResult.SENT;
         }
 
         @Override
@@ -146,7 +146,7 @@
                     new SplittableRandom(7));
             clientAcceptor = front::accept;
             controller = front.controller();
-            connectionLimiter = new ConnectionLimiter(parsed.callers().connections());
+            connectionLimiter = new ConnectionLimiter(parsed.clientLimits().maxConnections());
             busPortChange = port -> fail("the Diameter front has no event bus");
             if (parsed.graphite() != null) {
                 new GraphiteReporter(parsed.graphite(), front.controller().counters(), this, this).start();
@@ -165,7 +165,7 @@
             });
             clientAcceptor = front::accept;
             controller = front.controller();
-            connectionLimiter = new ConnectionLimiter(parsed.callers().connections());
+            connectionLimiter = new ConnectionLimiter(parsed.clientLimits().maxConnections());
             busPortChange = port -> front.reload(NodeConfig.parse(withBusPort(config, port)));
         }
     }
--- a/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
+++ b/daemon/src/test/java/pathlane/exchange/ManyServersTest.java
@@ -96,13 +96,13 @@
         client = front.accept();
         client.opened(new RecordingClient());
         // Each server has a pending release of a call from before the start; the client must receive it within 8 s.
-        time.pass(RELEASE_TIMEOUT);
+        time.advance(RELEASE_TIMEOUT);
         assertEquals(SERVER_COUNT, olderReleases, "releases of older calls that arrived in time");
         // A client releases a call from before the start whose server is unknown: no connection is opened for it.
-        time.pass(Duration.ofSeconds(30));
+        time.advance(Duration.ofSeconds(30));
         int attemptsBefore = servers.connectAttempts();
         client.received(ByteBuffer.wrap(new Message(Message.RELEASE, 0x0b5e1e7eL).withCause(16).bytes()));
-        time.pass(1000);
+        time.advance(1000);
         assertEquals(attemptsBefore, servers.connectAttempts());
         call(3000);
         // All servers drain and as many new ones are added, in one event each.
@@ -114,7 +114,7 @@
         call(4000);
         publish(IntStream.range(0, SERVER_COUNT).toArray(), 2);
         call(3000);
-        time.pass(Duration.ofSeconds(9));
+        time.advance(Duration.ofSeconds(9));
         assertEquals(List.of(), servers.violations());
         assertEquals(List.of(), violations);
         assertEquals(Map.of(), requested, "calls without a final answer");
@@ -141,11 +141,12 @@
         for (int spent = 0; spent < millis; spent += 25) {
             calls++;
             requested.put(calls, time.now());
-            client.received(ByteBuffer.wrap(new Message(Message.SET_UP, calls).with(Message.CLASS, "status-check")
-                    .with(Message.PATIENCE, Long.toString(ANSWER_TIMEOUT.toMillis())).with(Message.NUMBER, "n" + calls)
-                    .with(Message.FIGURES, "dest:" + calls * 37 % SERVER_COUNT + ";width:1;via:-1")
+            client.received(ByteBuffer.wrap(new Message(Message.CALL_REQUEST, calls).with(Message.CALL_CLASS, "status-check")
+                    .with(Message.REMAINING_DEADLINE, Long.toString(ANSWER_TIMEOUT.toMillis()))
+                    .with(Message.DESTINATION, "n" + calls)
+                    .with(Message.ROUTING_PARAMETERS, "dest:" + calls * 37 % SERVER_COUNT + ";width:1;via:-1")
                     .with(Message.DESCRIPTION, new byte[] {1}).bytes()));
-            time.pass(25);
+            time.advance(25);
         }
     }
 
@@ -186,27 +187,27 @@
         }
 
         private void received(Message message) {
-            if (message.call >= FIRST_OLDER_CALL && message.type == Message.RELEASE) {
+            if (message.callId >= FIRST_OLDER_CALL && message.type == Message.RELEASE) {
                 olderReleases++;
                 return;
             }
-            Instant at = requested.remove(message.call);
+            Instant at = requested.remove(message.callId);
             if (at != null) {
                 if (time.now().isAfter(at.plus(ANSWER_TIMEOUT))) {
-                    violations.add("call " + message.call + " was answered late");
+                    violations.add("call " + message.callId + " was answered late");
                 }
                 if (message.type == Message.ANSWER) {
                     establishedCount++;
-                    established.put(message.call, time.now());
+                    established.put(message.callId, time.now());
                 } else {
                     rejected++;
                 }
             } else {
-                Instant since = established.remove(message.call);
+                Instant since = established.remove(message.callId);
                 if (since == null || message.type != Message.RELEASE) {
-                    violations.add("call " + message.call + " was answered again");
+                    violations.add("call " + message.callId + " was answered again");
                 } else if (time.now().isAfter(since.plusMillis(3000 + 8000))) {
-                    violations.add("call " + message.call + " was released late");
+                    violations.add("call " + message.callId + " was released late");
                 } else {
                     released++;
                 }
--- a/daemon/src/test/java/pathlane/exchange/SimulatedServers.java
+++ b/daemon/src/test/java/pathlane/exchange/SimulatedServers.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import pathlane.core.CloseReason;
-import pathlane.standin.RuleBook;
+import pathlane.standin.AttemptRuleChecker;
 import pathlane.standin.VirtualTime;
 import pathlane.transport.Connection;
 import pathlane.transport.Connector;
@@ -55,7 +55,7 @@
         }
 
         private void reportCapacity(ServerConnection connection) {
-            connection.send(new Message(Message.GROUP_STATE, 0).with(Message.STATE, "free:1000;size:1000"));
+            connection.send(new Message(Message.CAPACITY_REPORT, 0).with(Message.CAPACITY, "free:1000;size:1000"));
         }
 
         private void send(ServerConnection preferred, Message message) {
@@ -69,7 +69,7 @@
         }
 
         private void received(ServerConnection connection, Message message) {
-            if (message.type != Message.SET_UP) {
+            if (message.type != Message.CALL_REQUEST) {
                 return;
             }
             Instant now = time.now();
@@ -81,12 +81,12 @@
             callRequests++;
             rules.sent(message.id(), Integer.toString(port), time.nowMs());
             time.after(ANSWER_DELAY, () -> {
-                rules.over(message.id(), false, time.nowMs());
-                send(connection, new Message(Message.ANSWER, message.call)
+                rules.ended(message.id(), false, time.nowMs());
+                send(connection, new Message(Message.ANSWER, message.callId)
                         .with(Message.DESCRIPTION, message.value(Message.DESCRIPTION)));
             });
             time.after(ANSWER_DELAY.plus(CALL_DURATION),
-                    () -> send(connection, new Message(Message.RELEASE, message.call).withCause(NORMAL_CLEARING)));
+                    () -> send(connection, new Message(Message.RELEASE, message.callId).withCause(NORMAL_CLEARING)));
         }
     }
 
@@ -135,7 +135,7 @@
     private final VirtualTime time;
     private final Map<Integer, Server> servers = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
-    private final RuleBook rules = new RuleBook(200);
+    private final AttemptRuleChecker rules = new AttemptRuleChecker(200);
     private int descriptors;
     private int maxDescriptors;
     private int connectAttempts;
@@ -198,7 +198,7 @@
 
     List<String> violations() {
         List<String> all = new ArrayList<>(violations);
-        all.addAll(rules.broken());
+        all.addAll(rules.violations());
         return all;
     }
 }
--- a/daemon/src/test/java/pathlane/exchange/StartTest.java
+++ b/daemon/src/test/java/pathlane/exchange/StartTest.java
@@ -35,20 +35,20 @@
     @BeforeEach
     void follow() {
         feed = new BusFeed(1, (address, timeout, protocol) -> connectAttempts.add(protocol), time, new SplittableRandom(1),
-                event -> event.lines().forEach(server -> received.add(server.status())), () -> {});
+                event -> event.endpoints().forEach(server -> received.add(server.status())), () -> {});
         feed.follow(Addresses.parse("127.0.0.1:9092"));
     }
 
     @Test
     void pendingBusEventsAreReadBeforeTheStartCompletes() {
-        time.pass(1000);
-        assertFalse(feed.current().isDone(), "before the bus is connected");
+        time.advance(1000);
+        assertFalse(feed.initialSync().isDone(), "before the bus is connected");
         connectAttempts.get(0).opened(CONNECTION);
-        time.pass(60);
-        assertFalse(feed.current().isDone(), "before the bus had time to deliver its events");
+        time.advance(60);
+        assertFalse(feed.initialSync().isDone(), "before the bus had time to deliver its events");
         frame("0000002400000000000000020200000001" + "7f000001138901000000000000" + "03e80000000000000000");
-        time.pass(140);
-        assertTrue(feed.current().isDone());
+        time.advance(140);
+        assertTrue(feed.initialSync().isDone());
         assertEquals(List.of(ServerStatus.DRAINING), received);
     }
 
@@ -56,19 +56,19 @@
     void aHeartbeatWithoutNewEventsCompletesTheStart() {
         connectAttempts.get(0).opened(CONNECTION);
         frame("00000009000000000000000100");
-        assertTrue(feed.current().isDone());
+        assertTrue(feed.initialSync().isDone());
     }
 
     @Test
     void aLostBusConnectionDoesNotCompleteTheStart() {
         connectAttempts.get(0).opened(CONNECTION);
-        time.pass(100);
+        time.advance(100);
         connectAttempts.get(0).closed(CloseReason.RESET);
-        time.pass(150);
-        assertFalse(feed.current().isDone());
+        time.advance(150);
+        assertFalse(feed.initialSync().isDone());
         connectAttempts.get(1).opened(CONNECTION);
-        time.pass(200);
-        assertTrue(feed.current().isDone());
+        time.advance(200);
+        assertTrue(feed.initialSync().isDone());
     }
 
     private void frame(String hex) {
--- a/discovery/src/main/java/pathlane/discovery/Catalogue.java
+++ b/discovery/src/main/java/pathlane/discovery/Catalogue.java
@@ -46,7 +46,7 @@
      *
      * @throws IllegalArgumentException if it is not greater than the previous one
      */
-    public void begin(long epoch) {
+    public void beginEpoch(long epoch) {
         if (epoch <= revision.epoch()) {
             throw new IllegalArgumentException("epoch " + epoch + " is not greater than " + revision.epoch());
         }
--- a/discovery/src/main/java/pathlane/discovery/InForceTracker.java
+++ b/discovery/src/main/java/pathlane/discovery/InForceTracker.java
@@ -32,7 +32,7 @@
     private long givenUp;
 
     /** Records the commit of a revision; each must be later than the previous one. */
-    public void note(Revision revision, Instant committed) {
+    public void recordCommit(Revision revision, Instant committed) {
         waiting.add(new Committed(revision, committed));
         if (waiting.size() > MAX_WAITING) {
             waiting.remove();
--- a/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
+++ b/discovery/src/main/java/pathlane/discovery/OnDemandWatches.java
@@ -17,9 +17,9 @@
 public final class OnDemandWatches {
 
     /** The longest time that a call waits for the first state of its service; its own deadline may be earlier. */
-    public static final Duration MOST_WAIT = Duration.ofSeconds(2);
+    public static final Duration MAX_WAIT = Duration.ofSeconds(2);
     /** The retry delay for a call whose wait timed out; by then a rejected or lost watch is usually established again. */
-    public static final Duration COME_BACK_AFTER = Duration.ofSeconds(1);
+    public static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     /** The time without calls after which a service is no longer watched: longer than the pauses of a service in use. */
     public static final Duration UNUSED_AFTER = Duration.ofMinutes(5);
     private static final Duration CHECK_INTERVAL = Duration.ofMinutes(1);
@@ -27,7 +27,7 @@
     /** The operations that this class requests. */
     public interface Actions {
 
-        /** Starts to watch a service; {@link OnDemandWatches#known} must be called when its state is known. */
+        /** Starts to watch a service; {@link OnDemandWatches#stateKnown} must be called when its state is known. */
         void watch(String service);
 
         /**
@@ -60,7 +60,7 @@
      * Records a call for a service, and starts to watch it if necessary. Returns whether the service's state, or its
      * absence, is known.
      */
-    public boolean use(String service) {
+    public boolean recordUse(String service) {
         Watch watch = watches.get(service);
         if (watch == null) {
             watch = new Watch();
@@ -81,21 +81,21 @@
      */
     public void await(String service, Duration maxWait, Runnable known, Consumer<Duration> unknown) {
         Watch watch = watches.get(service);
-        Duration wait = maxWait.compareTo(MOST_WAIT) < 0 ? maxWait : MOST_WAIT;
+        Duration wait = maxWait.compareTo(MAX_WAIT) < 0 ? maxWait : MAX_WAIT;
         if (wait.isNegative() || wait.isZero()) {
-            unknown.accept(COME_BACK_AFTER);
+            unknown.accept(RETRY_AFTER);
             return;
         }
         List<Waiting> waiting = watch.waiting;
         Scheduler.Timer timeout = scheduler.after(wait, () -> {
             waiting.removeIf(one -> one.known == known);
-            unknown.accept(COME_BACK_AFTER);
+            unknown.accept(RETRY_AFTER);
         });
         waiting.add(new Waiting(known, timeout));
     }
 
     /** Notifies that a service's state, or its absence, is known. */
-    public void known(String service) {
+    public void stateKnown(String service) {
         Watch watch = watches.get(service);
         if (watch == null || watch.isKnown) {
             return;
--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -17,7 +17,7 @@
  */
 public final class Publisher {
 
-    /** Ticks per {@link PublisherTerms#bookmarkEvery}; a bookmark may be sent up to one tick early. */
+    /** Ticks per {@link PublisherTerms#bookmarkInterval}; a bookmark may be sent up to one tick early. */
     private static final int TICKS_PER_BOOKMARK = 10;
     /** The retry delay for subscribers beyond the limit; a jitter of up to half of it is added. */
     private static final Duration FULL_RETRY_AFTER = Duration.ofSeconds(10);
@@ -67,7 +67,7 @@
         this.random = random;
         this.encoder = new UpdateEncoder(catalogue, metrics, UpdateEncoder.MAX_CACHED_BYTES);
         this.admission = new WatchAdmission(terms.watchesPerSecond(), terms.watchBurst(), scheduler.now(), random);
-        this.tickInterval = terms.bookmarkEvery().dividedBy(TICKS_PER_BOOKMARK);
+        this.tickInterval = terms.bookmarkInterval().dividedBy(TICKS_PER_BOOKMARK);
         catalogue.addListener(new ChangeDispatcher());
     }
 
@@ -132,7 +132,7 @@
             // the subscribers' silence.
             sessions.forEach(session -> session.excludeStall(late));
         }
-        Duration heartbeatInterval = terms.bookmarkEvery().minus(tickInterval);
+        Duration heartbeatInterval = terms.bookmarkInterval().minus(tickInterval);
         List.copyOf(sessions).forEach(session -> session.tick(now, heartbeatInterval));
         isTicking = !sessions.isEmpty();
         if (isTicking) {
--- a/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
+++ b/discovery/src/main/java/pathlane/discovery/PublisherSelector.java
@@ -164,10 +164,10 @@
      */
     public void failed(String name, Instant now) {
         Candidate candidate = byName.get(name);
-        Duration backoff = terms.backoffFirst().multipliedBy(1L << Math.min(candidate.failures, MAX_DOUBLINGS));
+        Duration backoff = terms.initialBackoff().multipliedBy(1L << Math.min(candidate.failures, MAX_DOUBLINGS));
         candidate.failures++;
         candidate.isRefusing = false;
-        candidate.notBefore = now.plus(withJitter(shorter(backoff, terms.backoffMost())));
+        candidate.notBefore = now.plus(withJitter(shorter(backoff, terms.maxBackoff())));
         delayNextAttempt(now);
     }
 
@@ -185,7 +185,7 @@
      * so that another publisher, if there is one, is tried before the same one.
      */
     private void delayNextAttempt(Instant now) {
-        nextAttemptAt = now.plus(randomUpTo(terms.backoffFirst().dividedBy(2)));
+        nextAttemptAt = now.plus(randomUpTo(terms.initialBackoff().dividedBy(2)));
     }
 
     /** The delay until the next attempt to find a better publisher: random within {@link WatchTerms#returnWithin}. */
--- a/discovery/src/main/java/pathlane/discovery/SendWindow.java
+++ b/discovery/src/main/java/pathlane/discovery/SendWindow.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /** The messages sent to one subscriber and not yet acknowledged: limited in bytes and in time. */
 final class SendWindow {
@@ -65,11 +65,11 @@
      * Handles the acknowledgement of a bookmark, or of an update and all updates before it.
      *
      * @param batch the number of the update, 0 for a bookmark
-     * @throws BadInput if no such update was sent
+     * @throws ProtocolException if no such update was sent
      */
     void acknowledged(long batch, Instant now) {
         if (batch > lastBatch) {
-            throw new BadInput("batch " + batch + " was acknowledged, but " + lastBatch + " was the last one sent");
+            throw new ProtocolException("batch " + batch + " was acknowledged, but " + lastBatch + " was the last one sent");
         }
         progressAt = now;
         if (batch == 0) {
--- a/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/ServiceChangeCodec.java
@@ -13,7 +13,7 @@
 import pathlane.discovery.ServiceChange.Absent;
 import pathlane.discovery.ServiceChange.Delta;
 import pathlane.discovery.ServiceChange.Snapshot;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /** Encodes and decodes a {@link ServiceChange} as MessagePack: its kind, then its fields in the order of its record. */
 final class ServiceChangeCodec {
@@ -51,7 +51,7 @@
             case SNAPSHOT -> new Snapshot(state(unpacker));
             case DELTA -> delta(unpacker);
             case ABSENT -> new Absent(WatchFields.service(unpacker), WatchFields.revision(unpacker));
-            default -> throw new BadInput("unknown kind of change: " + kind);
+            default -> throw new ProtocolException("unknown kind of change: " + kind);
         };
     }
 
@@ -123,7 +123,7 @@
         }
         int length = unpacker.unpackBinaryHeader();
         if (length != IPV4_BYTES && length != IPV6_BYTES) {
-            throw new BadInput("invalid address of " + length + " bytes");
+            throw new ProtocolException("invalid address of " + length + " bytes");
         }
         return new InetSocketAddress(internetAddress(unpacker.readPayload(length)), port(unpacker));
     }
@@ -139,7 +139,7 @@
     private static int port(MessageUnpacker unpacker) throws IOException {
         int port = unpacker.unpackInt();
         if (port < 0 || port > MAX_PORT) {
-            throw new BadInput("invalid port " + port);
+            throw new ProtocolException("invalid port " + port);
         }
         return port;
     }
@@ -156,7 +156,7 @@
         return switch (number) {
             case RUNNING -> ServerStatus.RUNNING;
             case DRAINING -> ServerStatus.DRAINING;
-            default -> throw new BadInput("unknown endpoint state " + number);
+            default -> throw new ProtocolException("unknown endpoint state " + number);
         };
     }
 
@@ -171,7 +171,7 @@
 
     private static double weight(double weight) {
         if (!CatalogueLimits.isValidWeight(weight)) {
-            throw new BadInput("invalid weight " + weight);
+            throw new ProtocolException("invalid weight " + weight);
         }
         return weight;
     }
--- a/discovery/src/main/java/pathlane/discovery/Source.java
+++ b/discovery/src/main/java/pathlane/discovery/Source.java
@@ -31,7 +31,7 @@
         this.common = common;
         this.scheduler = scheduler;
         this.catalogue = new Catalogue(terms.historyChanges());
-        catalogue.begin(epoch);
+        catalogue.beginEpoch(epoch);
         this.publisher = new Publisher(catalogue, terms, scheduler, random);
         catalogue.addListener((service, revision, removesOrDrains) -> track(revision));
     }
@@ -58,7 +58,7 @@
     }
 
     private void track(Revision revision) {
-        inForce.note(revision, scheduler.now());
+        inForce.recordCommit(revision, scheduler.now());
         if (!isTracking) {
             isTracking = true;
             scheduler.after(PROGRESS_POLL_INTERVAL, this::pollProgress);
--- a/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
+++ b/discovery/src/main/java/pathlane/discovery/SubscriberSession.java
@@ -12,7 +12,7 @@
 import pathlane.discovery.WatchMessage.Progress;
 import pathlane.discovery.WatchMessage.Refused;
 import pathlane.discovery.WatchMessage.Subscribe;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * The publisher's side of one connection: the subscriber's watch, the changes sent to it and the revision it has applied.
@@ -57,7 +57,7 @@
         this.terms = terms;
         this.port = port;
         this.openedAt = now;
-        this.window = new SendWindow(terms.unacknowledgedBytes(), terms.deadAfter());
+        this.window = new SendWindow(terms.unacknowledgedBytes(), terms.acknowledgeTimeout());
     }
 
     // ---- messages from the subscriber
@@ -71,14 +71,14 @@
         if (message instanceof Subscribe subscribe) {
             subscribe(subscribe);
         } else if (phase == Phase.OPENED) {
-            throw new BadInput("the first message of a watch must be a subscription");
+            throw new ProtocolException("the first message of a watch must be a subscription");
         } else if (message instanceof Acknowledge acknowledge) {
             acknowledged(acknowledge);
         } else if (message instanceof Progress progress) {
             isRelay = true;
             publisher.recordProgress(this, progress.report());
         } else {
-            throw new BadInput("received a publisher's message from a subscriber");
+            throw new ProtocolException("received a publisher's message from a subscriber");
         }
     }
 
@@ -129,11 +129,11 @@
     private void watch(Interest interest) {
         boolean isAlreadyWatched = queue.isWatched(interest.service());
         if (!isAlreadyWatched && queue.size() >= MAX_SERVICES) {
-            throw new BadInput("a watch of more than " + MAX_SERVICES + " services");
+            throw new ProtocolException("a watch of more than " + MAX_SERVICES + " services");
         }
         String service = publisher.sharedName(interest.service());
-        HeldVersion held = interest.have().equals(Revision.NONE) ? HeldVersion.NOTHING
-                : new HeldVersion(interest.have(), interest.digest());
+        HeldVersion held = interest.heldRevision().equals(Revision.NONE) ? HeldVersion.NOTHING
+                : new HeldVersion(interest.heldRevision(), interest.digest());
         queue.watch(service, held);
         if (!watchesEverything) {
             publisher.addWatch(this, service);
@@ -262,10 +262,10 @@
         window.excludeStall(stall);
     }
 
-    /** Checks timeouts and sends what is due; called several times per {@link PublisherTerms#bookmarkEvery}. */
+    /** Checks timeouts and sends what is due; called several times per {@link PublisherTerms#bookmarkInterval}. */
     void tick(Instant now, Duration heartbeatInterval) {
         if (phase == Phase.OPENED) {
-            if (hasElapsed(openedAt, terms.deadAfter(), now)) {
+            if (hasElapsed(openedAt, terms.acknowledgeTimeout(), now)) {
                 end(CloseReason.UNFINISHED);
             }
             return;
--- a/discovery/src/main/java/pathlane/discovery/WatchClient.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchClient.java
@@ -12,7 +12,7 @@
 import pathlane.discovery.WatchTerms.PublisherAddress;
 import pathlane.group.AuthenticatedLink;
 import pathlane.transport.Connector;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * A watch client: synchronizes the services that its user watches with the source's catalogue, using one of several
@@ -178,7 +178,7 @@
     }
 
     private WatchSession open(PublisherAddress publisher) {
-        WatchSession session = new WatchSession(publisher, common, scheduler, terms.silentAfter(), tally, connections);
+        WatchSession session = new WatchSession(publisher, common, scheduler, terms.silenceTimeout(), tally, connections);
         connector.connect(publisher.address(), CONNECT_TIMEOUT, session.link());
         return session;
     }
@@ -206,7 +206,7 @@
 
     private void accepted(WatchSession session, PublisherStatus fresh) {
         if (session.isAccepted()) {
-            throw new BadInput("the publisher accepted the watch twice");
+            throw new ProtocolException("the publisher accepted the watch twice");
         }
         if (services.isOutdated(fresh.revision())) {
             session.end(CloseReason.OVERTAKEN);   // the publisher has not received the source's new epoch
@@ -327,7 +327,7 @@
         boolean isComplete = status.filter(PublisherStatus::complete).isPresent();
         switch (services.apply(change, isComplete)) {
             case REQUEST_SNAPSHOT -> requestSnapshots(List.of(change.service()));
-            case UNUSABLE_PUBLISHER -> throw new BadInput("the snapshot of '" + change.service()
+            case UNUSABLE_PUBLISHER -> throw new ProtocolException("the snapshot of '" + change.service()
                     + "' does not match its digest");
             case DONE -> {}
         }
@@ -353,9 +353,9 @@
             if (response instanceof WatchMessage.Accepted one) {
                 accepted(session, one.status());
             } else if (response instanceof WatchMessage.Refused one) {
-                refused(session, one.comeBackAfter());
+                refused(session, one.retryAfter());
             } else if (!session.isAccepted()) {
-                throw new BadInput("the publisher sent content before it accepted the watch");
+                throw new ProtocolException("the publisher sent content before it accepted the watch");
             } else {
                 process(session, response);
             }
--- a/discovery/src/main/java/pathlane/discovery/WatchCodec.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchCodec.java
@@ -19,7 +19,7 @@
 import pathlane.discovery.WatchMessage.Status;
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.discovery.WatchMessage.Update;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * Encodes and decodes the watch's messages as MessagePack: a message's kind, then its fields in the order of its record;
@@ -65,17 +65,17 @@
     /**
      * Decodes a message.
      *
-     * @throws BadInput if it is malformed or followed by more bytes
+     * @throws ProtocolException if it is malformed or followed by more bytes
      */
     public static WatchMessage message(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             WatchMessage message = read(unpacker);
             if (unpacker.hasNext()) {
-                throw new BadInput("trailing bytes after a watch message");
+                throw new ProtocolException("trailing bytes after a watch message");
             }
             return message;
         } catch (IOException | MessagePackException | DateTimeException | ArithmeticException e) {
-            throw new BadInput("malformed watch message: " + e.getMessage());
+            throw new ProtocolException("malformed watch message: " + e.getMessage());
         }
     }
 
@@ -106,7 +106,7 @@
             packer.packInt(ACCEPTED);
             write(packer, accepted.status());
         } else if (message instanceof Refused refused) {
-            packer.packInt(REFUSED).packLong(refused.comeBackAfter().toMillis());
+            packer.packInt(REFUSED).packLong(refused.retryAfter().toMillis());
         } else if (message instanceof Update update) {
             packer.packInt(UPDATE).packLong(update.batch());
             WatchFields.writeList(packer, update.changes(), ServiceChangeCodec::write);
@@ -131,7 +131,7 @@
                     WatchFields.list(unpacker, ServiceChangeCodec::read));
             case BOOKMARK -> new Bookmark(WatchFields.revision(unpacker));
             case STATUS -> new Status(status(unpacker));
-            default -> throw new BadInput("unknown kind of message: " + kind);
+            default -> throw new ProtocolException("unknown kind of message: " + kind);
         };
     }
 
@@ -148,7 +148,7 @@
 
     private static void writeInterest(MessagePacker packer, Interest interest) throws IOException {
         packer.packString(interest.service());
-        WatchFields.write(packer, interest.have());
+        WatchFields.write(packer, interest.heldRevision());
         packer.packLong(interest.digest());
     }
 
--- a/discovery/src/main/java/pathlane/discovery/WatchFields.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchFields.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /** Encodes and decodes the fields shared by several watch messages, and checks their limits. */
 final class WatchFields {
@@ -47,7 +47,7 @@
     static <T> List<T> list(MessageUnpacker unpacker, int maxItems, ItemReader<T> reader) throws IOException {
         int size = unpacker.unpackArrayHeader();
         if (size > maxItems) {
-            throw new BadInput(size + " items");
+            throw new ProtocolException(size + " items");
         }
         List<T> items = new ArrayList<>();
         for (int i = 0; i < size; i++) {
@@ -73,13 +73,13 @@
     static long count(MessageUnpacker unpacker, long max) throws IOException {
         long count = unpacker.unpackLong();
         if (count < 0 || count > max) {
-            throw new BadInput("number out of range: " + count);
+            throw new ProtocolException("number out of range: " + count);
         }
         return count;
     }
 
     static String service(MessageUnpacker unpacker) throws IOException {
-        return text(unpacker, CatalogueLimits.LONGEST_NAME);
+        return text(unpacker, CatalogueLimits.MAX_NAME_BYTES);
     }
 
     /** Reads a subscriber's name. */
@@ -91,7 +91,7 @@
         String text = unpacker.unpackString();
         int length = text.getBytes(StandardCharsets.UTF_8).length;
         if (length == 0 || length > maxBytes) {
-            throw new BadInput("invalid name of " + length + " bytes");
+            throw new ProtocolException("invalid name of " + length + " bytes");
         }
         return text;
     }
--- a/discovery/src/main/java/pathlane/discovery/WatchMessage.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchMessage.java
@@ -15,10 +15,10 @@
     /**
      * One service of a watch, and the version of it that the subscriber holds.
      *
-     * @param have the revision applied, {@link Revision#NONE} to request a snapshot
+     * @param heldRevision the revision applied, {@link Revision#NONE} to request a snapshot
      * @param digest the digest of the content applied; ignored without a revision
      */
-    record Interest(String service, Revision have, long digest) {}
+    record Interest(String service, Revision heldRevision, long digest) {}
 
     /**
      * Adds services to a watch and removes others. Sent first on a connection, and again whenever the watch changes or a
@@ -50,7 +50,7 @@
      * The publisher accepts no more watches at present; the subscriber may retry after this delay, or use another
      * publisher.
      */
-    record Refused(Duration comeBackAfter) implements Response {}
+    record Refused(Duration retryAfter) implements Response {}
 
     /**
      * Changes of watched services. The order among services is unspecified, except that changes that remove or drain
--- a/discovery/src/main/java/pathlane/discovery/WatchSession.java
+++ b/discovery/src/main/java/pathlane/discovery/WatchSession.java
@@ -8,7 +8,7 @@
 import pathlane.discovery.WatchMessage.Response;
 import pathlane.discovery.WatchTerms.PublisherAddress;
 import pathlane.group.AuthenticatedLink;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /** One connection of a watch client to a publisher, from the connection attempt to its end. */
 final class WatchSession implements AuthenticatedLink.Listener {
@@ -21,7 +21,7 @@
         /**
          * Handles a message of the publisher.
          *
-         * @throws BadInput if the message is invalid; the connection is then closed
+         * @throws ProtocolException if the message is invalid; the connection is then closed
          */
         void received(WatchSession session, Response response);
 
@@ -116,7 +116,7 @@
         tally.messagesReceived++;
         tally.bytesReceived += payload.length;
         if (!(WatchCodec.message(payload) instanceof Response response)) {
-            throw new BadInput("received a subscriber's message from a publisher");
+            throw new ProtocolException("received a subscriber's message from a publisher");
         }
         owner.received(this, response);
     }
--- a/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
+++ b/discovery/src/test/java/pathlane/discovery/CatalogueTest.java
@@ -27,7 +27,7 @@
 
     private static Catalogue startedCatalogue(int historyChanges) {
         Catalogue catalogue = new Catalogue(historyChanges);
-        catalogue.begin(1);
+        catalogue.beginEpoch(1);
         return catalogue;
     }
 
@@ -39,8 +39,8 @@
         assertEquals(new Revision(1, 2), catalogue.update("a", List.of(), List.of(2L), Optional.empty()));
         assertEquals(new Revision(1, 3), catalogue.remove("a"));
         assertEquals(new Revision(1, 3), catalogue.remove("a"));
-        assertThrows(IllegalArgumentException.class, () -> catalogue.begin(1));
-        catalogue.begin(2);
+        assertThrows(IllegalArgumentException.class, () -> catalogue.beginEpoch(1));
+        catalogue.beginEpoch(2);
         assertEquals(new Revision(2, 1), catalogue.replace("a", List.of(), ""));
         assertEquals(List.of("a"), catalogue.services());
     }
--- a/discovery/src/test/java/pathlane/discovery/ProgressTest.java
+++ b/discovery/src/test/java/pathlane/discovery/ProgressTest.java
@@ -51,8 +51,8 @@
     @Test
     void aRevisionIsInForceEverywhereWhenTheSlowestControllerHasAppliedIt() {
         InForceTracker tracker = new InForceTracker();
-        tracker.note(revision(1), START);
-        tracker.note(revision(2), START.plusMillis(100));
+        tracker.recordCommit(revision(1), START);
+        tracker.recordCommit(revision(2), START.plusMillis(100));
         assertEquals(List.of(), tracker.progress(report(0, 2), START.plusMillis(200)));
         assertEquals(List.of(new InForce(revision(1), Duration.ofMillis(300))),
                 tracker.progress(report(1, 2), START.plusMillis(300)));
@@ -67,7 +67,7 @@
     void theTrackerIsBoundedAndMeasuresNothingWithoutControllers() {
         InForceTracker tracker = new InForceTracker();
         for (int i = 0; i < 20_000; i++) {
-            tracker.note(revision(i), START);
+            tracker.recordCommit(revision(i), START);
         }
         assertEquals(16_384, tracker.waiting());
         assertEquals(20_000 - 16_384, tracker.givenUp());
@@ -89,12 +89,12 @@
         }
         Revision revision = source.catalogue().replace("a", Samples.endpoints(1, 1), "");
         byte[] acknowledge = WatchCodec.bytes(new Acknowledge(1, revision));
-        harness.time.pass(Duration.ofMillis(10));
+        harness.time.advance(Duration.ofMillis(10));
         sessions[0].received(acknowledge);
-        harness.time.pass(Duration.ofMillis(440));
+        harness.time.advance(Duration.ofMillis(440));
         assertTrue(source.inForce().isWaiting());
         sessions[1].received(acknowledge);
-        harness.time.pass(Duration.ofMillis(100));
+        harness.time.advance(Duration.ofMillis(100));
         assertEquals(Optional.of(Duration.ofMillis(500)), source.inForce().percentile(100));
     }
 }
--- a/discovery/src/test/java/pathlane/discovery/PublisherAdmissionTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherAdmissionTest.java
@@ -21,11 +21,11 @@
         }
         Subscriber fourth = harness.subscriber("c4").watch("a");
         Subscriber fifth = harness.subscriber("c5").watch("a");
-        Duration first = fourth.all(Refused.class).get(0).comeBackAfter();
-        Duration second = fifth.all(Refused.class).get(0).comeBackAfter();
+        Duration first = fourth.all(Refused.class).get(0).retryAfter();
+        Duration second = fifth.all(Refused.class).get(0).retryAfter();
         assertTrue(first.toMillis() >= 100 && second.toMillis() >= 200 && second.toMillis() <= 250, first + " " + second);
         assertEquals(CloseReason.LIMIT_REACHED, fourth.closeReason);
-        harness.time.pass(first);
+        harness.time.advance(first);
         assertEquals(1, harness.subscriber("c4").watch("a").all(Accepted.class).size());
         assertEquals(2, harness.publisher.counters().refused());
     }
@@ -36,9 +36,9 @@
         for (int i = 0; i < 3; i++) {
             harness.subscriber("c" + i).watch("a").acknowledging();
         }
-        harness.time.pass(Duration.ofSeconds(3));
+        harness.time.advance(Duration.ofSeconds(3));
         Subscriber fourth = harness.subscriber("c3").watch("a");
-        assertTrue(fourth.all(Refused.class).get(0).comeBackAfter().toSeconds() >= 10);
+        assertTrue(fourth.all(Refused.class).get(0).retryAfter().toSeconds() >= 10);
         assertEquals(3, harness.publisher.counters().subscribers());
     }
 
@@ -48,16 +48,16 @@
         Subscriber silent = harness.subscriber("c1").watch("a");
         Subscriber alive = harness.subscriber("c2").watch("a").acknowledging();
         Subscriber withoutSubscription = harness.subscriber("c3");
-        harness.time.pass(Duration.ofMillis(4_900));
+        harness.time.advance(Duration.ofMillis(4_900));
         assertNull(silent.closeReason);
-        harness.time.pass(Duration.ofMillis(300));
+        harness.time.advance(Duration.ofMillis(300));
         assertEquals(CloseReason.SILENT, silent.closeReason);
         assertEquals(CloseReason.UNFINISHED, withoutSubscription.closeReason);
         assertNull(alive.closeReason);
         assertEquals(1, harness.publisher.counters().unresponsive());
         alive.disconnect();
-        harness.time.pass(Duration.ofSeconds(1));
-        assertEquals(0, harness.time.pending(), "no timer without a session");
+        harness.time.advance(Duration.ofSeconds(1));
+        assertEquals(0, harness.time.scheduledTasks(), "no timer without a session");
     }
 
     @Test
@@ -65,13 +65,13 @@
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c1").watch("a");
         Subscriber withoutSubscription = harness.subscriber("c2");
-        harness.time.pass(Duration.ofSeconds(1));
+        harness.time.advance(Duration.ofSeconds(1));
         harness.stall(Duration.ofSeconds(20));
-        harness.time.pass(Duration.ofMillis(50));
+        harness.time.advance(Duration.ofMillis(50));
         assertNull(subscriber.closeReason, "acknowledgements that arrived during the stall are read only now");
         assertNull(withoutSubscription.closeReason);
         subscriber.acknowledging();
-        harness.time.pass(Duration.ofSeconds(4));
+        harness.time.advance(Duration.ofSeconds(4));
         assertNull(subscriber.closeReason);
         assertEquals(CloseReason.UNFINISHED, withoutSubscription.closeReason);
     }
--- a/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherHarness.java
@@ -26,7 +26,7 @@
     /** Stalls the publisher's process for this time; timers due meanwhile run afterwards. */
     void stall(Duration span) {
         stalledUntil = time.now().plus(span);
-        time.pass(span);
+        time.advance(span);
     }
 
     /** The publisher's scheduler, which delays timers during a stall. */
@@ -56,7 +56,7 @@
     /** A publisher with a complete catalogue of these services, with three endpoints each. */
     static PublisherHarness complete(String... services) {
         PublisherHarness harness = new PublisherHarness();
-        harness.catalogue.begin(1);
+        harness.catalogue.beginEpoch(1);
         for (String service : services) {
             harness.catalogue.replace(service, Samples.endpoints(1, 3), "");
         }
@@ -70,7 +70,7 @@
 
     /** Runs the tasks scheduled for the end of this event loop turn. */
     void endTurn() {
-        time.pass(Duration.ZERO);
+        time.advance(Duration.ZERO);
     }
 
     Interest held(String service) {
--- a/discovery/src/test/java/pathlane/discovery/PublisherTest.java
+++ b/discovery/src/test/java/pathlane/discovery/PublisherTest.java
@@ -26,7 +26,7 @@
 import pathlane.discovery.WatchMessage.Status;
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.discovery.WatchMessage.Update;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 class PublisherTest {
 
@@ -36,7 +36,7 @@
     void aWatchReceivesAcceptanceThenContentThenABookmark() {
         PublisherHarness harness = PublisherHarness.complete("a", "b");
         Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
-        harness.time.pass(Duration.ofMillis(200));
+        harness.time.advance(Duration.ofMillis(200));
         assertInstanceOf(Accepted.class, subscriber.messages.get(0));
         assertEquals(List.of(new Snapshot(harness.catalogue.state("a").orElseThrow())), subscriber.changes());
         assertEquals(List.of(new Bookmark(harness.catalogue.revision())), subscriber.all(Bookmark.class));
@@ -78,10 +78,10 @@
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber one = harness.subscriber("c1").watch("a").acknowledging();
         Subscriber other = harness.subscriber("c2").watch("a").acknowledging();
-        harness.time.pass(Duration.ofMillis(200));
+        harness.time.advance(Duration.ofMillis(200));
         one.clear();
         other.clear();
-        harness.time.pass(Duration.ofSeconds(10));
+        harness.time.advance(Duration.ofSeconds(10));
         assertEquals(one.messages, one.all(Bookmark.class));
         assertTrue(one.bytes.size() >= 10 && one.bytes.size() <= 11, one.bytes.size() + " bookmarks in 10 s");
         assertSame(one.bytes.get(0), other.bytes.get(0));
@@ -127,10 +127,10 @@
         }
         assertEquals(sent, slow.changes().size());
         assertEquals(49, harness.publisher.counters().coalesced());
-        harness.time.pass(Duration.ofMillis(1_500));
+        harness.time.advance(Duration.ofMillis(1_500));
         assertEquals(List.of(), slow.all(Bookmark.class), "some changes have not been sent yet");
         slow.acknowledging();
-        harness.time.pass(Duration.ofMillis(500));
+        harness.time.advance(Duration.ofMillis(500));
         assertEquals(11, slow.changes().size());
         assertEquals(List.of(new Bookmark(harness.catalogue.revision())), slow.all(Bookmark.class));
         assertTrue(slow.all(Update.class).stream().allMatch(update -> WatchCodec.bytes(update).length < 1_600));
@@ -153,14 +153,14 @@
         subscriber.clear();
         subscriber.isBlocked = true;
         harness.catalogue.update("a", List.of(endpoint(4)), List.of(), Optional.empty());
-        harness.time.pass(Duration.ofSeconds(2));
+        harness.time.advance(Duration.ofSeconds(2));
         assertEquals(List.of(), subscriber.messages);
         subscriber.isBlocked = false;
-        harness.time.pass(Duration.ofMillis(200));
+        harness.time.advance(Duration.ofMillis(200));
         assertEquals(1, subscriber.changes().size());
         subscriber.isBlocked = true;
         subscriber.clear();
-        harness.time.pass(Duration.ofSeconds(2));
+        harness.time.advance(Duration.ofSeconds(2));
         assertEquals(List.of(), subscriber.messages, "no bookmarks either");
     }
 
@@ -169,12 +169,12 @@
         PublisherHarness former = PublisherHarness.complete("a");
         Interest held = former.held("a");
         PublisherHarness harness = new PublisherHarness();
-        harness.catalogue.begin(2);
+        harness.catalogue.beginEpoch(2);
         harness.catalogue.replace("z", endpoints(1, 1), "");
         harness.catalogue.replace("a", endpoints(1, 3), "");
         harness.catalogue.complete();
         Subscriber resumed = harness.subscriber("c").subscribe(false, held);
-        assertEquals(List.of(new Delta("a", held.have(), new Revision(2, 2), held.digest(), List.of(), List.of(),
+        assertEquals(List.of(new Delta("a", held.heldRevision(), new Revision(2, 2), held.digest(), List.of(), List.of(),
                 Optional.empty())), resumed.changes());
         Subscriber same = harness.subscriber("d").subscribe(false, harness.held("a"));
         assertEquals(List.of(), same.changes());
@@ -184,7 +184,8 @@
     void aDifferentDigestAtTheSameRevisionIsRepairedByASnapshot() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Interest held = harness.held("a");
-        Subscriber subscriber = harness.subscriber("c").subscribe(false, new Interest("a", held.have(), held.digest() + 1));
+        Subscriber subscriber =
+                harness.subscriber("c").subscribe(false, new Interest("a", held.heldRevision(), held.digest() + 1));
         assertInstanceOf(Snapshot.class, subscriber.changes().get(0));
     }
 
@@ -194,11 +195,11 @@
         Interest ahead = new Interest("a", new Revision(1, 9), 5);
         Interest aheadOfNothing = new Interest("b", new Revision(1, 9), 5);
         Subscriber subscriber = harness.subscriber("c").subscribe(false, ahead, aheadOfNothing).acknowledging();
-        harness.time.pass(Duration.ofSeconds(2));
+        harness.time.advance(Duration.ofSeconds(2));
         assertEquals(List.of(), subscriber.changes());
         assertEquals(List.of(), subscriber.all(Bookmark.class), "a bookmark would imply that service b does not exist");
         harness.catalogue.advance(new Revision(1, 10));
-        harness.time.pass(Duration.ofSeconds(1));
+        harness.time.advance(Duration.ofSeconds(1));
         assertEquals(List.of(new Absent("b", new Revision(1, 10))), subscriber.changes());
         assertEquals(new Bookmark(new Revision(1, 10)), subscriber.all(Bookmark.class).get(0));
     }
@@ -206,12 +207,12 @@
     @Test
     void anIncompletePublisherReportsNoServiceAsAbsent() {
         PublisherHarness harness = new PublisherHarness();
-        harness.catalogue.begin(1);
+        harness.catalogue.beginEpoch(1);
         Subscriber subscriber = harness.subscriber("c").watch("a", "b").acknowledging();
         Subscriber relay = harness.subscriber("r").subscribe(true, new Interest("b", new Revision(1, 0), 1)).acknowledging();
         harness.catalogue.replace("a", endpoints(1, 3), "");
         Subscriber served = harness.subscriber("c2").watch("a").acknowledging();
-        harness.time.pass(Duration.ofMillis(2_050));
+        harness.time.advance(Duration.ofMillis(2_050));
         assertEquals(1, served.changes().size());
         assertEquals(List.of(), served.all(Bookmark.class));
         assertEquals(1, subscriber.changes().size());
@@ -242,7 +243,7 @@
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c").watch("a").acknowledging();
         harness.publisher.setStaleSince(Optional.of(harness.time.now()));
-        harness.time.pass(Duration.ofSeconds(3));
+        harness.time.advance(Duration.ofSeconds(3));
         List<Status> statuses = subscriber.all(Status.class);
         assertTrue(statuses.size() >= 3, statuses.toString());
         assertTrue(statuses.get(statuses.size() - 1).status().staleFor().toMillis() >= 2_000, statuses.toString());
@@ -307,10 +308,10 @@
     void protocolViolationsAreBadInput() {
         PublisherHarness harness = PublisherHarness.complete("a");
         Subscriber subscriber = harness.subscriber("c");
-        assertThrows(BadInput.class, () -> subscriber.sendToPublisher(new Acknowledge(0, Revision.NONE)));
+        assertThrows(ProtocolException.class, () -> subscriber.sendToPublisher(new Acknowledge(0, Revision.NONE)));
         subscriber.watch("a");
-        assertThrows(BadInput.class, () -> subscriber.sendToPublisher(new Acknowledge(2, Revision.NONE)));
-        assertThrows(BadInput.class, () -> subscriber.sendToPublisher(new Bookmark(Revision.NONE)));
+        assertThrows(ProtocolException.class, () -> subscriber.sendToPublisher(new Acknowledge(2, Revision.NONE)));
+        assertThrows(ProtocolException.class, () -> subscriber.sendToPublisher(new Bookmark(Revision.NONE)));
     }
 
     @Test
--- a/discovery/src/test/java/pathlane/discovery/RelayTest.java
+++ b/discovery/src/test/java/pathlane/discovery/RelayTest.java
@@ -53,13 +53,13 @@
     }
 
     private Source source(long epoch) {
-        Source started = new Source(epoch, PublisherTerms.USUAL, network.common("source"), network.time, random.split());
+        Source started = new Source(epoch, PublisherTerms.DEFAULTS, network.common("source"), network.time, random.split());
         network.listen(SOURCE, started::accept);
         return started;
     }
 
     private Relay relay(String name, InetSocketAddress publisher) {
-        return new Relay(terms(name, publisher), PublisherTerms.USUAL, network.common(name), network, network.time,
+        return new Relay(terms(name, publisher), PublisherTerms.DEFAULTS, network.common(name), network, network.time,
                 random.split());
     }
 
--- a/discovery/src/test/java/pathlane/discovery/UpdateEncoderTest.java
+++ b/discovery/src/test/java/pathlane/discovery/UpdateEncoderTest.java
@@ -13,7 +13,7 @@
         Catalogue catalogue = new Catalogue(10);
         PublisherMetrics metrics = new PublisherMetrics();
         UpdateEncoder encoder = new UpdateEncoder(catalogue, metrics, 3_500);
-        catalogue.begin(1);
+        catalogue.beginEpoch(1);
         for (int i = 0; i < 10; i++) {
             catalogue.replace("s" + i, List.of(), "x".repeat(1_000));
             encoder.change("s" + i, HeldVersion.NOTHING);
--- a/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
+++ b/discovery/src/test/java/pathlane/discovery/VirtualNetwork.java
@@ -42,7 +42,7 @@
     }
 
     void pass(Duration span) {
-        time.pass(span);
+        time.advance(span);
     }
 
     @Override
--- a/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
+++ b/discovery/src/test/java/pathlane/discovery/WatchCodecTest.java
@@ -29,7 +29,7 @@
 import pathlane.discovery.WatchMessage.Status;
 import pathlane.discovery.WatchMessage.Subscribe;
 import pathlane.discovery.WatchMessage.Update;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 class WatchCodecTest {
 
@@ -75,9 +75,9 @@
             byte[] bytes = WatchCodec.bytes(message);
             for (int length = 0; length < bytes.length; length++) {
                 byte[] truncated = Arrays.copyOf(bytes, length);
-                assertThrows(BadInput.class, () -> WatchCodec.message(truncated));
+                assertThrows(ProtocolException.class, () -> WatchCodec.message(truncated));
             }
-            assertThrows(BadInput.class, () -> WatchCodec.message(Arrays.copyOf(bytes, bytes.length + 1)));
+            assertThrows(ProtocolException.class, () -> WatchCodec.message(Arrays.copyOf(bytes, bytes.length + 1)));
             for (int i = 0; i < 2_000; i++) {
                 byte[] changed = bytes.clone();
                 changed[random.nextInt(bytes.length)] = (byte) random.nextInt();
@@ -89,7 +89,7 @@
     private static void decode(byte[] bytes) {
         try {
             WatchCodec.message(bytes);
-        } catch (BadInput e) {
+        } catch (ProtocolException e) {
             // expected; any other exception fails the test
         }
     }
@@ -110,7 +110,7 @@
 
     private static void assertBadInput(WatchMessage message) {
         byte[] bytes = WatchCodec.bytes(message);
-        assertThrows(BadInput.class, () -> WatchCodec.message(bytes));
+        assertThrows(ProtocolException.class, () -> WatchCodec.message(bytes));
     }
 
     @Test
--- a/example/grpc/src/main/java/example/SigningExample.java
+++ b/example/grpc/src/main/java/example/SigningExample.java
@@ -21,7 +21,7 @@
 import pathlane.grpc.CallMark;
 import pathlane.grpc.Pathlane;
 import pathlane.grpc.PathlaneOptions;
-import pathlane.standin.GrpcFront;
+import pathlane.standin.GrpcSessionServer;
 import pathlane.standin.Processor;
 
 /** An example application that makes check and signing calls through the plug-in, to a stand-in server in its process. */
@@ -47,14 +47,15 @@
         for (int i = 0; i < 3; i++) {
             try {
                 long startNanos = System.nanoTime();
-                ClientCalls.blockingUnaryCall(channel, GrpcFront.CHECK, CallOptions.DEFAULT, document);
+                ClientCalls.blockingUnaryCall(channel, GrpcSessionServer.CHECK, CallOptions.DEFAULT, document);
                 System.out.println("checked in " + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
             } catch (StatusRuntimeException e) {
                 // A rejection is an expected answer: its trailers say when to retry.
-                System.out.println(e.getStatus() + ", retry after " + e.getTrailers().get(GrpcFront.PUSHBACK) + " ms");
+                System.out
+                        .println(e.getStatus() + ", retry after " + e.getTrailers().get(GrpcSessionServer.PUSHBACK) + " ms");
             }
         }
-        Iterator<byte[]> session = ClientCalls.blockingServerStreamingCall(channel, GrpcFront.SIGN,
+        Iterator<byte[]> session = ClientCalls.blockingServerStreamingCall(channel, GrpcSessionServer.SIGN,
                 CallOptions.DEFAULT.withDeadlineAfter(5, TimeUnit.SECONDS), document);
         session.next();
         System.out.println("signing session established");
@@ -64,7 +65,7 @@
         CallMark mark = CallMark.create();
         for (int attempt = 1; attempt <= 3; attempt++) {
             try {
-                ClientCalls.blockingUnaryCall(channel, GrpcFront.CHECK, CallOptions.DEFAULT
+                ClientCalls.blockingUnaryCall(channel, GrpcSessionServer.CHECK, CallOptions.DEFAULT
                         .withOption(PathlaneOptions.MARK, mark).withDeadlineAfter(2, TimeUnit.SECONDS), document);
                 System.out.println("checked with a mark");
                 break;
@@ -100,6 +101,7 @@
         Rules rules = new Rules(0.28, Duration.ofSeconds(13), 3, Duration.ofMillis(1500), Duration.ofMillis(200));
         Processor processor = new Processor(Processor.Model.of(30, rules), time);
         return NettyServerBuilder.forAddress(new InetSocketAddress("127.0.0.1", 0)).addService(
-                new GrpcFront("example", processor, time, executor, Duration.ofSeconds(1), null).service()).build().start();
+                new GrpcSessionServer("example", processor, time, executor, Duration.ofSeconds(1), null).service()).build()
+                .start();
     }
 }
--- a/files/src/main/java/pathlane/files/TomlFile.java
+++ b/files/src/main/java/pathlane/files/TomlFile.java
@@ -53,7 +53,7 @@
     }
 
     /** Resolves a path given in this file, relative to the directory of this file. */
-    public Path beside(String name) {
+    public Path resolveSibling(String name) {
         return file.toAbsolutePath().resolveSibling(name);
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** Rejects any key that is not known: a misspelt key would otherwise be ignored silently. */
-    public void onlyKeys(Set<String> known) {
+    public void requireKnownKeys(Set<String> known) {
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
                 throw error(key, "'" + prefix + key + "' is no key here; there are "
@@ -121,7 +121,7 @@
     }
 
     /** Returns an integer within bounds, or the default if the key is absent. */
-    public long whole(String key, long defaultValue, long min, long max) {
+    public long integer(String key, long defaultValue, long min, long max) {
         Object value = table.get(List.of(key));
         if (value == null) {
             return defaultValue;
@@ -146,11 +146,11 @@
 
     /** Returns a duration in milliseconds within bounds, or the default if the key is absent. */
     public Duration millis(String key, Duration defaultValue, Duration min, Duration max) {
-        return Duration.ofMillis(whole(key, defaultValue.toMillis(), min.toMillis(), max.toMillis()));
+        return Duration.ofMillis(integer(key, defaultValue.toMillis(), min.toMillis(), max.toMillis()));
     }
 
     /** Returns a required list of integers within bounds. */
-    public List<Long> wholes(String key, long min, long max) {
+    public List<Long> integers(String key, long min, long max) {
         Object value = required(key);
         if (!(value instanceof TomlArray array) || !array.toList().stream()
                 .allMatch(element -> element instanceof Long number && number >= min && number <= max)) {
--- a/files/src/main/java/pathlane/files/WatchTables.java
+++ b/files/src/main/java/pathlane/files/WatchTables.java
@@ -58,7 +58,7 @@
         for (String service : table.keys()) {
             checkedName(table, service, service);
             Set<Integer> cells = new HashSet<>();
-            for (long cell : table.wholes(service, 0, MAX_CELL)) {
+            for (long cell : table.integers(service, 0, MAX_CELL)) {
                 String owner = owners.putIfAbsent((int) cell, service);
                 if (owner != null && !owner.equals(service)) {
                     throw table.error(service, "cell " + cell + " is in '" + owner + "' and in '" + service
@@ -74,7 +74,7 @@
     /** Reads the publishers that may be watched, and the watch settings. */
     public static WatchTerms watchTerms(TomlFile toml, String name) {
         TomlFile watch = toml.table("watch");
-        watch.onlyKeys(Set.of("backoff-first-ms", "backoff-most-ms", "silent-after-ms", "return-within-ms"));
+        watch.requireKnownKeys(Set.of("backoff-first-ms", "backoff-most-ms", "silent-after-ms", "return-within-ms"));
         List<PublisherAddress> publishers = toml.tables("publishers").stream().map(WatchTables::publisher).toList();
         if (publishers.isEmpty()) {
             throw toml.error("publishers", "no publisher is there; expected a table [[publishers]] with 'name' "
@@ -90,13 +90,13 @@
                         initialBackoff,
                         MAX_DURATION),
                 watch.millis("silent-after-ms", DEFAULT_SILENCE_TIMEOUT,
-                        PublisherTerms.USUAL.bookmarkEvery().multipliedBy(2),
+                        PublisherTerms.DEFAULTS.bookmarkInterval().multipliedBy(2),
                         MAX_DURATION),
                 watch.millis("return-within-ms", DEFAULT_RETURN_INTERVAL, Duration.ZERO, MAX_DURATION));
     }
 
     private static PublisherAddress publisher(TomlFile table) {
-        table.onlyKeys(Set.of("name", "address", "zone", "region"));
+        table.requireKnownKeys(Set.of("name", "address", "zone", "region"));
         return new PublisherAddress(name(table, "name"), table.address("address"), table.text("zone", ""),
                 table.text("region", ""));
     }
--- a/group/src/main/java/pathlane/group/AuthenticatedLink.java
+++ b/group/src/main/java/pathlane/group/AuthenticatedLink.java
@@ -14,8 +14,8 @@
 import pathlane.transport.Connection;
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
-import pathlane.wire.BadInput;
 import pathlane.wire.FrameAssembler;
+import pathlane.wire.ProtocolException;
 
 /**
  * An authenticated connection between members of a group. Each frame carries a MAC under a shared key (HMAC-SHA-256, RFC
@@ -44,7 +44,7 @@
         /** The peer has proven that it holds a shared key; the name is the one that it claims. */
         void authenticated(AuthenticatedLink link, String name);
 
-        /** @throws BadInput if the payload is malformed; the connection is then closed */
+        /** @throws ProtocolException if the payload is malformed; the connection is then closed */
         void received(byte[] payload);
 
         /** The connection is closed or was never established; the last notification, sent once. */
@@ -117,7 +117,7 @@
     public void received(ByteBuffer bytes) {
         try {
             assembler.feed(bytes, this::handleFrame);
-        } catch (BadInput e) {
+        } catch (ProtocolException e) {
             context.log().warn("{0} closed: {1}", remoteName == null ? connection.remote() : remoteName, e.getMessage());
             bytes.position(bytes.limit());
             close(CloseReason.PROTOCOL_ERROR);
@@ -135,13 +135,13 @@
             return;
         }
         if (bytes.length < MAC_BYTES) {
-            throw new BadInput("frame shorter than a MAC");
+            throw new ProtocolException("frame shorter than a MAC");
         }
         int payloadLength = bytes.length - MAC_BYTES;
         byte[] expected =
                 sign(verifyingMac, remoteHandshake, localHandshake, !isInitiator, framesReceived++, bytes, payloadLength);
         if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(bytes, payloadLength, bytes.length))) {
-            throw new BadInput(isPeerVerified ? "MAC mismatch: frame forged, altered or out of order"
+            throw new ProtocolException(isPeerVerified ? "MAC mismatch: frame forged, altered or out of order"
                     : "MAC mismatch: the peer lacks the key that it names");
         }
         if (!isPeerVerified) {
@@ -157,20 +157,20 @@
         ByteBuffer handshake = ByteBuffer.wrap(bytes);
         byte[] magic = new byte[MAGIC.length];
         if (bytes.length > MAX_HANDSHAKE_BYTES || bytes.length < MAGIC.length + 2 + NONCE_BYTES) {
-            throw new BadInput("handshake frame of invalid length");
+            throw new ProtocolException("handshake frame of invalid length");
         }
         handshake.get(magic);
         if (!Arrays.equals(magic, MAGIC)) {
-            throw new BadInput("unknown protocol or protocol version");
+            throw new ProtocolException("unknown protocol or protocol version");
         }
         String keyName = readString(handshake);
         remoteName = readString(handshake);
         if (handshake.remaining() != NONCE_BYTES) {
-            throw new BadInput("handshake frame with trailing or missing bytes");
+            throw new ProtocolException("handshake frame with trailing or missing bytes");
         }
         byte[] secret = context.keys().get().findSecret(keyName);
         if (secret == null) {
-            throw new BadInput("key '" + keyName + "' is not in the key file");
+            throw new ProtocolException("key '" + keyName + "' is not in the key file");
         }
         remoteHandshake = bytes;
         verifyingMac = createMac(secret);
@@ -180,7 +180,7 @@
     private static String readString(ByteBuffer handshake) {
         byte[] text = new byte[handshake.get() & 0xff];
         if (text.length > handshake.remaining()) {
-            throw new BadInput("truncated handshake frame");
+            throw new ProtocolException("truncated handshake frame");
         }
         handshake.get(text);
         return new String(text, StandardCharsets.UTF_8);
--- a/group/src/main/java/pathlane/group/LeaseHolder.java
+++ b/group/src/main/java/pathlane/group/LeaseHolder.java
@@ -162,7 +162,7 @@
             LOG.log(Level.INFO, "lease {0} granted to {1}", Long.toString(token), name);
             listener.granted(token);
             startLapseTimer();
-            scheduleRequest(terms.renewInterval());
+            scheduleRequest(terms.renewalInterval());
         } else if (reply.isPresent() && reply.get() instanceof Reply.Refused refused) {
             LOG.log(Level.WARNING, "lease request of {0} was refused: {1}", name, refused.reason());
             scheduleRequest(REFUSED_RETRY_INTERVAL);
@@ -189,8 +189,8 @@
                 listener.validAgain();
             }
             startLapseTimer();
-            scheduleRequest(terms.renewInterval()
-                    .minusNanos(Math.min(terms.renewInterval().toNanos(), nanoClock.getAsLong() - sentAtNanos)));
+            scheduleRequest(terms.renewalInterval()
+                    .minusNanos(Math.min(terms.renewalInterval().toNanos(), nanoClock.getAsLong() - sentAtNanos)));
         } else {
             scheduleRequest(RETRY_INTERVAL);
         }
--- a/group/src/main/java/pathlane/group/LeaseRegistry.java
+++ b/group/src/main/java/pathlane/group/LeaseRegistry.java
@@ -122,7 +122,7 @@
 
     /** The live replica holders of an orphaned shard, the first successor first. */
     public List<Member> successors(OrphanedShards orphan, int shard) {
-        return replicaHolders(orphan.former().token(), shard, orphan.view()).stream()
+        return replicaHolders(orphan.formerOwner().token(), shard, orphan.view()).stream()
                 .filter(member -> isLive(member.token())).toList();
     }
 
@@ -288,7 +288,7 @@
     }
 
     private boolean mayReclaim(Reclaim reclaim) {
-        Optional<Member> formerOwner = orphan(reclaim.formerToken()).map(OrphanedShards::former)
+        Optional<Member> formerOwner = orphan(reclaim.formerToken()).map(OrphanedShards::formerOwner)
                 .or(() -> unclaimable.formerOwner(reclaim.formerToken()));
         Optional<Member> member = member(reclaim.token());
         return formerOwner.isPresent() && member.isPresent() && member.get().name().equals(formerOwner.get().name())
@@ -326,7 +326,7 @@
             orphans.put(token, OrphanedShards.unclaimed(lease.member, lease.replicatedView));
         } else if (!areReplicasDropped) {
             BitSet all = new BitSet();
-            all.set(0, ShardPlacement.SHARDS);
+            all.set(0, ShardPlacement.SHARD_COUNT);
             unclaimable.add(lease.member, all);
         }
         advanceView();
@@ -346,9 +346,9 @@
             orphan.owners().forEach((shard, owner) -> lost.set(shard,
                     (owner == OrphanedShards.UNCLAIMED || !isLive(owner)) && successors(orphan, shard).isEmpty()));
             lost.stream().forEach(orphan::remove);
-            unclaimable.add(orphan.former(), lost);
+            unclaimable.add(orphan.formerOwner(), lost);
             if (orphan.isEmpty()) {
-                orphans.remove(orphan.former().token());
+                orphans.remove(orphan.formerOwner().token());
             }
         }
         removeUnusedViews();
--- a/group/src/main/java/pathlane/group/LeaseTerms.java
+++ b/group/src/main/java/pathlane/group/LeaseTerms.java
@@ -47,7 +47,7 @@
     }
 
     /** The interval between renewals: a third of the length, so that two may fail before the lease lapses. */
-    public Duration renewInterval() {
+    public Duration renewalInterval() {
         return length.dividedBy(RENEWALS_PER_LEASE);
     }
 }
--- a/group/src/main/java/pathlane/group/OrphanedShards.java
+++ b/group/src/main/java/pathlane/group/OrphanedShards.java
@@ -29,7 +29,7 @@
     /** All shards of a former member, none of them claimed. */
     static OrphanedShards unclaimed(Member formerOwner, long view) {
         OrphanedShards orphan = new OrphanedShards(formerOwner, view);
-        for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
+        for (int shard = 0; shard < ShardPlacement.SHARD_COUNT; shard++) {
             orphan.owners.put(shard, UNCLAIMED);
         }
         return orphan;
@@ -45,7 +45,7 @@
     }
 
     /** The member that owned the shards until its lease ended. */
-    public Member former() {
+    public Member formerOwner() {
         return formerOwner;
     }
 
--- a/group/src/main/java/pathlane/group/RegistryClient.java
+++ b/group/src/main/java/pathlane/group/RegistryClient.java
@@ -15,7 +15,7 @@
 import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.transport.Connector;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * A member's client of the registry: one connection to the leading voter, found by trying one voter after the other. It
@@ -187,7 +187,7 @@
                     onChange.run();
                 }
                 case HEARTBEAT -> {}
-                default -> throw new BadInput("unknown message kind " + kind + " from a voter");
+                default -> throw new ProtocolException("unknown message kind " + kind + " from a voter");
             }
         }
 
--- a/group/src/main/java/pathlane/group/RegistryCodec.java
+++ b/group/src/main/java/pathlane/group/RegistryCodec.java
@@ -11,7 +11,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /** Encodes the registry's commands, replies and snapshots as MessagePack: a kind, then the fields in a fixed order. */
 public final class RegistryCodec {
@@ -41,7 +41,7 @@
         return pack(packer -> write(packer, command));
     }
 
-    /** @throws BadInput if the bytes are not a command */
+    /** @throws ProtocolException if the bytes are not a command */
     public static Command decodeCommand(byte[] bytes) {
         return decode(bytes, RegistryCodec::decodeCommand);
     }
@@ -51,7 +51,7 @@
         return pack(packer -> write(packer, reply));
     }
 
-    /** @throws BadInput if the bytes are not a reply */
+    /** @throws ProtocolException if the bytes are not a reply */
     public static Reply decodeReply(byte[] bytes) {
         return decode(bytes, RegistryCodec::decodeReply);
     }
@@ -61,7 +61,7 @@
         return pack(packer -> write(packer, registry.snapshot()));
     }
 
-    /** @throws BadInput if the bytes are not a snapshot */
+    /** @throws ProtocolException if the bytes are not a snapshot */
     public static LeaseRegistry decodeRegistry(byte[] bytes) {
         return decode(bytes, unpacker -> LeaseRegistry.restore(readSnapshot(unpacker)));
     }
@@ -87,14 +87,14 @@
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(unpacker);
         } catch (IOException | MessagePackException e) {
-            throw new BadInput("not a valid registry message: " + e.getMessage());
+            throw new ProtocolException("not a valid registry message: " + e.getMessage());
         }
     }
 
     static int readArrayHeader(MessageUnpacker unpacker) throws IOException {
         int count = unpacker.unpackArrayHeader();
         if (count > MAX_ITEMS) {
-            throw new BadInput(count + " items exceed the limit of 1048576");
+            throw new ProtocolException(count + " items exceed the limit of 1048576");
         }
         return count;
     }
@@ -160,7 +160,7 @@
             case COMPLETE -> {
                 return new Command.Complete(unpacker.unpackLong(), unpacker.unpackLong(), readShards(unpacker));
             }
-            default -> throw new BadInput("unknown command kind " + kind);
+            default -> throw new ProtocolException("unknown command kind " + kind);
         }
     }
 
@@ -216,7 +216,7 @@
             case REFUSED -> {
                 return new Reply.Refused(unpacker.unpackString());
             }
-            default -> throw new BadInput("unknown reply kind " + kind);
+            default -> throw new ProtocolException("unknown reply kind " + kind);
         }
     }
 
@@ -237,7 +237,7 @@
         }
         packer.packArrayHeader(snapshot.orphans().size());
         for (OrphanedShards orphan : snapshot.orphans().values()) {
-            write(packer, orphan.former());
+            write(packer, orphan.formerOwner());
             packer.packLong(orphan.view()).packArrayHeader(orphan.owners().size());
             for (var shard : orphan.owners().entrySet()) {
                 packer.packInt(shard.getKey()).packLong(shard.getValue());
--- a/group/src/main/java/pathlane/group/ShardPlacement.java
+++ b/group/src/main/java/pathlane/group/ShardPlacement.java
@@ -14,15 +14,15 @@
 public final class ShardPlacement {
 
     /** The number of shards. Calls are placed by shard, and each orphaned shard is claimed separately. */
-    public static final int SHARDS = 256;
+    public static final int SHARD_COUNT = 256;
 
     private static final Hasher64 HASHER = Hashing.komihash5_0();
 
     private ShardPlacement() {}
 
-    /** The shard of a call, from 0 to {@link #SHARDS} - 1. */
+    /** The shard of a call, from 0 to {@link #SHARD_COUNT} - 1. */
     public static int shardOf(String callId) {
-        return (int) Long.remainderUnsigned(HASHER.hashCharsToLong(callId), SHARDS);
+        return (int) Long.remainderUnsigned(HASHER.hashCharsToLong(callId), SHARD_COUNT);
     }
 
     /**
--- a/group/src/main/java/pathlane/group/Voter.java
+++ b/group/src/main/java/pathlane/group/Voter.java
@@ -17,7 +17,7 @@
 import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
 import pathlane.transport.Protocol;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * The member-facing side of a voter: it holds the registry as built from the replicated log and, while it leads, submits the
@@ -231,15 +231,15 @@
         private void received(MessageUnpacker unpacker) throws IOException {
             int kind = unpacker.unpackInt();
             if (kind != RegistryClient.REQUEST) {
-                throw new BadInput("unknown message kind " + kind + " from a member");
+                throw new ProtocolException("unknown message kind " + kind + " from a member");
             }
             long id = unpacker.unpackLong();
             Command command = RegistryCodec.decodeCommand(RegistryClient.binary(unpacker));
             if (command instanceof Command.Expire) {
-                throw new BadInput("members may not expire leases");
+                throw new ProtocolException("members may not expire leases");
             }
             if (++pendingRequests > MAX_PENDING_REQUESTS) {
-                throw new BadInput("more than 10000 pending requests of one member");
+                throw new ProtocolException("more than 10000 pending requests of one member");
             }
             submit(command, result -> {
                 pendingRequests--;
--- a/group/src/test/java/pathlane/group/LeaseExplorationTest.java
+++ b/group/src/test/java/pathlane/group/LeaseExplorationTest.java
@@ -166,7 +166,7 @@
         }
         for (OrphanedShards orphan : registry.orphans()) {
             for (int call = 0; call < SHARDS_OF_CALLS.length; call++) {
-                long owner = orphan.former().token();
+                long owner = orphan.formerOwner().token();
                 if (!state.records.contains(owner + ":" + call)
                         || !orphan.owners().containsKey(SHARDS_OF_CALLS[call])
                         || registry.successors(orphan, SHARDS_OF_CALLS[call]).stream()
@@ -174,8 +174,9 @@
                     continue;
                 }
                 LeaseRegistry changed = RegistryCodec.decodeRegistry(state.registryBytes);
-                Reply.Owned owned = (Reply.Owned) changed.apply(new Command.Claim(controller.token, orphan.former().token(),
-                        List.of(SHARDS_OF_CALLS[call])));
+                Reply.Owned owned =
+                        (Reply.Owned) changed.apply(new Command.Claim(controller.token, orphan.formerOwner().token(),
+                                List.of(SHARDS_OF_CALLS[call])));
                 if (owned.shards().contains(SHARDS_OF_CALLS[call]) || omission == Omission.CLAIM_AGREEMENT) {
                     // A call that a previous owner has adopted belongs to that owner's own records.
                     int currentCall = call;
--- a/grpc/src/main/java/pathlane/grpc/BusNameResolver.java
+++ b/grpc/src/main/java/pathlane/grpc/BusNameResolver.java
@@ -53,10 +53,10 @@
         if (shutdown) {
             return;
         }
-        if (list.whole()) {
+        if (list.isComplete()) {
             endpoints.clear();
         }
-        for (ServerEndpoint endpoint : list.lines()) {
+        for (ServerEndpoint endpoint : list.endpoints()) {
             if (endpoint.status() == ServerStatus.GONE) {
                 endpoints.remove(endpoint.id());
             } else {
--- a/grpc/src/test/java/pathlane/grpc/BusResolverTest.java
+++ b/grpc/src/test/java/pathlane/grpc/BusResolverTest.java
@@ -75,7 +75,7 @@
     }
 
     private static void call(ManagedChannel channel) {
-        ClientCalls.blockingUnaryCall(channel, pathlane.standin.GrpcFront.CHECK,
+        ClientCalls.blockingUnaryCall(channel, pathlane.standin.GrpcSessionServer.CHECK,
                 CallOptions.DEFAULT.withWaitForReady(), new byte[] {1});
     }
 
--- a/grpc/src/test/java/pathlane/grpc/ChannelTest.java
+++ b/grpc/src/test/java/pathlane/grpc/ChannelTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import pathlane.core.Counters.Name;
 import pathlane.grpc.PluginHarness.Response;
-import pathlane.standin.GrpcFront;
+import pathlane.standin.GrpcSessionServer;
 import pathlane.standin.Processor;
 
 /** Channels with the plug-in: server lists, configuration, sharing, gRPC's own retries and shutdown. */
@@ -34,21 +34,21 @@
             List<Response> streams = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 streams.add(harness.sign(channel, "s" + i));
-                harness.time.pass(100);
+                harness.time.advance(100);
             }
-            harness.processors.get("a").silent();
+            harness.processors.get("a").fallSilent();
             List<Response> calls = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 calls.add(harness.check(channel, "n" + i));
-                harness.time.pass(100);
+                harness.time.advance(100);
             }
-            harness.processors.get("a").speak();
-            harness.time.pass(20_000);
-            assertTrue(streams.stream().allMatch(response -> response.closes == 1 && response.messages.size() == 1));
-            assertTrue(calls.stream().allMatch(response -> response.closes == 1));
+            harness.processors.get("a").resume();
+            harness.time.advance(20_000);
+            assertTrue(streams.stream().allMatch(response -> response.closeCount == 1 && response.messages.size() == 1));
+            assertTrue(calls.stream().allMatch(response -> response.closeCount == 1));
             long answered = calls.stream().filter(response -> response.status.isOk()).count();
             assertTrue(answered >= 55, "answered: " + answered);
-            assertEquals(List.of(), harness.rules.broken());
+            assertEquals(List.of(), harness.rules.violations());
         }
     }
 
@@ -59,32 +59,33 @@
             List<Response> calls = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 calls.add(harness.check(channel, "n" + i));
-                harness.time.pass(40);
+                harness.time.advance(40);
             }
-            harness.time.pass(1000);
-            long before = harness.processors.values().stream().mapToLong(Processor::setUps).sum();
-            harness.list();
+            harness.time.advance(1000);
+            long before = harness.processors.values().stream().mapToLong(Processor::requests).sum();
+            harness.setListedServers();
             for (int i = 0; i < 100; i++) {
                 calls.add(harness.check(channel, "e" + i));
-                harness.time.pass(40);
+                harness.time.advance(40);
             }
-            assertEquals(before, harness.processors.values().stream().mapToLong(Processor::setUps).sum(),
+            assertEquals(before, harness.processors.values().stream().mapToLong(Processor::requests).sum(),
                     "sent to an unlisted server");
-            harness.add("c").startCold();
-            harness.add("d").startCold();
-            harness.list("c", "d");
+            harness.addServer("c").startCold();
+            harness.addServer("d").startCold();
+            harness.setListedServers("c", "d");
             for (int i = 0; i < 600; i++) {
                 calls.add(harness.check(channel, "c" + i));
-                harness.time.pass(25);
+                harness.time.advance(25);
             }
-            harness.time.pass(10_000);
-            assertTrue(calls.stream().allMatch(response -> response.closes == 1));
+            harness.time.advance(10_000);
+            assertTrue(calls.stream().allMatch(response -> response.closeCount == 1));
             for (String cold : List.of("c", "d")) {
                 Processor processor = harness.processors.get(cold);
-                assertTrue(!processor.fell() && processor.mostOfBudget() < 1, cold + ": " + processor.mostOfBudget());
+                assertTrue(!processor.hasCrashed() && processor.maxColdBudgetUse() < 1,
+                        cold + ": " + processor.maxColdBudgetUse());
                 assertTrue(processor.answers() > 100, cold + " answered " + processor.answers());
             }
-            assertEquals(List.of(), harness.rules.broken());
+            assertEquals(List.of(), harness.rules.violations());
         }
     }
 
@@ -93,22 +94,22 @@
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
             Response response = harness.sign(channel, "one");
-            harness.time.pass(200);
-            harness.add("b");
-            harness.list("b");
+            harness.time.advance(200);
+            harness.addServer("b");
+            harness.setListedServers("b");
             for (int i = 0; i < 10; i++) {
                 harness.check(channel, "n" + i);
-                harness.time.pass(100);
+                harness.time.advance(100);
             }
-            assertEquals(1, harness.processors.get("a").setUps());
-            assertEquals(0, response.closes);
-            harness.time.pass(8000);
+            assertEquals(1, harness.processors.get("a").requests());
+            assertEquals(0, response.closeCount);
+            harness.time.advance(8000);
             assertEquals(Status.Code.OK, response.code());
-            harness.list("a");
+            harness.setListedServers("a");
             Response back = harness.check(channel, "back");
-            harness.time.pass(200);
+            harness.time.advance(200);
             assertEquals(Status.Code.OK, back.code());
-            assertEquals(2, harness.processors.get("a").setUps());
+            assertEquals(2, harness.processors.get("a").requests());
         }
     }
 
@@ -118,11 +119,12 @@
             ManagedChannel channel = harness.channel();
             Response immediate = harness.check(channel, "now");
             assertEquals(Status.Code.UNAVAILABLE, immediate.code());
-            Response waiting = harness.call(channel, GrpcFront.CHECK, CallOptions.DEFAULT.withWaitForReady(), "waits");
-            assertEquals(0, waiting.closes);
-            harness.add("a");
-            harness.list("a");
-            harness.time.pass(100);
+            Response waiting =
+                    harness.call(channel, GrpcSessionServer.CHECK, CallOptions.DEFAULT.withWaitForReady(), "waits");
+            assertEquals(0, waiting.closeCount);
+            harness.addServer("a");
+            harness.setListedServers("a");
+            harness.time.advance(100);
             assertEquals(Status.Code.OK, waiting.code());
         }
     }
@@ -133,9 +135,10 @@
         config.put("plug-in", json("{\"classes\": {\"signing.Sessions\": \"deadline-sign\"}}"));
         Map<String, ?> service = Map.of("loadBalancingConfig", List.of(Map.of("pathlane", config)));
         try (PluginHarness harness = new PluginHarness(Pathlane.builder(), "a")) {
-            ManagedChannel channel = harness.keep(harness.pathlane.attach(harness.builder("pool"), service).build());
+            ManagedChannel channel =
+                    harness.closeWithHarness(harness.pathlane.attach(harness.builder("pool"), service).build());
             Response response = harness.check(channel, "one");
-            harness.time.pass(100);
+            harness.time.advance(100);
             assertEquals(Status.Code.OK, response.code());
             assertEquals(1, harness.pathlane.engine().config().classOf("signing.Sessions/Check", "signing.Sessions", null));
         }
@@ -166,7 +169,8 @@
     @Test
     void policyWithoutPluginFailsCalls() {
         try (PluginHarness harness = new PluginHarness("a")) {
-            ManagedChannel bare = harness.keep(harness.builder("pool").defaultLoadBalancingPolicy("pathlane").build());
+            ManagedChannel bare =
+                    harness.closeWithHarness(harness.builder("pool").defaultLoadBalancingPolicy("pathlane").build());
             Response response = harness.check(bare, "one");
             assertEquals(Status.Code.INTERNAL, response.code());
             assertTrue(response.status.getDescription().contains("Pathlane.attach"), response.status.toString());
@@ -204,13 +208,14 @@
     @Test
     void hedgedStreamIsDroppedAndLaterCallsFail() {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
-            ManagedChannel hedging = harness.keep(harness.pathlane.attach(harness.builder("pool").intercept(new Hedger()))
-                    .build());
+            ManagedChannel hedging =
+                    harness.closeWithHarness(harness.pathlane.attach(harness.builder("pool").intercept(new Hedger()))
+                            .build());
             Response first = harness.check(hedging, "one");
             Response second = harness.check(hedging, "two");
             assertEquals(Status.Code.FAILED_PRECONDITION, second.code());
             assertTrue(second.status.getDescription().contains("hedgingPolicy"), second.status.toString());
-            harness.time.pass(1000);
+            harness.time.advance(1000);
             assertEquals(Status.Code.OK, first.code());
             assertEquals(1, harness.rules.attempts("one"));
             assertEquals(0, harness.rules.attempts("two"));
@@ -224,10 +229,11 @@
                  {"maxAttempts": 5, "initialBackoff": "0.01s", "maxBackoff": "0.01s", "backoffMultiplier": 1,
                   "retryableStatusCodes": ["INTERNAL", "NOT_FOUND"]}}]}""");
         try (PluginHarness harness = new PluginHarness("a", "b")) {
-            harness.fronts.values().forEach(front -> front.answerWith(Status.NOT_FOUND));
-            ManagedChannel channel = harness.keep(harness.pathlane.attach(harness.builder("pool"), retrying).build());
+            harness.fronts.values().forEach(front -> front.endCallsWith(Status.NOT_FOUND));
+            ManagedChannel channel =
+                    harness.closeWithHarness(harness.pathlane.attach(harness.builder("pool"), retrying).build());
             Response response = harness.check(channel, "one");
-            harness.time.pass(2000);
+            harness.time.advance(2000);
             assertEquals(Status.Code.NOT_FOUND, response.code());
             assertEquals(1, harness.rules.attempts("one"));
         }
@@ -240,17 +246,18 @@
             ManagedChannel secondChannel = harness.channel();
             Response first = harness.check(firstChannel, "one");
             Response second = harness.check(secondChannel, "two");
-            harness.time.pass(200);
+            harness.time.advance(200);
             assertEquals(Status.Code.OK, first.code());
             assertEquals(Status.Code.OK, second.code());
             assertEquals(2, harness.pathlane.counters().value(Name.ESTABLISHED));
-            ManagedChannel otherTarget = harness.keep(harness.pathlane.attach(harness.builder("elsewhere")).build());
+            ManagedChannel otherTarget =
+                    harness.closeWithHarness(harness.pathlane.attach(harness.builder("elsewhere")).build());
             Response rejected = harness.check(otherTarget, "three");
             assertEquals(Status.Code.INTERNAL, rejected.code());
             assertTrue(rejected.status.getDescription().contains("build another"), rejected.status.toString());
             firstChannel.shutdownNow();
             Response third = harness.check(secondChannel, "four");
-            harness.time.pass(200);
+            harness.time.advance(200);
             assertEquals(Status.Code.OK, third.code());
         }
     }
@@ -260,12 +267,12 @@
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
             Response established = harness.sign(channel, "established");
-            harness.time.pass(100);
+            harness.time.advance(100);
             Response open = harness.check(channel, "open");
             channel.shutdown();
             Response late = harness.check(channel, "late");
             assertEquals(Status.Code.UNAVAILABLE, late.code());
-            harness.time.pass(9000);
+            harness.time.advance(9000);
             assertEquals(Status.Code.OK, open.code());
             assertEquals(Status.Code.OK, established.code());
             assertEquals(0, harness.rules.attempts("late"));
@@ -278,14 +285,14 @@
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
             Response established = harness.sign(channel, "established");
-            harness.time.pass(100);
+            harness.time.advance(100);
             Response open = harness.check(channel, "open");
             harness.pathlane.close();
             assertEquals(Status.Code.UNAVAILABLE, open.code());
             assertEquals(Status.Code.UNAVAILABLE, harness.check(channel, "late").code());
-            harness.time.pass(9000);
+            harness.time.advance(9000);
             assertEquals(Status.Code.OK, established.code());
-            assertEquals(1, open.closes);
+            assertEquals(1, open.closeCount);
         }
     }
 
@@ -293,11 +300,11 @@
     void cancelledContextCancelsCall() {
         try (PluginHarness harness = new PluginHarness("a")) {
             ManagedChannel channel = harness.channel();
-            harness.processors.get("a").silent();
+            harness.processors.get("a").fallSilent();
             Context.CancellableContext context = Context.current().withCancellation();
             Response[] response = new Response[1];
             context.run(() -> response[0] = harness.check(channel, "one"));
-            harness.time.pass(100);
+            harness.time.advance(100);
             context.cancel(null);
             assertEquals(Status.Code.CANCELLED, response[0].code());
             assertEquals(1, harness.pathlane.counters().value(Name.GIVEN_UP_BY_CLIENT));
@@ -310,11 +317,11 @@
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             harness.check(channel, "one");
-            harness.time.pass(100);
+            harness.time.advance(100);
             channel.enterIdle();
-            harness.time.pass(20_000);
+            harness.time.advance(20_000);
             Response again = harness.check(channel, "two");
-            harness.time.pass(100);
+            harness.time.advance(100);
             assertEquals(Status.Code.OK, again.code());
         }
     }
--- a/grpc/src/test/java/pathlane/grpc/PluginHarness.java
+++ b/grpc/src/test/java/pathlane/grpc/PluginHarness.java
@@ -30,9 +30,9 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
 import pathlane.core.ServerEndpoint;
-import pathlane.standin.GrpcFront;
+import pathlane.standin.AttemptRuleChecker;
+import pathlane.standin.GrpcSessionServer;
 import pathlane.standin.Processor;
-import pathlane.standin.RuleBook;
 import pathlane.standin.VirtualTime;
 
 /** Runs stand-in servers, a resolver and a plug-in's channels on one thread and in virtual time. */
@@ -56,20 +56,20 @@
         final List<String> messages = new ArrayList<>();
         Status status;
         Metadata trailers;
-        int closes;
+        int closeCount;
         double closedAtMs;
-        double firstAt = Double.NaN;
+        double firstMessageAtMs = Double.NaN;
         Runnable onClose = () -> {};
 
         @Override
         public void onMessage(byte[] message) {
-            firstAt = Double.isNaN(firstAt) ? time.nowMs() : firstAt;
+            firstMessageAtMs = Double.isNaN(firstMessageAtMs) ? time.nowMs() : firstMessageAtMs;
             messages.add(new String(message, StandardCharsets.UTF_8));
         }
 
         @Override
         public void onClose(Status closeStatus, Metadata closeTrailers) {
-            closes++;
+            closeCount++;
             status = closeStatus;
             trailers = closeTrailers;
             closedAtMs = time.nowMs();
@@ -82,9 +82,9 @@
     }
 
     final VirtualTime time = new VirtualTime();
-    final RuleBook rules = new RuleBook(200);
+    final AttemptRuleChecker rules = new AttemptRuleChecker(200);
     final Map<String, Processor> processors = new LinkedHashMap<>();
-    final Map<String, GrpcFront> fronts = new LinkedHashMap<>();
+    final Map<String, GrpcSessionServer> fronts = new LinkedHashMap<>();
     /** Endpoints that the resolver attaches to a server's address, as the event bus resolver does. */
     final Map<String, ServerEndpoint> endpoints = new LinkedHashMap<>();
     final List<Server> servers = new ArrayList<>();
@@ -104,20 +104,20 @@
         NameResolverRegistry.getDefaultRegistry().register(provider);
         pathlane = builder.seed(7).time(context -> time).build();
         for (String name : names) {
-            add(name);
+            addServer(name);
         }
         listedServers = List.of(names);
     }
 
     /** Adds a stand-in server with a capacity of 30 calls per second. */
-    Processor add(String name) {
-        return add(name, 30);
+    Processor addServer(String name) {
+        return addServer(name, 30);
     }
 
-    Processor add(String name, double callsPerSecond) {
+    Processor addServer(String name, double callsPerSecond) {
         Processor processor = new Processor(Processor.Model.of(callsPerSecond,
                 PluginConfig.read(SETTINGS).settings().rules()), time);
-        GrpcFront front = new GrpcFront(name, processor, time, Runnable::run, Duration.ofSeconds(8), rules);
+        GrpcSessionServer front = new GrpcSessionServer(name, processor, time, Runnable::run, Duration.ofSeconds(8), rules);
         try {
             servers.add(InProcessServerBuilder.forName(scheme + name).directExecutor().addService(front.service())
                     .build().start());
@@ -130,7 +130,7 @@
     }
 
     /** Sets the servers that the resolver lists. */
-    void list(String... names) {
+    void setListedServers(String... names) {
         listedServers = List.of(names);
         Map.copyOf(listeners).forEach((listener, context) -> context.execute(() -> notifyListener(listener)));
     }
@@ -150,10 +150,10 @@
     }
 
     ManagedChannel channel() {
-        return keep(pathlane.attach(builder("pool")).build());
+        return closeWithHarness(pathlane.attach(builder("pool")).build());
     }
 
-    ManagedChannel keep(ManagedChannel channel) {
+    ManagedChannel closeWithHarness(ManagedChannel channel) {
         channels.add(channel);
         return channel;
     }
@@ -169,7 +169,7 @@
         ClientCall<byte[], byte[]> call = channel.newCall(method, options);
         response.call = call;
         Metadata headers = new Metadata();
-        headers.put(GrpcFront.CALL, key);
+        headers.put(GrpcSessionServer.CALL, key);
         call.start(response, headers);
         call.request(2);
         call.sendMessage(request.getBytes(StandardCharsets.UTF_8));
@@ -178,11 +178,11 @@
     }
 
     Response check(ManagedChannel channel, String key) {
-        return call(channel, GrpcFront.CHECK, CallOptions.DEFAULT, key);
+        return call(channel, GrpcSessionServer.CHECK, CallOptions.DEFAULT, key);
     }
 
     Response sign(ManagedChannel channel, String key) {
-        return call(channel, GrpcFront.SIGN, CallOptions.DEFAULT.withOption(PathlaneOptions.CLASS, "deadline-sign"),
+        return call(channel, GrpcSessionServer.SIGN, CallOptions.DEFAULT.withOption(PathlaneOptions.CLASS, "deadline-sign"),
                 key);
     }
 
--- a/grpc/src/test/java/pathlane/grpc/RetryTest.java
+++ b/grpc/src/test/java/pathlane/grpc/RetryTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import pathlane.grpc.PluginHarness.Response;
-import pathlane.standin.GrpcFront;
+import pathlane.standin.GrpcSessionServer;
 
 /** Applications that retry in their own loops: all tries count as one call, and each waits for the retry delay. */
 class RetryTest {
@@ -28,7 +28,7 @@
     private static void tryOnce(PluginHarness harness, ManagedChannel channel, CallOptions options, String key,
             boolean sameRequest, long tryTimeoutMs, List<Response> tries) {
         String request = sameRequest ? key : key + ", try " + tries.size();
-        Response response = harness.call(channel, GrpcFront.CHECK, options, key, request);
+        Response response = harness.call(channel, GrpcSessionServer.CHECK, options, key, request);
         tries.add(response);
         response.onClose = () -> {
             if (!response.status.isOk() && tries.size() < TRIES) {
@@ -36,7 +36,7 @@
             }
         };
         harness.time.after(java.time.Duration.ofMillis(tryTimeoutMs), () -> {
-            if (response.closes == 0) {
+            if (response.closeCount == 0) {
                 response.call.cancel("cancelled by the application's own time limit", null);
             }
         });
@@ -45,14 +45,14 @@
     private static void assertRetryDelayKept(CallOptions options, boolean sameRequest) {
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
-            harness.processors.values().forEach(processor -> processor.silent());
+            harness.processors.values().forEach(processor -> processor.fallSilent());
             List<Response> tries = callInLoop(harness, channel, options, "one", sameRequest, 300);
-            harness.time.pass(10_000);
+            harness.time.advance(10_000);
             assertEquals(TRIES, tries.size());
-            assertTrue(tries.stream().allMatch(response -> response.closes == 1));
+            assertTrue(tries.stream().allMatch(response -> response.closeCount == 1));
             assertEquals(new Pathlane.Tries(1, TRIES - 1, TRIES - 1), harness.pathlane.tries());
             assertTrue(harness.rules.attempts("one") >= 4, "attempts " + harness.rules.attempts("one"));
-            assertEquals(List.of(), harness.rules.broken());
+            assertEquals(List.of(), harness.rules.violations());
         }
     }
 
@@ -71,10 +71,10 @@
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             Response cancelled = harness.check(channel, "one");
-            harness.time.pass(1);
+            harness.time.advance(1);
             cancelled.call.cancel("enough", null);
             Response other = harness.check(channel, "two");
-            harness.time.pass(150);
+            harness.time.advance(150);
             assertEquals(Status.Code.OK, other.code());
             assertEquals(new Pathlane.Tries(2, 0, 0), harness.pathlane.tries());
         }
@@ -87,7 +87,7 @@
                 new PluginHarness(Pathlane.builder().configuration(shortDeadline).defaultClass("status-check"), "a")) {
             ManagedChannel channel = harness.channel();
             Response cancelled = harness.check(channel, "one");
-            harness.time.pass(1);
+            harness.time.advance(1);
             cancelled.call.cancel("enough", null);
             Response retry = harness.check(channel, "one");
             assertEquals(Status.Code.RESOURCE_EXHAUSTED, retry.code());
@@ -103,9 +103,9 @@
             Response cancelled = harness.check(channel, "one");
             cancelled.call.cancel("enough", null);
             harness.check(channel, "one");
-            harness.time.pass(1000);
+            harness.time.advance(1000);
             harness.check(channel, "one");
-            harness.time.pass(1000);
+            harness.time.advance(1000);
             assertEquals(new Pathlane.Tries(2, 1, 1), harness.pathlane.tries());
         }
     }
@@ -115,15 +115,15 @@
         try (PluginHarness harness = new PluginHarness("a", "b")) {
             ManagedChannel channel = harness.channel();
             Response response = harness.sign(channel, "one");
-            harness.time.pass(300);
+            harness.time.advance(300);
             assertEquals(List.of("one"), response.messages);
-            String server = harness.processors.get("a").standing() == 1 ? "a" : "b";
+            String server = harness.processors.get("a").established() == 1 ? "a" : "b";
             harness.processors.get(server).stop();
             assertEquals(Status.Code.UNAVAILABLE, response.code());
             Response again = harness.sign(channel, "one");
-            harness.time.pass(1000);
+            harness.time.advance(1000);
             assertEquals(List.of("one"), again.messages);
-            assertEquals(List.of(), harness.rules.broken());
+            assertEquals(List.of(), harness.rules.violations());
             assertEquals(1, harness.pathlane.tries().heldBack());
         }
     }
--- a/grpc/src/test/java/pathlane/grpc/SharedColdServerTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SharedColdServerTest.java
@@ -25,7 +25,7 @@
 import pathlane.decision.ServerStatus;
 import pathlane.grpc.PluginHarness.Response;
 import pathlane.platform.PlatformFront;
-import pathlane.standin.PlatformServer;
+import pathlane.standin.PlatformSessionServer;
 import pathlane.standin.Processor;
 import pathlane.transport.Connection;
 import pathlane.transport.Connector;
@@ -114,10 +114,10 @@
     void daemonAndPluginStayWithinColdServerCapacity(boolean statesRate, int daemonRate, int pluginRate) {
         try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(settings(statesRate, 1)))) {
             for (String name : List.of("a", "b")) {
-                harness.add(name, 60);
+                harness.addServer(name, 60);
                 harness.endpoints.put(name, endpoint(name, 0));
             }
-            harness.list("a", "b");
+            harness.setListedServers("a", "b");
             CallController daemon = daemon(harness, settings(statesRate, 0));
             daemon.updateServers(true, List.of(harness.endpoints.get("a"), harness.endpoints.get("b")));
             ManagedChannel channel = harness.channel();
@@ -126,20 +126,21 @@
             List<Response> responses = new ArrayList<>();
             runTraffic(harness, daemon, client, channel, responses, 6, pluginRate, daemonRate);
             harness.processors.get("b").drain(Duration.ofSeconds(2));
-            harness.add("c").startCold();
+            harness.addServer("c").startCold();
             harness.endpoints.put("c", endpoint("c", harness.time.nowMs()));
-            harness.list("a", "c");
+            harness.setListedServers("a", "c");
             daemon.updateServers(true, List.of(harness.endpoints.get("a"), harness.endpoints.get("c")));
             runTraffic(harness, daemon, client, channel, responses, 14, daemonRate, pluginRate);
-            harness.time.pass(15_000);
+            harness.time.advance(15_000);
 
             Processor cold = harness.processors.get("c");
-            assertTrue(!cold.fell() && cold.mostOfBudget() < 1, "used share of the budget: " + cold.mostOfBudget());
+            assertTrue(!cold.hasCrashed() && cold.maxColdBudgetUse() < 1,
+                    "used share of the budget: " + cold.maxColdBudgetUse());
             assertTrue(cold.answers() > 50, "answered by the cold server: " + cold.answers());
-            assertTrue(responses.stream().allMatch(response -> response.closes == 1));
+            assertTrue(responses.stream().allMatch(response -> response.closeCount == 1));
             assertTrue(client.finalAnswers.values().stream().allMatch(count -> count == 1));
             assertEquals(14 * daemonRate + 6 * pluginRate, client.finalAnswers.size());
-            assertEquals(List.of(), harness.rules.broken());
+            assertEquals(List.of(), harness.rules.violations());
         }
     }
 
@@ -154,9 +155,9 @@
                 "\\{",
                 "{\"cold-share\": {\"set-ups-per-second\": 10, \"senders\": " + (daemons + 1) + ", \"number\": NUMBER}, ");
         try (PluginHarness harness = new PluginHarness(Pathlane.builder().configuration(shared.replace("NUMBER", "40")))) {
-            harness.add("a", 400);
+            harness.addServer("a", 400);
             harness.endpoints.put("a", endpoint("a", 0));
-            harness.list("a");
+            harness.setListedServers("a");
             ManagedChannel channel = harness.channel();
             List<CallController> controllers = new ArrayList<>();
             RecordingClient client = new RecordingClient();
@@ -169,9 +170,9 @@
             List<Response> responses = new ArrayList<>();
             for (int step = 0; step < 16 * 200; step++) {
                 if (step == 600) {
-                    harness.add("c", 10).startCold();
+                    harness.addServer("c", 10).startCold();
                     harness.endpoints.put("c", endpoint("c", harness.time.nowMs()));
-                    harness.list("a", "c");
+                    harness.setListedServers("a", "c");
                     controllers.forEach(controller -> controller.updateServers(false, List.of(harness.endpoints.get("c"))));
                 }
                 String id = String.format("%016x", ++client.issuedCalls);
@@ -180,11 +181,12 @@
                 if (step % 40 == 0) {
                     responses.add(harness.check(channel, "p" + responses.size()));
                 }
-                harness.time.pass(5);
+                harness.time.advance(5);
             }
-            harness.time.pass(15_000);
+            harness.time.advance(15_000);
             Processor cold = harness.processors.get("c");
-            assertTrue(!cold.fell() && cold.mostOfBudget() < 1, "used share of the budget: " + cold.mostOfBudget());
+            assertTrue(!cold.hasCrashed() && cold.maxColdBudgetUse() < 1,
+                    "used share of the budget: " + cold.maxColdBudgetUse());
             assertTrue(cold.answers() > 20, "answered by the cold server: " + cold.answers());
             assertTrue(client.finalAnswers.values().stream().allMatch(count -> count == 1));
             assertEquals(client.issuedCalls, client.finalAnswers.size());
@@ -204,7 +206,7 @@
             for (int i = inSecond * pluginRate / steps; i < (inSecond + 1) * pluginRate / steps; i++) {
                 responses.add(harness.check(channel, "p" + responses.size()));
             }
-            harness.time.pass(5);
+            harness.time.advance(5);
         }
     }
 
@@ -219,8 +221,9 @@
                 + "\"limits\": {\"sockets\": 1024}, \"settings\": " + settings + "}");
         Connector connector = (address, timeout, protocol) -> harness.time.after(Duration.ofMillis(1), () -> {
             String name = String.valueOf((char) (address.getPort() - 5000));
-            PlatformServer server =
-                    new PlatformServer(name, harness.processors.get(name), harness.time, CALL_DURATION, harness.rules);
+            PlatformSessionServer server =
+                    new PlatformSessionServer(name, harness.processors.get(name), harness.time, CALL_DURATION,
+                            harness.rules);
             VirtualConnection up = new VirtualConnection(harness);
             VirtualConnection down = new VirtualConnection(harness);
             up.remoteProtocol = server;
--- a/grpc/src/test/java/pathlane/grpc/SocketTest.java
+++ b/grpc/src/test/java/pathlane/grpc/SocketTest.java
@@ -27,14 +27,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pathlane.core.Counters.Name;
 import pathlane.grpc.ScriptedHttp2Server.Action;
-import pathlane.standin.GrpcFront;
+import pathlane.standin.GrpcSessionServer;
 import pathlane.standin.Processor;
 
 /** Real sockets on loopback: the ways in which HTTP/2 ends a stream, and a GOAWAY during a burst. */
 class SocketTest {
 
     private static byte[] call(ManagedChannel channel, CallOptions options) {
-        return ClientCalls.blockingUnaryCall(channel, GrpcFront.CHECK, options, "one".getBytes(StandardCharsets.UTF_8));
+        return ClientCalls.blockingUnaryCall(channel, GrpcSessionServer.CHECK, options,
+                "one".getBytes(StandardCharsets.UTF_8));
     }
 
     /** The first stream ends in the given way, the controller makes one more attempt, and that one is answered. */
@@ -107,7 +108,7 @@
         ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
         ExecutorService clients = Executors.newFixedThreadPool(4);
         Pathlane pathlane = Pathlane.builder().configuration(PluginHarness.SETTINGS).build();
-        pathlane.standin.RuleBook rules = new pathlane.standin.RuleBook(200);
+        pathlane.standin.AttemptRuleChecker rules = new pathlane.standin.AttemptRuleChecker(200);
         ExecutorScheduler time = new ExecutorScheduler(executor, executor);
         List<Server> servers = new ArrayList<>();
         ManagedChannel channel = null;
@@ -116,7 +117,8 @@
                 Processor processor = new Processor(Processor.Model.of(2000,
                         PluginConfig.read(PluginHarness.SETTINGS).settings().rules()), time);
                 servers.add(NettyServerBuilder.forAddress(new InetSocketAddress("127.0.0.1", 0))
-                        .addService(new GrpcFront(name, processor, time, executor, Duration.ofSeconds(1), rules).service())
+                        .addService(new GrpcSessionServer(name, processor, time, executor, Duration.ofSeconds(1), rules)
+                                .service())
                         .build().start());
             }
             List<io.grpc.EquivalentAddressGroup> groups = new ArrayList<>();
@@ -134,9 +136,9 @@
                     int count = 0;
                     for (int i = 0; i < 100; i++) {
                         io.grpc.Metadata headers = new io.grpc.Metadata();
-                        headers.put(GrpcFront.CALL, clientIndex + "-" + i);
+                        headers.put(GrpcSessionServer.CALL, clientIndex + "-" + i);
                         ClientCalls.blockingUnaryCall(io.grpc.ClientInterceptors.intercept(callChannel,
-                                io.grpc.stub.MetadataUtils.newAttachHeadersInterceptor(headers)), GrpcFront.CHECK,
+                                io.grpc.stub.MetadataUtils.newAttachHeadersInterceptor(headers)), GrpcSessionServer.CHECK,
                                 CallOptions.DEFAULT, (clientIndex + "-" + i).getBytes(StandardCharsets.UTF_8));
                         count++;
                         halfDone.countDown();
@@ -149,7 +151,7 @@
             for (Future<Integer> count : answered) {
                 assertEquals(100, count.get(60, TimeUnit.SECONDS));
             }
-            assertEquals(List.of(), executor.submit(rules::broken).get());
+            assertEquals(List.of(), executor.submit(rules::violations).get());
             io.grpc.NameResolverRegistry.getDefaultRegistry().deregister(resolver);
         } finally {
             if (channel != null) {
--- a/handover/src/main/java/pathlane/handover/Handover.java
+++ b/handover/src/main/java/pathlane/handover/Handover.java
@@ -138,7 +138,7 @@
     public String summary() {
         return "lease=" + leaseHolder.token() + " lease_valid=" + leaseHolder.isValid() + " replicated=" + isReplicated()
                 + " members=" + registryClient.registry().members().size() + " records=" + replicationLog.size()
-                + " replicas=" + replicaStore.size() + " adopted=" + adopted() + " deferred=" + deferredEvents.size();
+                + " replicas=" + replicaStore.size() + " adopted=" + adoptedCount() + " deferred=" + deferredEvents.size();
     }
 
     /** The lease's token; 0 while there is none. */
@@ -159,7 +159,7 @@
     }
 
     /** The last known state of the registry. */
-    public LeaseRegistry register() {
+    public LeaseRegistry registry() {
         return registryClient.registry();
     }
 
@@ -169,7 +169,7 @@
     }
 
     /** The number of other members' calls that this controller has adopted. */
-    public long adopted() {
+    public long adoptedCount() {
         return shardAdoption.adoptedCount();
     }
 
--- a/handover/src/main/java/pathlane/handover/PeerCodec.java
+++ b/handover/src/main/java/pathlane/handover/PeerCodec.java
@@ -13,7 +13,7 @@
 import pathlane.core.CallEvent;
 import pathlane.decision.Outcome;
 import pathlane.handover.CallRecord.Kind;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * Encodes the messages between members as MessagePack: a type number, then the fields. A call id of 16 hex digits takes nine
@@ -50,12 +50,12 @@
         }
     }
 
-    /** @throws BadInput if the bytes are not a message */
+    /** @throws ProtocolException if the bytes are not a message */
     static PeerMessage decode(byte[] bytes) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return decode(unpacker);
         } catch (IOException | MessagePackException e) {
-            throw new BadInput("malformed message from a member: " + e.getMessage());
+            throw new ProtocolException("malformed message from a member: " + e.getMessage());
         }
     }
 
@@ -116,7 +116,7 @@
             case EVENT_REPLY -> new PeerMessage.EventReply(unpacker.unpackLong(), unpacker.unpackBoolean());
             case DROP_REPLICAS -> new PeerMessage.DropReplicas(unpacker.unpackLong());
             case REPLICAS_DROPPED -> new PeerMessage.ReplicasDropped(unpacker.unpackLong(), unpacker.unpackBoolean());
-            default -> throw new BadInput("unknown message type " + kind + " from a member");
+            default -> throw new ProtocolException("unknown message type " + kind + " from a member");
         };
     }
 
@@ -174,7 +174,7 @@
 
     private static CallRecord record(MessageUnpacker unpacker, int kind) throws IOException {
         if (kind < 0 || kind >= RECORD_KINDS.length) {
-            throw new BadInput("unknown record kind " + kind);
+            throw new ProtocolException("unknown record kind " + kind);
         }
         String callId = readId(unpacker);
         return switch (RECORD_KINDS[kind]) {
@@ -194,7 +194,7 @@
     private static Outcome outcome(MessageUnpacker unpacker) throws IOException {
         int ordinal = unpacker.unpackInt();
         if (ordinal < 0 || ordinal >= OUTCOMES.length) {
-            throw new BadInput("unknown outcome " + ordinal);
+            throw new ProtocolException("unknown outcome " + ordinal);
         }
         return OUTCOMES[ordinal];
     }
@@ -232,7 +232,7 @@
     private static int readItemCount(MessageUnpacker unpacker) throws IOException {
         int items = unpacker.unpackArrayHeader();
         if (items > MAX_ITEMS) {
-            throw new BadInput(items + " items exceed the limit");
+            throw new ProtocolException(items + " items exceed the limit");
         }
         return items;
     }
--- a/handover/src/main/java/pathlane/handover/PeerConnections.java
+++ b/handover/src/main/java/pathlane/handover/PeerConnections.java
@@ -27,7 +27,7 @@
 import pathlane.group.RegistryAccess;
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * The connections between members, opened on demand: one from each member to each that it sends to. Each message names the
@@ -153,7 +153,7 @@
             }
             message = PeerCodec.decode(unpacker.readPayload(unpacker.unpackBinaryHeader()));
         } catch (IOException | MessagePackException e) {
-            throw new BadInput("malformed message from a member: " + e.getMessage());
+            throw new ProtocolException("malformed message from a member: " + e.getMessage());
         }
         handler.received(from, stream, message, reply -> link.send(envelope(from, reply)));
     }
@@ -209,7 +209,7 @@
         @Override
         public void authenticated(AuthenticatedLink authenticatedLink, String name) {
             if (!name.equals(member.name())) {
-                throw new BadInput("peer authenticated as " + name + ", expected " + member.name());
+                throw new ProtocolException("peer authenticated as " + name + ", expected " + member.name());
             }
             handler.connected(member.token());
             Instant now = scheduler.now();
--- a/handover/src/main/java/pathlane/handover/Reclaim.java
+++ b/handover/src/main/java/pathlane/handover/Reclaim.java
@@ -47,7 +47,7 @@
      */
     void begin(long formerToken, Set<Integer> excluded) {
         Map<Integer, List<CallRecord>> shards = new TreeMap<>();
-        for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
+        for (int shard = 0; shard < ShardPlacement.SHARD_COUNT; shard++) {
             if (!excluded.contains(shard)) {
                 shards.put(shard, new ArrayList<>());
             }
--- a/handover/src/main/java/pathlane/handover/RecordTable.java
+++ b/handover/src/main/java/pathlane/handover/RecordTable.java
@@ -46,7 +46,7 @@
     private final List<Map<String, Entry>> shards = new ArrayList<>();
 
     RecordTable() {
-        for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
+        for (int shard = 0; shard < ShardPlacement.SHARD_COUNT; shard++) {
             shards.add(new LinkedHashMap<>());
         }
     }
--- a/handover/src/main/java/pathlane/handover/ReplicationLog.java
+++ b/handover/src/main/java/pathlane/handover/ReplicationLog.java
@@ -248,7 +248,7 @@
         Map<Long, BitSet> wanted = new HashMap<>();
         List<Long> views = replicatedView == 0 ? List.of(targetView) : List.of(replicatedView, targetView);
         for (long view : views) {
-            for (int shard = 0; shard < ShardPlacement.SHARDS; shard++) {
+            for (int shard = 0; shard < ShardPlacement.SHARD_COUNT; shard++) {
                 for (Member holder : current.replicaHolders(token, shard, view)) {
                     if (current.isLive(holder.token())) {
                         wanted.computeIfAbsent(holder.token(), any -> new BitSet()).set(shard);
--- a/handover/src/main/java/pathlane/handover/ShardAdoption.java
+++ b/handover/src/main/java/pathlane/handover/ShardAdoption.java
@@ -152,7 +152,7 @@
         Set<ShardKey> unclaimed = new HashSet<>();
         if (leaseHolder.isValid()) {
             for (OrphanedShards orphan : List.copyOf(current.orphans())) {
-                if (!replicaStore.isDropped(orphan.former().token())) {
+                if (!replicaStore.isDropped(orphan.formerOwner().token())) {
                     reconcile(current, orphan, ownToken, unclaimed);
                 }
             }
@@ -180,7 +180,7 @@
     }
 
     private void reconcile(LeaseRegistry current, OrphanedShards orphan, long ownToken, Set<ShardKey> unclaimed) {
-        long owner = orphan.former().token();
+        long owner = orphan.formerOwner().token();
         Instant now = scheduler.now();
         List<Integer> shardsToClaim = new ArrayList<>();
         orphan.owners().forEach((shard, claimer) -> {
@@ -201,7 +201,7 @@
         });
         if (!shardsToClaim.isEmpty()) {
             LOG.log(Level.INFO, "{0} shards of {1}, lease {2}, are claimed", Integer.toString(shardsToClaim.size()),
-                    orphan.former().name(), Long.toString(owner));
+                    orphan.formerOwner().name(), Long.toString(owner));
             claimedOwners.add(owner);
             registry.submit(new Command.Claim(ownToken, owner, shardsToClaim), reply -> reconcile());
         }
@@ -229,7 +229,7 @@
     }
 
     private void awaitReplicas(LeaseRegistry current, Adoption adoption, OrphanedShards orphan) {
-        long owner = orphan.former().token();
+        long owner = orphan.formerOwner().token();
         int shard = adoption.key.shard();
         replicaStore.copy(owner, shard).ifPresent(copy -> keepFreshest(adoption, owner, copy));
         for (Member successor : current.successors(orphan, shard)) {
