--- a/lab/src/main/java/pathlane/lab/Checker.java
+++ b/lab/src/main/java/pathlane/lab/Checker.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import pathlane.lab.EventRecorder.EventKind;
 import pathlane.lab.History.Event;
-import pathlane.lab.Witness.What;
 
 /**
  * Checks the invariants of each call over the history of all controllers: one final answer; never two attempts in flight;
@@ -58,8 +58,8 @@
         this.isComplete = isComplete;
         this.toleranceNanos = tolerance.toNanos();
         for (Event event : history) {
-            if (event.what() == What.DRAIN_TOLD) {
-                drainAnnouncedAt.putIfAbsent(event.who(), event.atNanos());
+            if (event.kind() == EventKind.DRAIN_TOLD) {
+                drainAnnouncedAt.putIfAbsent(event.party(), event.atNanos());
             }
             if (!event.call().isEmpty()) {
                 byCall.computeIfAbsent(event.call(), call -> new ArrayList<>()).add(event);
@@ -95,46 +95,46 @@
         boolean clientHasCall = false;
         boolean clientDisconnected = false;
         for (Event event : events) {
-            switch (event.what()) {
+            switch (event.kind()) {
                 case ASKED -> isRequested = true;
                 case REACHED -> {
                     discardLateEnds(events, event, inFlightAt);
                     discardLateEnds(events, event, establishedAt);
                     if (!inFlightAt.isEmpty() || !establishedAt.isEmpty()) {
                         addViolation("one attempt at a time",
-                                call + " reached " + event.who() + " while it was at " + inFlightAt
+                                call + " reached " + event.party() + " while it was at " + inFlightAt
                                         + establishedAt,
                                 events, event);
                     }
                     if (lostAt != Long.MIN_VALUE && event.atNanos() - lostAt < MIN_RETRY_GAP_NANOS - toleranceNanos) {
-                        addViolation("200 ms after a lost attempt", call + " reached " + event.who() + " "
+                        addViolation("200 ms after a lost attempt", call + " reached " + event.party() + " "
                                 + (event.atNanos() - lostAt) / NANOS_PER_MILLI + " ms after", events, event);
                     }
-                    Long announcedAt = drainAnnouncedAt.get(event.who());
+                    Long announcedAt = drainAnnouncedAt.get(event.party());
                     if (announcedAt != null && event.atNanos() - announcedAt > MAX_DRAIN_DELAY_NANOS + toleranceNanos) {
-                        addViolation("nothing new to a server that drains", call + " reached " + event.who() + " "
+                        addViolation("nothing new to a server that drains", call + " reached " + event.party() + " "
                                 + (event.atNanos() - announcedAt) / NANOS_PER_MILLI + " ms after its drain was announced",
                                 events, event);
                     }
-                    inFlightAt.add(event.who());
+                    inFlightAt.add(event.party());
                 }
                 case STOOD -> {
-                    inFlightAt.remove(event.who());
-                    establishedAt.add(event.who());
+                    inFlightAt.remove(event.party());
+                    establishedAt.add(event.party());
                 }
-                case TURNED_AWAY -> inFlightAt.remove(event.who());
+                case TURNED_AWAY -> inFlightAt.remove(event.party());
                 case GIVEN_UP -> {
-                    if (inFlightAt.remove(event.who())) {
+                    if (inFlightAt.remove(event.party())) {
                         lostAt = event.atNanos();
                     }
                 }
-                case ENDED, HEARD_RELEASE -> establishedAt.remove(event.who());
+                case ENDED, HEARD_RELEASE -> establishedAt.remove(event.party());
                 case GONE -> {}
                 case ANSWERED, REFUSED, FAILED -> {
                     if (++answerCount > 1) {
                         addViolation("one final answer", call + " was answered again", events, event);
                     }
-                    clientHasCall = event.what() == What.ANSWERED;
+                    clientHasCall = event.kind() == EventKind.ANSWERED;
                 }
                 case BROKEN -> clientDisconnected = true;
                 case RELEASED -> {
@@ -159,8 +159,8 @@
      * time if the recording process stalled for that long.
      */
     private void discardLateEnds(List<Event> events, Event start, Set<String> servers) {
-        servers.removeIf(server -> events.stream().anyMatch(event -> event.who().equals(server)
-                && (event.what() == What.GIVEN_UP || event.what() == What.HEARD_RELEASE)
+        servers.removeIf(server -> events.stream().anyMatch(event -> event.party().equals(server)
+                && (event.kind() == EventKind.GIVEN_UP || event.kind() == EventKind.HEARD_RELEASE)
                 && event.atNanos() >= start.atNanos()
                 && event.atNanos() - start.atNanos() <= toleranceNanos - MIN_RETRY_GAP_NANOS));
     }
--- a/lab/src/main/java/pathlane/lab/FleetConfig.java
+++ b/lab/src/main/java/pathlane/lab/ControllerConfig.java
@@ -5,9 +5,9 @@
 import java.util.stream.IntStream;
 
 /** The configuration of a controller under test, as the platform writes it to {@code RELAY_CONFIG}. */
-public final class FleetConfig {
+public final class ControllerConfig {
 
-    private FleetConfig() {}
+    private ControllerConfig() {}
 
     /**
      * Returns the JSON text.
--- a/lab/src/main/java/pathlane/lab/EventBus.java
+++ b/lab/src/main/java/pathlane/lab/EventBus.java
@@ -45,7 +45,7 @@
     }
 
     /** Publishes a change to all connected subscribers, and to the others once they connect. */
-    public void tell(long id, int index, int state, long startedMillis) {
+    public void publish(long id, int index, int state, long startedMillis) {
         changes.add(new Change(id, index, state, startedMillis));
         subscriptions.forEach(line -> line.send(changes.size()));
     }
--- a/lab/src/main/java/pathlane/lab/Witness.java
+++ b/lab/src/main/java/pathlane/lab/EventRecorder.java
@@ -2,10 +2,10 @@
 
 /** Records observed events, with timestamps of its own clock. */
 @FunctionalInterface
-public interface Witness {
+public interface EventRecorder {
 
     /** Kinds of events. */
-    enum What {
+    enum EventKind {
         /** A client has sent a call request to {@code peer}. */
         ASKED,
         /** A request was answered, refused or failed, or its connection closed first. */
@@ -36,5 +36,5 @@
      * @param call the call's id, empty if there is none
      * @param text details for people
      */
-    void note(What what, String who, String peer, String call, String text);
+    void record(EventKind what, String who, String peer, String call, String text);
 }
--- a/lab/src/main/java/pathlane/lab/Faults.java
+++ b/lab/src/main/java/pathlane/lab/Faults.java
@@ -27,17 +27,17 @@
     }
 
     private final Map<String, Direction> directions = new HashMap<>();
-    private final List<Path> paths = new ArrayList<>();
+    private final List<FaultyConnection> paths = new ArrayList<>();
 
     Direction direction(String from, String to) {
         return directions.computeIfAbsent(from + ">" + to, any -> new Direction());
     }
 
-    void opened(Path path) {
+    void opened(FaultyConnection path) {
         paths.add(path);
     }
 
-    void closed(Path path) {
+    void closed(FaultyConnection path) {
         paths.remove(path);
     }
 
@@ -48,19 +48,19 @@
     }
 
     /** Whether this direction is blocked. */
-    public boolean isCut(String from, String to) {
+    public boolean isBlocked(String from, String to) {
         return direction(from, to).isBlocked;
     }
 
     /** Blocks this direction; as with TCP, written bytes are held until it is restored or the connection is closed. */
-    public void cut(String from, String to) {
+    public void block(String from, String to) {
         direction(from, to).isBlocked = true;
     }
 
     /** Blocks both directions. */
     public void partition(String one, String other) {
-        cut(one, other);
-        cut(other, one);
+        block(one, other);
+        block(other, one);
     }
 
     /** Unblocks this direction and delivers the held bytes. */
@@ -120,16 +120,16 @@
 
     /** Resets all connections between the two parties. */
     public void reset(String one, String other) {
-        List.copyOf(paths).stream().filter(path -> path.connects(one, other)).forEach(Path::reset);
+        List.copyOf(paths).stream().filter(path -> path.connects(one, other)).forEach(FaultyConnection::reset);
     }
 
     /** Leaves each connection between the two half open: one side sees it closed, the other does not. */
-    public void halfClose(String notified, String other) {
+    public void halfOpen(String notified, String other) {
         List.copyOf(paths).stream().filter(path -> path.connects(notified, other)).forEach(path -> path.halfClose(notified));
     }
 
     /** A party's process has died: the peers of its connections see them closed. */
-    public void gone(String party) {
+    public void processDied(String party) {
         List.copyOf(paths).stream().filter(path -> path.involves(party)).forEach(path -> path.processDied(party));
     }
 
--- a/lab/src/main/java/pathlane/lab/Path.java
+++ b/lab/src/main/java/pathlane/lab/FaultyConnection.java
@@ -14,7 +14,7 @@
  * A simulated connection between two protocol state machines, with the faults of each direction applied. Bytes keep their
  * order. It has no socket of its own: the test bed connects its ends to sockets, the virtual fleet to the state machines.
  */
-public final class Path {
+public final class FaultyConnection {
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
@@ -120,7 +120,8 @@
     private int closedSides;
 
     /** Opens both ends immediately. */
-    public Path(Scheduler scheduler, Faults faults, Duration latency, String nearName, Protocol near, String farName,
+    public FaultyConnection(Scheduler scheduler, Faults faults, Duration latency, String nearName, Protocol near,
+            String farName,
             Protocol far) {
         this.scheduler = scheduler;
         this.faults = faults;
--- a/lab/src/main/java/pathlane/lab/History.java
+++ b/lab/src/main/java/pathlane/lab/History.java
@@ -9,22 +9,23 @@
  * The events that the simulated parties observed and the actions of the test bed, in order of time. Safe for threads:
  * every part records events, and scenarios wait here for expected ones.
  */
-public final class History implements Witness {
+public final class History implements EventRecorder {
 
     /**
      * One recorded event.
      *
      * @param atNanos time since the history was created
-     * @param who the client, server or process that observed or was affected by it
+     * @param party the client, server or process that observed or was affected by it
      * @param peer the other party, empty if there is none
      * @param call the call's id, empty if there is none
      * @param text details for people
      */
-    public record Event(long atNanos, What what, String who, String peer, String call, String text) {
+    public record Event(long atNanos, EventKind kind, String party, String peer, String call, String text) {
 
         @Override
         public String toString() {
-            return String.format("%10.3f ms %-13s %s%s%s%s", atNanos / 1e6, what, who, peer.isEmpty() ? "" : " with " + peer,
+            return String.format("%10.3f ms %-13s %s%s%s%s", atNanos / 1e6, kind, party,
+                    peer.isEmpty() ? "" : " with " + peer,
                     call.isEmpty() ? "" : " call " + call, text.isEmpty() ? "" : ": " + text);
         }
     }
@@ -40,7 +41,7 @@
     }
 
     @Override
-    public synchronized void note(What what, String who, String peer, String call, String text) {
+    public synchronized void record(EventKind what, String who, String peer, String call, String text) {
         events.add(new Event(nanos.getAsLong() - startedAt, what, who, peer, call, text));
         notifyAll();
     }
--- a/lab/src/main/java/pathlane/lab/ScriptedCaller.java
+++ b/lab/src/main/java/pathlane/lab/SimulatedClient.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import pathlane.core.CloseReason;
-import pathlane.lab.Witness.What;
+import pathlane.lab.EventRecorder.EventKind;
 import pathlane.transport.Connection;
 import pathlane.transport.Protocol;
 import pathlane.wire.FrameAssembler;
@@ -21,7 +21,7 @@
  * Simulated clients of one front: they request and release calls and are notified on any of their connections. Not safe
  * for threads.
  */
-public final class ScriptedCaller {
+public final class SimulatedClient {
 
     private static final int CAUSE_NORMAL_END = 16;
     private static final int RADIX = 16;
@@ -33,7 +33,7 @@
 
     private final String name;
     private final Front front;
-    private final Witness history;
+    private final EventRecorder history;
     private final Map<String, Link> links = new HashMap<>();
     private final Map<String, String> pending = new LinkedHashMap<>();
     private final Map<String, String> established = new LinkedHashMap<>();
@@ -42,7 +42,7 @@
     private Consumer<String> onRefused = call -> {};
 
     /** {@code base} keeps its call ids apart from those of other clients. */
-    public ScriptedCaller(String name, long firstId, Front front, Witness history) {
+    public SimulatedClient(String name, long firstId, Front front, EventRecorder history) {
         this.name = name;
         this.firstId = firstId;
         this.front = front;
@@ -72,7 +72,7 @@
      * Requests a call from a controller, for the server with this index in the list. Returns the call's id, or null if the
      * controller is not connected.
      */
-    public String ask(String controller, int index, String callClass, Duration deadline) {
+    public String requestCall(String controller, int index, String callClass, Duration deadline) {
         Link link = links.get(controller);
         if (link == null || link.connection == null) {
             return null;
@@ -91,13 +91,13 @@
     }
 
     private String write(Link link, long id, int index, String callClass, Duration deadline) {
-        Message message = new Message(Message.SET_UP, id).with(Message.CLASS, callClass)
-                .with(Message.PATIENCE, Long.toString(deadline.toMillis()))
-                .with(Message.NUMBER, "n" + id)
-                .with(Message.FIGURES, "dest:" + index + ";width:1;via:-1")
+        Message message = new Message(Message.CALL_REQUEST, id).with(Message.CALL_CLASS, callClass)
+                .with(Message.REMAINING_DEADLINE, Long.toString(deadline.toMillis()))
+                .with(Message.DESTINATION, "n" + id)
+                .with(Message.ROUTING_PARAMETERS, "dest:" + index + ";width:1;via:-1")
                 .with(Message.DESCRIPTION, new byte[] {1, 2});
         pending.put(message.id(), link.controller);
-        history.note(What.ASKED, name, link.controller, message.id(), "");
+        history.record(EventKind.ASKED, name, link.controller, message.id(), "");
         link.connection.write(message.bytes());
         return message.id();
     }
@@ -111,7 +111,7 @@
         if (link == null || established.remove(call) == null) {
             return false;
         }
-        history.note(What.RELEASED, name, link.controller, call, "");
+        history.record(EventKind.RELEASED, name, link.controller, call, "");
         link.release(call);
         return true;
     }
@@ -122,7 +122,7 @@
     }
 
     /** The number of requests that wait for an answer. */
-    public int open() {
+    public int pendingRequests() {
         return pending.size();
     }
 
@@ -157,15 +157,16 @@
             if (message.type == Message.ANSWER) {
                 pending.remove(call);
                 established.put(call, controller);
-                history.note(What.ANSWERED, name, controller, call, "");
+                history.record(EventKind.ANSWERED, name, controller, call, "");
             } else if (message.type == Message.RELEASE && pending.remove(call) != null) {
                 int cause = message.cause();
-                history.note(cause == 34 || cause == 42 || cause == 102 ? What.REFUSED : What.FAILED, name, controller, call,
+                history.record(cause == 34 || cause == 42 || cause == 102 ? EventKind.REFUSED : EventKind.FAILED, name,
+                        controller, call,
                         "cause " + cause);
                 onRefused.accept(call);
             } else if (message.type == Message.RELEASE) {
                 established.remove(call);
-                history.note(What.TOLD_OVER, name, controller, call, "cause " + message.cause());
+                history.record(EventKind.TOLD_OVER, name, controller, call, "cause " + message.cause());
             }
         }
 
@@ -183,7 +184,7 @@
             });
             broken.forEach(call -> {
                 pending.remove(call);
-                history.note(What.BROKEN, name, controller, call, reason.toString());
+                history.record(EventKind.BROKEN, name, controller, call, reason.toString());
                 onRefused.accept(call);
             });
         }
--- a/lab/src/main/java/pathlane/lab/ProcessTime.java
+++ b/lab/src/main/java/pathlane/lab/SimulatedProcess.java
@@ -14,7 +14,7 @@
  * The scheduler of one simulated process, which can be stopped, resumed and killed and has a monotonic clock that may run
  * fast or slow. Due timers and received bytes are queued while the process is stopped.
  */
-public final class ProcessTime implements Scheduler {
+public final class SimulatedProcess implements Scheduler {
 
     private final Scheduler world;
     private final Instant startedAt;
@@ -26,7 +26,7 @@
     private Duration lag = Duration.ZERO;
 
     /** {@code speed} is the rate of its monotonic clock relative to real time. */
-    public ProcessTime(Scheduler world, double clockRate) {
+    public SimulatedProcess(Scheduler world, double clockRate) {
         this.world = world;
         this.clockRate = clockRate;
         this.startedAt = world.now();
@@ -56,7 +56,7 @@
     }
 
     /** Resumes the process, as SIGCONT does, and runs the queued tasks in order. */
-    public void goOn() {
+    public void resume() {
         if (stopped) {
             stopped = false;
             lag = Duration.between(stoppedAt, world.now());
@@ -88,7 +88,7 @@
     }
 
     /** Wraps a protocol of this process: it receives events only after the process resumes, and none once it is dead. */
-    public Protocol own(Protocol protocol) {
+    public Protocol guard(Protocol protocol) {
         return new Protocol() {
             @Override
             public void opened(Connection connection) {
--- a/lab/src/main/java/pathlane/lab/SessionServer.java
+++ b/lab/src/main/java/pathlane/lab/SimulatedServer.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import pathlane.core.CloseReason;
 import pathlane.core.Scheduler;
-import pathlane.lab.Witness.What;
+import pathlane.lab.EventRecorder.EventKind;
 import pathlane.transport.Connection;
 import pathlane.transport.Protocol;
 import pathlane.wire.Cause;
@@ -22,7 +22,7 @@
  * connection of its request or, if that is closed, any open one; the end of a call is also repeated on the next connection
  * that opens. Calls end on request or after a fixed duration.
  */
-public final class SessionServer {
+public final class SimulatedServer {
 
     private static final Duration CAPACITY_REPORT_INTERVAL = Duration.ofSeconds(1);
 
@@ -39,7 +39,7 @@
     private final Scheduler scheduler;
     private final Duration answerDelay;
     private final Duration callDuration;
-    private final Witness history;
+    private final EventRecorder history;
     private final Map<String, Call> calls = new LinkedHashMap<>();
     private final Set<Link> links = new LinkedHashSet<>();
     private final List<Message> undelivered = new ArrayList<>();
@@ -52,7 +52,8 @@
      * @param answerDelay time from a request to its answer
      * @param callDuration duration of an established call; zero: until it is released or ended
      */
-    public SessionServer(String name, Scheduler scheduler, Duration answerDelay, Duration callDuration, Witness history) {
+    public SimulatedServer(String name, Scheduler scheduler, Duration answerDelay, Duration callDuration,
+            EventRecorder history) {
         this.name = name;
         this.scheduler = scheduler;
         this.answerDelay = answerDelay;
@@ -92,8 +93,8 @@
         Call call = calls.get(id);
         if (call != null && call.isEstablished) {
             calls.remove(id);
-            history.note(What.ENDED, name, call.link.from, id, "");
-            Message released = new Message(Message.RELEASE, id).withCause(Cause.OVER);
+            history.record(EventKind.ENDED, name, call.link.from, id, "");
+            Message released = new Message(Message.RELEASE, id).withCause(Cause.NORMAL_CLEARING);
             send(call.link, released);
             if (!undelivered.contains(released)) {
                 undelivered.add(released);   // repeated on the next connection that opens
@@ -105,7 +106,7 @@
     public void crash() {
         isDown = true;
         calls.forEach(
-                (id, call) -> history.note(call.isEstablished ? What.ENDED : What.GIVEN_UP, name, "", id,
+                (id, call) -> history.record(call.isEstablished ? EventKind.ENDED : EventKind.GIVEN_UP, name, "", id,
                         "the process died"));
         calls.clear();
         undelivered.clear();
@@ -125,7 +126,7 @@
     }
 
     private void reportCapacity(Link link) {
-        link.write(new Message(Message.GROUP_STATE, 0).with(Message.STATE, "free:100000;size:100000"));
+        link.write(new Message(Message.CAPACITY_REPORT, 0).with(Message.CAPACITY, "free:100000;size:100000"));
     }
 
     private void send(Link preferred, Message message) {
@@ -170,21 +171,22 @@
         private void message(Message message) {
             String id = message.id();
             switch (message.type) {
-                case Message.SET_UP -> startAttempt(id, message);
+                case Message.CALL_REQUEST -> startAttempt(id, message);
                 case Message.RELEASE -> {
                     Call call = calls.remove(id);
                     if (call != null) {
-                        history.note(call.isEstablished ? What.HEARD_RELEASE : What.GIVEN_UP, name, from, id, "");
+                        history.record(call.isEstablished ? EventKind.HEARD_RELEASE : EventKind.GIVEN_UP, name, from, id,
+                                "");
                     }
-                    write(new Message(Message.RELEASE_HEARD, id));
+                    write(new Message(Message.RELEASE_COMPLETE, id));
                 }
-                case Message.TEST -> write(new Message(Message.TEST_RESULT, id).withCause(1));
+                case Message.HEALTH_CHECK -> write(new Message(Message.HEALTH_CHECK_RESULT, id).withCause(1));
                 default -> {}
             }
         }
 
         private void startAttempt(String id, Message message) {
-            history.note(What.REACHED, name, from, id, "");
+            history.record(EventKind.REACHED, name, from, id, "");
             Call call = new Call(this);
             calls.put(id, call);
             if (isAnswering) {
@@ -198,7 +200,7 @@
                 return;
             }
             call.isEstablished = true;
-            history.note(What.STOOD, name, from, id, "");
+            history.record(EventKind.STOOD, name, from, id, "");
             send(this, new Message(Message.ANSWER, id).with(Message.DESCRIPTION, description));
             if (!callDuration.isZero()) {
                 scheduler.after(callDuration, () -> {
@@ -216,7 +218,7 @@
             List.copyOf(calls.entrySet()).forEach(one -> {
                 if (one.getValue().link == this && !one.getValue().isEstablished) {
                     calls.remove(one.getKey());
-                    history.note(What.GIVEN_UP, name, from, one.getKey(), "its connection closed");
+                    history.record(EventKind.GIVEN_UP, name, from, one.getKey(), "its connection closed");
                 }
             });
         }
--- a/lab/src/main/java/pathlane/lab/VirtualFleet.java
+++ b/lab/src/main/java/pathlane/lab/VirtualFleet.java
@@ -47,7 +47,7 @@
     public final class Controller {
         final String name;
         final int index;
-        ProcessTime time;
+        SimulatedProcess time;
         PlatformFront front;
         Handover handover;
 
@@ -58,9 +58,10 @@
 
         /** Starts a new process with this controller's name. */
         void start() {
-            time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * shape.lease.drift() * 0.9);
-            ProcessTime processTime = time;
-            Connector connector = (address, timeout, protocol) -> connect(name, address, timeout, processTime.own(protocol));
+            time = new SimulatedProcess(world, 1 + (random.nextDouble() - 0.5) * 2 * shape.lease.drift() * 0.9);
+            SimulatedProcess processTime = time;
+            Connector connector =
+                    (address, timeout, protocol) -> connect(name, address, timeout, processTime.guard(protocol));
             AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> KEYS, () -> nonce(random),
                     processTime, new RateLimitedLog("group", processTime));
             handover =
@@ -70,7 +71,7 @@
                                     Duration.ofSeconds(2),
                                     Duration.ofMillis(215)),
                             random.nextLong(), voterAddresses(), connector, common, processTime::nanos);
-            front = new PlatformFront(NodeConfig.parse(FleetConfig.text(name, CALLER_PORT + index, shape.servers,
+            front = new PlatformFront(NodeConfig.parse(ControllerConfig.text(name, CALLER_PORT + index, shape.servers,
                     server -> SERVER_PORT + server, BUS_PORT, shape.controllers, random.nextLong() >>> 1)), connector,
                     processTime,
                     () -> true, Optional::empty, handover);
@@ -80,7 +81,7 @@
         /** Kills the process. */
         void kill() {
             time.kill();
-            faults.gone(name);
+            faults.processDied(name);
         }
 
         boolean isUp() {
@@ -94,12 +95,12 @@
     private final Faults faults = new Faults();
     private final History history;
     private final List<Controller> controllers = new ArrayList<>();
-    private final List<SessionServer> servers = new ArrayList<>();
+    private final List<SimulatedServer> servers = new ArrayList<>();
     private final Map<Integer, Function<String, Protocol>> listeners = new HashMap<>();
     private final Map<Integer, String> ownerByPort = new HashMap<>();
     private final List<VirtualVoter> voters = new ArrayList<>();
     private final EventBus bus;
-    private final ScriptedCaller clients;
+    private final SimulatedClient clients;
 
     /** Starts all parties. */
     public VirtualFleet(Shape shape, long seed) {
@@ -110,7 +111,8 @@
         this.bus = new EventBus(world, (controller, place) -> SERVER_PORT + place);
         listen(BUS_PORT, "bus", bus::accept);
         for (int i = 0; i < shape.servers; i++) {
-            SessionServer server = new SessionServer("s" + (i + 1), world, shape.answerDelay, shape.callDuration, history);
+            SimulatedServer server =
+                    new SimulatedServer("s" + (i + 1), world, shape.answerDelay, shape.callDuration, history);
             servers.add(server);
             listen(SERVER_PORT + i, "s" + (i + 1), from -> server.isUp() ? server.accept(from) : null);
         }
@@ -124,12 +126,12 @@
             Controller controller = new Controller(i);
             controllers.add(controller);
             listen(CALLER_PORT + i, controller.name, from -> controller.isUp()
-                    ? controller.time.own(controller.front.accept()) : null);
+                    ? controller.time.guard(controller.front.accept()) : null);
             listen(MEMBER_PORT + i, controller.name, from -> controller.isUp()
-                    ? controller.time.own(controller.handover.accept()) : null);
+                    ? controller.time.guard(controller.handover.accept()) : null);
             controller.start();
         }
-        clients = new ScriptedCaller("callers", 0x1000, (name, protocol) -> {
+        clients = new SimulatedClient("callers", 0x1000, (name, protocol) -> {
             int place = Integer.parseInt(name.substring(1)) - 1;
             connect("callers", new InetSocketAddress("127.0.0.1", CALLER_PORT + place), Duration.ofMillis(500), protocol);
         }, history);
@@ -167,7 +169,7 @@
             if (accepted == null) {
                 protocol.closed(CloseReason.REFUSED);
             } else {
-                new Path(world, faults, LATENCY, from, protocol, to, accepted);
+                new FaultyConnection(world, faults, LATENCY, from, protocol, to, accepted);
             }
         });
     }
@@ -190,7 +192,7 @@
         return controllers;
     }
 
-    public List<SessionServer> servers() {
+    public List<SimulatedServer> servers() {
         return servers;
     }
 
@@ -198,7 +200,7 @@
         return voters;
     }
 
-    public ScriptedCaller clients() {
+    public SimulatedClient clients() {
         return clients;
     }
 
@@ -214,7 +216,7 @@
     /** Advances time until a condition holds, polling every 50 ms; false if it did not hold within the timeout. */
     public boolean advanceUntil(Duration timeout, java.util.function.BooleanSupplier condition) {
         for (long left = timeout.toMillis(); left > 0 && !condition.getAsBoolean(); left -= 50) {
-            world.pass(50);
+            world.advance(50);
         }
         return condition.getAsBoolean();
     }
--- a/lab/src/main/java/pathlane/lab/VirtualTakeover.java
+++ b/lab/src/main/java/pathlane/lab/VirtualTakeover.java
@@ -38,13 +38,13 @@
         for (int run = 1; run <= runs; run++) {
             VirtualFleet fleet = fleet(controllers, run);
             fleet.clients().connect(OWNER);
-            fleet.world().pass(TICK_MILLIS);
+            fleet.world().advance(TICK_MILLIS);
             for (int tries = 0; fleet.clients().established().size() < calls; tries++) {
-                int missing = calls - fleet.clients().established().size() - fleet.clients().open();
+                int missing = calls - fleet.clients().established().size() - fleet.clients().pendingRequests();
                 for (int i = Math.min(missing, MAX_REQUESTS_PER_TICK); i > 0; i--) {
-                    fleet.clients().ask(OWNER, i % SERVERS, "status-check", REQUEST_DEADLINE);
+                    fleet.clients().requestCall(OWNER, i % SERVERS, "status-check", REQUEST_DEADLINE);
                 }
-                fleet.world().pass(TICK_MILLIS);
+                fleet.world().advance(TICK_MILLIS);
                 if (tries > calls) {
                     throw new IllegalStateException("the calls are not established");
                 }
@@ -52,11 +52,11 @@
             Controller owner = fleet.controllers().get(0);
             // Spreads the kills over the interval between two lease renewals.
             fleet.advanceUntil(Duration.ofSeconds(30), owner.handover::isReplicated);
-            fleet.world().pass(run * LeaseTerms.DEFAULT.renewInterval().toMillis() / runs);
+            fleet.world().advance(run * LeaseTerms.DEFAULT.renewalInterval().toMillis() / runs);
             owner.kill();
             long waitedMillis = 0;
-            while (fleet.running().stream().mapToLong(one -> one.handover.adopted()).sum() < calls) {
-                fleet.world().pass(TICK_MILLIS);
+            while (fleet.running().stream().mapToLong(one -> one.handover.adoptedCount()).sum() < calls) {
+                fleet.world().advance(TICK_MILLIS);
                 waitedMillis += TICK_MILLIS;
                 if (waitedMillis > Duration.ofMinutes(2).toMillis()) {
                     throw new IllegalStateException("not all calls were adopted");
@@ -70,9 +70,9 @@
     /** Total bytes per second of a group of idle controllers: members to voters, voters to members, among members. */
     static List<Long> measureIdleTraffic(int controllers, int seconds) {
         VirtualFleet fleet = fleet(controllers, 1);
-        fleet.world().pass(Duration.ofSeconds(20).toMillis());   // until the last member's records are replicated
+        fleet.world().advance(Duration.ofSeconds(20).toMillis());   // until the last member's records are replicated
         List<Long> before = bytesWritten(fleet);
-        fleet.world().pass(Duration.ofSeconds(seconds).toMillis());
+        fleet.world().advance(Duration.ofSeconds(seconds).toMillis());
         List<Long> after = bytesWritten(fleet);
         List<Long> rates = new ArrayList<>();
         for (int i = 0; i < before.size(); i++) {
--- a/lab/src/main/java/pathlane/lab/VirtualVoter.java
+++ b/lab/src/main/java/pathlane/lab/VirtualVoter.java
@@ -26,7 +26,7 @@
     private final KeyRing keys;
     private final MemoryStore store = new MemoryStore();
     private List<VirtualVoter> voters = List.of();
-    private ProcessTime time;
+    private SimulatedProcess time;
     private Voter voter;
     private RaftLog log;
 
@@ -44,7 +44,7 @@
         return name;
     }
 
-    ProcessTime time() {
+    SimulatedProcess time() {
         return time;
     }
 
@@ -53,13 +53,13 @@
     }
 
     Protocol accept() {
-        return time.own(voter.accept());
+        return time.guard(voter.accept());
     }
 
     void start(List<VirtualVoter> group) {
         voters = group;
-        time = new ProcessTime(world, 1 + (random.nextDouble() - 0.5) * 2 * lease.drift() * 0.9);
-        ProcessTime processTime = time;
+        time = new SimulatedProcess(world, 1 + (random.nextDouble() - 0.5) * 2 * lease.drift() * 0.9);
+        SimulatedProcess processTime = time;
         AuthenticatedLink.Context common = new AuthenticatedLink.Context(name, () -> keys, () -> {
             byte[] nonce = new byte[NONCE_BYTES];
             random.nextBytes(nonce);
@@ -95,7 +95,7 @@
     void kill() {
         if (isUp()) {
             time.kill();
-            faults.gone(name);
+            faults.processDied(name);
         }
     }
 
--- a/lab/src/main/java/pathlane/lab/capacity/measure/FixedRateClient.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/FixedRateClient.java
@@ -50,9 +50,10 @@
     /** Requests a call that was scheduled for this time of {@link System#nanoTime}. */
     void request(long id, int destination, long scheduledNanos) throws IOException {
         scheduledNanosByCall.put(id, scheduledNanos);
-        write(new Message(Message.SET_UP, id).with(Message.CLASS, CALL_CLASS)
-                .with(Message.PATIENCE, REMAINING_DEADLINE_MILLIS)
-                .with(Message.NUMBER, "n" + id).with(Message.FIGURES, "dest:" + destination + ";width:1;via:-1")
+        write(new Message(Message.CALL_REQUEST, id).with(Message.CALL_CLASS, CALL_CLASS)
+                .with(Message.REMAINING_DEADLINE, REMAINING_DEADLINE_MILLIS)
+                .with(Message.DESTINATION, "n" + id)
+                .with(Message.ROUTING_PARAMETERS, "dest:" + destination + ";width:1;via:-1")
                 .with(Message.DESCRIPTION, new byte[] {1, 2}));
     }
 
@@ -74,7 +75,7 @@
     }
 
     private void handleResponse(Message message) {
-        Long scheduledNanos = scheduledNanosByCall.remove(message.call);
+        Long scheduledNanos = scheduledNanosByCall.remove(message.callId);
         if (scheduledNanos == null) {
             return;
         }
@@ -86,7 +87,7 @@
         answered.incrementAndGet();
         if (releases) {
             try {
-                write(new Message(Message.RELEASE, message.call).withCause(NORMAL_RELEASE_CAUSE));
+                write(new Message(Message.RELEASE, message.callId).withCause(NORMAL_RELEASE_CAUSE));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/ListCost.java
@@ -17,7 +17,7 @@
 import pathlane.decision.RoutingPolicy;
 import pathlane.decision.ServerStatus;
 import pathlane.decision.policy.AdaptiveRoutingPolicy;
-import pathlane.lab.FleetConfig;
+import pathlane.lab.ControllerConfig;
 import pathlane.platform.PlatformFront;
 import pathlane.standin.VirtualTime;
 import pathlane.transport.Connection;
@@ -140,7 +140,7 @@
     }
 
     private static String config(int size) {
-        return FleetConfig.text("n1", CLIENT_PORT, size, place -> SERVER_PORT, BUS_PORT, CONTROLLERS, 7);
+        return ControllerConfig.text("n1", CLIENT_PORT, size, place -> SERVER_PORT, BUS_PORT, CONTROLLERS, 7);
     }
 
     /** A platform front whose only connection is the one to the bus. */
@@ -169,7 +169,7 @@
                 }
             }, time, () -> true, Optional::empty);
             bus.opened(this);
-            time.pass(STARTUP_TIME);
+            time.advance(STARTUP_TIME);
         }
 
         void changeOne() {
--- a/lab/src/main/java/pathlane/lab/capacity/measure/RegistryCost.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/RegistryCost.java
@@ -14,9 +14,9 @@
 
     static void measure(Path home, Recorder recorder, int repetitions) throws IOException, InterruptedException {
         for (int members : MEMBERS) {
-            List<IdleGroup.Second> seconds = IdleGroup.measure(home, members, repetitions);
+            List<IdleGroup.CostPerSecond> seconds = IdleGroup.measure(home, members, repetitions);
             for (int repetition = 1; repetition <= seconds.size(); repetition++) {
-                IdleGroup.Second second = seconds.get(repetition - 1);
+                IdleGroup.CostPerSecond second = seconds.get(repetition - 1);
                 recorder.record("register-member-bytes-per-second", members, repetition, second.memberToVoters());
                 recorder.record("group-member-bytes-per-second", members, repetition, second.memberToMembers());
                 recorder.record("register-voter-bytes-per-second", members, repetition, second.voterToMembers());
--- a/lab/src/main/java/pathlane/lab/capacity/measure/SimulatedPlatform.java
+++ b/lab/src/main/java/pathlane/lab/capacity/measure/SimulatedPlatform.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 import java.util.function.IntUnaryOperator;
+import pathlane.lab.ControllerConfig;
 import pathlane.lab.EventBus;
-import pathlane.lab.FleetConfig;
-import pathlane.lab.SessionServer;
+import pathlane.lab.SimulatedServer;
 import pathlane.lab.rig.Ports;
 import pathlane.lab.rig.RigLoop;
 
@@ -29,16 +29,16 @@
     private final RigLoop loop = new RigLoop();
     private final TrafficCounter sentByBus = new TrafficCounter();
     private final TrafficCounter sentByServers = new TrafficCounter();
-    private final int clientPort = Ports.free();
-    private final int serverPort = Ports.free();
-    private final int busPort = Ports.free();
+    private final int clientPort = Ports.findFree();
+    private final int serverPort = Ports.findFree();
+    private final int busPort = Ports.findFree();
     private final EventBus bus;
     private volatile int generations;
     private volatile long events;
 
     SimulatedPlatform() throws InterruptedException {
         bus = loop.call(() -> new EventBus(loop, (controller, place) -> UNUSED_PORT));
-        SessionServer servers = loop.call(() -> new SessionServer("servers", loop, Duration.ZERO, Duration.ZERO,
+        SimulatedServer servers = loop.call(() -> new SimulatedServer("servers", loop, Duration.ZERO, Duration.ZERO,
                 (what, who, peer, call, text) -> {}));
         loop.listen(serverPort, LISTEN_BACKLOG, () -> sentByServers.counting(servers.accept("n1")));
         loop.listen(busPort, () -> sentByBus.counting(bus.accept("n1")));
@@ -47,7 +47,7 @@
     /** Returns a controller's configuration in which the first servers accept connections, and the others refuse them. */
     String config(int listed, int reachable) {
         IntUnaryOperator port = index -> index < reachable ? serverPort : UNUSED_PORT;
-        String config = FleetConfig.text("n1", clientPort, listed, port, busPort, CONTROLLERS, SEED);
+        String config = ControllerConfig.text("n1", clientPort, listed, port, busPort, CONTROLLERS, SEED);
         return reachable == 0 ? config
                 : config.replace("\"sockets\":" + DEFAULT_DESCRIPTORS, "\"sockets\":" + DESCRIPTORS_FOR_MANY_SERVERS);
     }
@@ -68,7 +68,7 @@
         long due = before + (long) ((System.nanoTime() - start) / NANOS_IN_SECOND * perSecond);
         while (events < due) {
             int index = (int) (events / 2 % listed);
-            bus.tell(index + 1, index, events++ % 2 == 0 ? BusFrames.DRAINING : BusFrames.READY, 0);
+            bus.publish(index + 1, index, events++ % 2 == 0 ? BusFrames.DRAINING : BusFrames.READY, 0);
         }
         loop.after(TICK_INTERVAL, () -> tick(perSecond, listed, start, before, generation));
     }
--- a/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
+++ b/lab/src/main/java/pathlane/lab/discovery/DiscoveryFleet.java
@@ -18,8 +18,8 @@
 import pathlane.discovery.WatchTerms;
 import pathlane.group.KeyRing;
 import pathlane.lab.Faults;
-import pathlane.lab.Path;
-import pathlane.lab.ProcessTime;
+import pathlane.lab.FaultyConnection;
+import pathlane.lab.SimulatedProcess;
 import pathlane.standin.VirtualTime;
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
@@ -155,21 +155,22 @@
 
     /** Returns a connector that connects on behalf of the current incarnation of a process. */
     Connector connector(FleetProcess subscriber) {
-        ProcessTime incarnationTime = subscriber.time();
+        SimulatedProcess incarnationTime = subscriber.time();
         return (address, timeout, protocol) -> connect(subscriber, incarnationTime, address, timeout, protocol);
     }
 
-    private void connect(FleetProcess subscriber, ProcessTime incarnationTime, InetSocketAddress address, Duration timeout,
+    private void connect(FleetProcess subscriber, SimulatedProcess incarnationTime, InetSocketAddress address,
+            Duration timeout,
             Protocol protocol) {
         FleetProcess publisher = listeners.get(address.getPort());
         String from = subscriber.name();
         String to = publisher.name();
-        Protocol ownProtocol = incarnationTime.own(protocol);
+        Protocol ownProtocol = incarnationTime.guard(protocol);
         virtualTime.after(LATENCY, () -> {
             if (incarnationTime.isDead()) {
                 return;
             }
-            if (faults.isCut(from, to) || faults.isCut(to, from)) {
+            if (faults.isBlocked(from, to) || faults.isBlocked(to, from)) {
                 virtualTime.after(timeout, () -> ownProtocol.closed(CloseReason.CONNECT_TIMED_OUT));
                 return;
             }
@@ -181,8 +182,8 @@
             ObservedLink link = new ObservedLink(subscriber, publisher, trace, observer);
             links.computeIfAbsent(to + "#" + publisher.incarnation(), any -> new ArrayList<>()).add(link);
             trace.record(from, "connects to " + to);
-            new Path(virtualTime, faults, LATENCY, from, incarnationTime.own(link.atSubscriber(protocol)), to,
-                    publisher.time().own(link.atPublisher(accepted.get())));
+            new FaultyConnection(virtualTime, faults, LATENCY, from, incarnationTime.guard(link.atSubscriber(protocol)), to,
+                    publisher.time().guard(link.atPublisher(accepted.get())));
         });
     }
 
@@ -262,7 +263,7 @@
     void advance(Duration time) {
         for (Duration remaining = time; !remaining.isZero() && violations.isEmpty();) {
             Duration step = remaining.compareTo(CHECK_INTERVAL) < 0 ? remaining : CHECK_INTERVAL;
-            virtualTime.pass(step);
+            virtualTime.advance(step);
             progress.check();
             remaining = remaining.minus(step);
         }
--- a/lab/src/main/java/pathlane/lab/discovery/FaultInjector.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FaultInjector.java
@@ -129,7 +129,7 @@
     }
 
     private void halfClose(FleetProcess notified, FleetProcess other) {
-        fleet.faults().halfClose(notified.name(), other.name());
+        fleet.faults().halfOpen(notified.name(), other.name());
     }
 
     private void blockOneLink() {
@@ -141,9 +141,9 @@
     }
 
     private void blockTraffic(FleetProcess from, FleetProcess to, boolean bothWays) {
-        fleet.faults().cut(from.name(), to.name());
+        fleet.faults().block(from.name(), to.name());
         if (bothWays) {
-            fleet.faults().cut(to.name(), from.name());
+            fleet.faults().block(to.name(), from.name());
         }
     }
 
--- a/lab/src/main/java/pathlane/lab/discovery/FleetProcess.java
+++ b/lab/src/main/java/pathlane/lab/discovery/FleetProcess.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 import pathlane.group.AuthenticatedLink;
-import pathlane.lab.ProcessTime;
+import pathlane.lab.SimulatedProcess;
 import pathlane.transport.Protocol;
 import pathlane.transport.RateLimitedLog;
 
@@ -15,7 +15,7 @@
     private final String zone;
     private final String region;
     private final InetSocketAddress address;
-    private ProcessTime time;
+    private SimulatedProcess time;
     private int incarnation;
 
     FleetProcess(DiscoveryFleet fleet, String name, String zone, String region, int port) {
@@ -52,7 +52,7 @@
         return address;
     }
 
-    ProcessTime time() {
+    SimulatedProcess time() {
         return time;
     }
 
@@ -76,7 +76,7 @@
             return;
         }
         incarnation++;
-        time = new ProcessTime(fleet.virtualTime(), 1);
+        time = new SimulatedProcess(fleet.virtualTime(), 1);
         fleet.trace().record(name, "starts, incarnation " + incarnation);
         startStateMachines(
                 new AuthenticatedLink.Context(name, fleet::keys, fleet::nonce, time, new RateLimitedLog("discovery", time)));
@@ -87,7 +87,7 @@
         if (isUp()) {
             fleet.trace().record(name, "is killed");
             time.kill();
-            fleet.faults().gone(name);
+            fleet.faults().processDied(name);
         }
     }
 
@@ -98,7 +98,7 @@
 
     void resume() {
         fleet.trace().record(name, "resumes");
-        time.goOn();
+        time.resume();
     }
 
     @Override
--- a/lab/src/main/java/pathlane/lab/discovery/ProgressInvariants.java
+++ b/lab/src/main/java/pathlane/lab/discovery/ProgressInvariants.java
@@ -23,7 +23,7 @@
     ProgressInvariants(DiscoveryFleet fleet, Violations violations) {
         this.fleet = fleet;
         this.violations = violations;
-        this.countedAfterClose = fleet.shape().terms().deadAfter().plusSeconds(4);
+        this.countedAfterClose = fleet.shape().terms().acknowledgeTimeout().plusSeconds(4);
     }
 
     /** Checks the current report at the source. */
--- a/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
+++ b/lab/src/main/java/pathlane/lab/rig/DiscoveryRig.java
@@ -18,9 +18,9 @@
 import java.util.regex.Pattern;
 import pathlane.decision.ServerStatus;
 import pathlane.discovery.WatchTerms.PublisherAddress;
+import pathlane.lab.EventRecorder.EventKind;
 import pathlane.lab.Faults;
 import pathlane.lab.History;
-import pathlane.lab.Witness.What;
 
 /**
  * Test bed for discovery with real processes on loopback: a source {@code s} and relays, each a process of the built jar,
@@ -88,9 +88,9 @@
         publishedServers = new PublishedServers(loop, shape.services);
         clients = new WatchClients(loop, publishedServers, relay, random);
         Path jar = projectRoot.resolve("relay/target/pathlane-relay.jar");
-        ports.put(SOURCE, Ports.free());
+        ports.put(SOURCE, Ports.findFree());
         for (RelayShape one : shape.relays) {
-            ports.put(one.name, Ports.free());
+            ports.put(one.name, Ports.findFree());
         }
         addProcess(SOURCE, jar, sourceSettings());
         for (RelayShape one : shape.relays) {
@@ -109,7 +109,7 @@
     }
 
     private String sourceSettings() throws InterruptedException {
-        int port = Ports.free();
+        int port = Ports.findFree();
         links.put(SOURCE + ">" + BUS,
                 loop.listen(port, () -> relay.forwardTo(SOURCE, BUS, publishedServers.accept(SOURCE))));
         StringBuilder services = new StringBuilder("[services]\n");
@@ -124,7 +124,7 @@
         StringBuilder text = new StringBuilder(commonSettings("relay", one.name)).append("zone = '").append(one.zone)
                 .append("'\nregion = '").append(one.region).append("'\n");
         for (String upstream : one.upstreams) {
-            int port = Ports.free();
+            int port = Ports.findFree();
             InetSocketAddress target = new InetSocketAddress(HOST, ports.get(upstream));
             links.put(one.name + ">" + upstream, loop.listen(port, () -> relay.forward(one.name, upstream, target)));
             PublisherAddress address = publisherAddress(upstream);
@@ -215,8 +215,8 @@
     /** Blocks both directions between two parties; new connections time out. */
     public void block(String one, String other) throws InterruptedException {
         loop.run(() -> {
-            faults.cut(one, other);
-            faults.cut(other, one);
+            faults.block(one, other);
+            faults.block(other, one);
             Optional.ofNullable(links.get(one + ">" + other)).ifPresent(RigLoop.Listener::stopAccepting);
             Optional.ofNullable(links.get(other + ">" + one)).ifPresent(RigLoop.Listener::stopAccepting);
         });
@@ -235,7 +235,7 @@
 
     /** Leaves the connections between two parties half open: only the first sees them closed. */
     public void halfOpen(String notified, String other) throws InterruptedException {
-        loop.run(() -> faults.halfClose(notified, other));
+        loop.run(() -> faults.halfOpen(notified, other));
     }
 
     /** Adds latency in one direction. */
@@ -254,7 +254,7 @@
     public void awaitLog(String name, String expression, int from) throws InterruptedException {
         Predicate<String> matches = Pattern.compile(expression).asPredicate();
         history.await("'" + expression + "' in the log of " + name, from, 1, TIMEOUT_MILLIS,
-                event -> event.what() == What.LOGGED && event.who().equals(name) && matches.test(event.text()));
+                event -> event.kind() == EventKind.LOGGED && event.party().equals(name) && matches.test(event.text()));
     }
 
     /** Waits until this many more bytes have been sent from one party to another, over any connections. */
--- a/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
+++ b/lab/src/main/java/pathlane/lab/rig/IdleGroup.java
@@ -30,7 +30,7 @@
      * @param memberCpuMillis processor time of a member
      * @param voterCpuMillis processor time of a voter
      */
-    public record Second(double memberToVoters, double memberToMembers, double voterToMembers, double voterToVoters,
+    public record CostPerSecond(double memberToVoters, double memberToMembers, double voterToMembers, double voterToVoters,
             double memberCpuMillis, double voterCpuMillis) {}
 
     /** Totals over the group so far. */
@@ -38,9 +38,10 @@
             Duration memberCpu, Duration voterCpu) {}
 
     /** Measures a group of this many members over several consecutive windows. */
-    public static List<Second> measure(Path projectRoot, int members, int windows) throws IOException, InterruptedException {
+    public static List<CostPerSecond> measure(Path projectRoot, int members, int windows)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("pathlane-lab");
-        List<Second> seconds = new ArrayList<>();
+        List<CostPerSecond> seconds = new ArrayList<>();
         Rig.Shape shape = new Rig.Shape(members, SERVERS, VOTERS, REPLICAS, LeaseTerms.DEFAULT, Duration.ofMillis(5), 20_000,
                 Duration.ofSeconds(5));
         try (Rig rig = new Rig(shape, projectRoot, folder, members)) {
@@ -65,10 +66,10 @@
         return rig.processNames(prefix).stream().map(name -> rig.process(name).cpu()).reduce(Duration.ZERO, Duration::plus);
     }
 
-    private static Second second(Totals before, Totals after, int members) {
+    private static CostPerSecond second(Totals before, Totals after, int members) {
         double memberSeconds = (double) members * WINDOW.toSeconds();
         double voterSeconds = (double) VOTERS * WINDOW.toSeconds();
-        return new Second((after.memberToVoters - before.memberToVoters) / memberSeconds,
+        return new CostPerSecond((after.memberToVoters - before.memberToVoters) / memberSeconds,
                 (after.memberToMembers - before.memberToMembers) / memberSeconds,
                 (after.voterToMembers - before.voterToMembers) / voterSeconds,
                 (after.voterToVoters - before.voterToVoters) / voterSeconds,
--- a/lab/src/main/java/pathlane/lab/rig/Ports.java
+++ b/lab/src/main/java/pathlane/lab/rig/Ports.java
@@ -21,12 +21,12 @@
     private Ports() {}
 
     /** Returns a free port on 127.0.0.1. */
-    public static int free() {
-        return free(InetAddress.getLoopbackAddress().getHostAddress());
+    public static int findFree() {
+        return findFree(InetAddress.getLoopbackAddress().getHostAddress());
     }
 
     /** Returns a free port on this address. */
-    public static int free(String host) {
+    public static int findFree(String host) {
         for (int tries = 0; tries < LAST - FIRST; tries++) {
             int port = FIRST + NEXT.incrementAndGet() % (LAST - FIRST);
             try (ServerSocket socket = new ServerSocket()) {
--- a/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
+++ b/lab/src/main/java/pathlane/lab/rig/ProcessTakeover.java
@@ -13,9 +13,9 @@
 import java.util.regex.Pattern;
 import org.HdrHistogram.Histogram;
 import pathlane.group.LeaseTerms;
+import pathlane.lab.EventRecorder.EventKind;
 import pathlane.lab.Folders;
 import pathlane.lab.History.Event;
-import pathlane.lab.Witness.What;
 
 /** Measures takeover with real processes: its duration, the calls it saves, and its cost for a calls' owner. */
 public final class ProcessTakeover {
@@ -59,9 +59,9 @@
         int wanted = rig.callOnLoop(() -> rig.clients().established().size()) + count;
         long deadline = System.nanoTime() + Duration.ofMillis(TIMEOUT_MILLIS).toNanos();
         while (rig.callOnLoop(() -> {
-            int missing = wanted - rig.clients().established().size() - rig.clients().open();
+            int missing = wanted - rig.clients().established().size() - rig.clients().pendingRequests();
             for (int i = Math.min(missing, MAX_REQUESTS_PER_TICK); i > 0; i--) {
-                rig.clients().ask(controller, i % 2, CALL_CLASS, REQUEST_DEADLINE);
+                rig.clients().requestCall(controller, i % 2, CALL_CLASS, REQUEST_DEADLINE);
             }
             return rig.clients().established().size() < wanted;
         })) {
@@ -74,7 +74,7 @@
 
     private static long adoptedCalls(Event event) {
         Matcher matcher = ADOPTED_CALLS.matcher(event.text());
-        return event.what() == What.LOGGED && matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
+        return event.kind() == EventKind.LOGGED && matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
     }
 
     /** Waits until this many calls are adopted; returns the time of the last adoption. */
@@ -127,7 +127,8 @@
             }
             Set<String> callsOfKilled = new HashSet<>();
             List<String> killed = rig.processNames("n").subList(0, 7);
-            rig.history().events().stream().filter(event -> event.what() == What.ANSWERED && killed.contains(event.peer()))
+            rig.history().events().stream()
+                    .filter(event -> event.kind() == EventKind.ANSWERED && killed.contains(event.peer()))
                     .forEach(event -> callsOfKilled.add(event.call()));
             int from = rig.history().size();
             for (String name : killed) {
@@ -155,14 +156,14 @@
         });
         // Notifications normally arrive at once; the max delay is the 8 s for which the end of a call stays pending.
         Thread.sleep(Duration.ofSeconds(8).toMillis());
-        Map<What, Set<String>> seen = new HashMap<>();
+        Map<EventKind, Set<String>> seen = new HashMap<>();
         List<Event> events = rig.history().events();
         events.subList(from, events.size())
-                .forEach(event -> seen.computeIfAbsent(event.what(), any -> new HashSet<>()).add(event.call()));
+                .forEach(event -> seen.computeIfAbsent(event.kind(), any -> new HashSet<>()).add(event.call()));
         List.of(ended, released, lostWithServer).forEach(calls -> calls.retainAll(callsOfKilled));
-        return new Ends(countIn(ended, seen.get(What.TOLD_OVER)), ended.size(),
-                countIn(released, seen.get(What.HEARD_RELEASE)),
-                released.size(), countIn(lostWithServer, seen.get(What.TOLD_OVER)), lostWithServer.size(),
+        return new Ends(countIn(ended, seen.get(EventKind.TOLD_OVER)), ended.size(),
+                countIn(released, seen.get(EventKind.HEARD_RELEASE)),
+                released.size(), countIn(lostWithServer, seen.get(EventKind.TOLD_OVER)), lostWithServer.size(),
                 rig.callOnLoop(() -> rig.servers().get("s1").established().size()));
     }
 
@@ -195,9 +196,9 @@
             Map<String, Long> requestedAt = new HashMap<>();
             List<Event> events = rig.history().events();
             for (Event event : events.subList(from, events.size())) {
-                if (event.what() == What.ASKED) {
+                if (event.kind() == EventKind.ASKED) {
                     requestedAt.put(event.call(), event.atNanos());
-                } else if (event.what() == What.ANSWERED && requestedAt.containsKey(event.call())) {
+                } else if (event.kind() == EventKind.ANSWERED && requestedAt.containsKey(event.call())) {
                     answers.recordValue((event.atNanos() - requestedAt.get(event.call())) / NANOS_PER_MICRO);
                 }
             }
@@ -211,7 +212,7 @@
         for (int requested = 0; requested < calls; requested += callsPerTick) {
             rig.onLoop(() -> {
                 for (int i = 0; i < callsPerTick; i++) {
-                    rig.clients().ask("n1", i % 2, CALL_CLASS, REQUEST_DEADLINE);
+                    rig.clients().requestCall("n1", i % 2, CALL_CLASS, REQUEST_DEADLINE);
                 }
                 List.copyOf(rig.clients().established()).forEach(call -> rig.clients().release(call, "n1"));
             });
@@ -223,7 +224,7 @@
         }
         while (rig.callOnLoop(() -> {
             List.copyOf(rig.clients().established()).forEach(call -> rig.clients().release(call, "n1"));
-            return rig.clients().open() > 0;
+            return rig.clients().pendingRequests() > 0;
         })) {
             Thread.sleep(TICK_MILLIS);
         }
--- a/lab/src/main/java/pathlane/lab/rig/PublishedServers.java
+++ b/lab/src/main/java/pathlane/lab/rig/PublishedServers.java
@@ -59,7 +59,7 @@
                     new ServerEndpoint(id, new InetSocketAddress(HOST, FIRST_PORT + cell), status, cell, 1,
                             Instant.EPOCH));
         }
-        bus.tell(id, cell, status.ordinal(), 0);
+        bus.publish(id, cell, status.ordinal(), 0);
     }
 
     /** The current servers of a service, in ascending order of their ids. */
--- a/lab/src/main/java/pathlane/lab/rig/Relay.java
+++ b/lab/src/main/java/pathlane/lab/rig/Relay.java
@@ -9,12 +9,13 @@
 import java.util.function.Function;
 import pathlane.core.CloseReason;
 import pathlane.lab.Faults;
-import pathlane.lab.Path;
+import pathlane.lab.FaultyConnection;
 import pathlane.transport.Connection;
 import pathlane.transport.Protocol;
 
 /**
- * Inserts a {@link Path} with its faults between the sockets of two processes, or between a socket and a simulated party
+ * Inserts a {@link FaultyConnection} with its faults between the sockets of two processes, or between a socket and a
+ * simulated party
  * of the test bed. Runs on the test bed's event loop.
  */
 final class Relay {
@@ -42,14 +43,15 @@
     /** For a listening port: forwards connections from a process to a simulated party. */
     Protocol forwardTo(String from, String to, Protocol standIn) {
         Junction junction = new Junction();
-        return junction.socketSide(() -> new Path(loop, faults, Duration.ZERO, from, junction.pathSide(), to, standIn));
+        return junction
+                .socketSide(() -> new FaultyConnection(loop, faults, Duration.ZERO, from, junction.pathSide(), to, standIn));
     }
 
     /** Connects a simulated party to a process. */
     void connect(String from, Protocol standIn, String to, InetSocketAddress target) {
         Junction junction = new Junction();
         loop.connect(target, CONNECT_TIMEOUT, junction.socketSide(
-                () -> new Path(loop, faults, Duration.ZERO, from, standIn, to, junction.pathSide()),
+                () -> new FaultyConnection(loop, faults, Duration.ZERO, from, standIn, to, junction.pathSide()),
                 end -> standIn.closed(end)));
     }
 
@@ -158,7 +160,7 @@
                     far.socket.close(CloseReason.RESET);
                     return;
                 }
-                new Path(loop, faults, Duration.ZERO, name.get(), near.pathSide(), to, far.pathSide());
+                new FaultyConnection(loop, faults, Duration.ZERO, name.get(), near.pathSide(), to, far.pathSide());
                 isJoined = true;
                 buffered.forEach(part -> onSocket.received(ByteBuffer.wrap(part)));
                 buffered.clear();
--- a/lab/src/main/java/pathlane/lab/rig/Rig.java
+++ b/lab/src/main/java/pathlane/lab/rig/Rig.java
@@ -17,13 +17,13 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import pathlane.group.LeaseTerms;
+import pathlane.lab.ControllerConfig;
 import pathlane.lab.EventBus;
+import pathlane.lab.EventRecorder.EventKind;
 import pathlane.lab.Faults;
-import pathlane.lab.FleetConfig;
 import pathlane.lab.History;
-import pathlane.lab.ScriptedCaller;
-import pathlane.lab.SessionServer;
-import pathlane.lab.Witness.What;
+import pathlane.lab.SimulatedClient;
+import pathlane.lab.SimulatedServer;
 import pathlane.transport.Protocol;
 
 /**
@@ -64,11 +64,11 @@
     private final Relay relay = new Relay(loop, faults);
     private final Map<String, RigProcess> processes = new LinkedHashMap<>();
     private final Map<String, Integer> clientPorts = new LinkedHashMap<>();
-    private final Map<String, SessionServer> servers = new LinkedHashMap<>();
+    private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
     private final EventBus bus;
     private final Map<String, Integer> busPorts = new LinkedHashMap<>();
     private final Map<String, List<Integer>> serverPorts = new LinkedHashMap<>();
-    private final ScriptedCaller clients;
+    private final SimulatedClient clients;
     /** Listening ports that serve a single link, by {@code from>to}. */
     private final Map<String, RigLoop.Listener> links = new LinkedHashMap<>();
 
@@ -83,12 +83,12 @@
         this.folder = folder;
         this.bus = new EventBus(loop, (controller, place) -> serverPorts.get(controller).get(place));
         this.clients =
-                new ScriptedCaller("callers", (seed & 0xffff) << 24 | 0x1000, (name, protocol) -> relay.connect("callers",
+                new SimulatedClient("callers", (seed & 0xffff) << 24 | 0x1000, (name, protocol) -> relay.connect("callers",
                         protocol, name, new InetSocketAddress("127.0.0.1", clientPorts.get(name))), history);
         Files.writeString(folder.resolve("group.keys"), "k1 " + "5a".repeat(32) + "\n");
         for (int i = 1; i <= shape.servers; i++) {
             String name = "s" + i;
-            servers.put(name, loop.call(() -> new SessionServer(name, loop, shape.answerDelay, Duration.ZERO, history)));
+            servers.put(name, loop.call(() -> new SimulatedServer(name, loop, shape.answerDelay, Duration.ZERO, history)));
         }
         addVoters(projectRoot);
         addControllers(projectRoot, seed);
@@ -108,8 +108,8 @@
         Map<String, Integer> portsByVoter = new LinkedHashMap<>();
         Map<String, Integer> memberPorts = new LinkedHashMap<>();
         for (String name : names) {
-            portsByVoter.put(name, Ports.free());
-            memberPorts.put(name, Ports.free());
+            portsByVoter.put(name, Ports.findFree());
+            memberPorts.put(name, Ports.findFree());
         }
         for (String name : names) {
             List<String> voterList = new ArrayList<>();
@@ -134,33 +134,33 @@
 
     /** Opens a port through which one process reaches another. */
     private int link(String from, String to, int port) throws InterruptedException {
-        int linkPort = Ports.free();
+        int linkPort = Ports.findFree();
         listen(from, to, linkPort, () -> relay.forward(from, to, new InetSocketAddress("127.0.0.1", port)));
         return linkPort;
     }
 
     private void addControllers(Path projectRoot, long seed) throws IOException, InterruptedException {
         for (String name : names("n", shape.controllers)) {
-            int clientPort = Ports.free();
-            int memberPort = Ports.free();
-            int relayPort = Ports.free();
+            int clientPort = Ports.findFree();
+            int memberPort = Ports.findFree();
+            int relayPort = Ports.findFree();
             clientPorts.put(name, clientPort);
             // All members use the one address from the lease registry: they identify themselves in their first bytes.
             loop.listen(relayPort,
                     () -> relay.forward(Rig::memberName, name, new InetSocketAddress("127.0.0.1", memberPort)));
             List<Integer> toServers = new ArrayList<>();
-            for (Map.Entry<String, SessionServer> server : servers.entrySet()) {
-                int port = Ports.free();
+            for (Map.Entry<String, SimulatedServer> server : servers.entrySet()) {
+                int port = Ports.findFree();
                 toServers.add(port);
                 listen(name, server.getKey(), port, () -> server.getValue().isUp()
                         ? relay.forwardTo(name, server.getKey(), server.getValue().accept(name)) : null);
             }
             serverPorts.put(name, toServers);
-            int busPort = Ports.free();
+            int busPort = Ports.findFree();
             busPorts.put(name, busPort);
             listen(name, "bus", busPort, () -> relay.forwardTo(name, "bus", bus.accept(name)));
             Path config = folder.resolve(name + ".json");
-            Files.writeString(config, FleetConfig.text(name, clientPort, shape.servers, toServers::get, busPort,
+            Files.writeString(config, ControllerConfig.text(name, clientPort, shape.servers, toServers::get, busPort,
                     shape.controllers, seed * shape.controllers + clientPort));
             List<String> voters = new ArrayList<>();
             for (Map.Entry<String, Integer> voter : voterPorts.entrySet()) {
@@ -237,7 +237,7 @@
     /** Waits for a log line of a process that contains this text, from an index of the history on. */
     void awaitLog(String name, String text, int from) throws InterruptedException {
         history.await("'" + text + "' in the log of " + name, from, 1, TIMEOUT_MILLIS,
-                event -> event.what() == What.LOGGED && event.who().equals(name) && event.text().contains(text));
+                event -> event.kind() == EventKind.LOGGED && event.party().equals(name) && event.text().contains(text));
     }
 
     // ---- used by scenarios and measurements
@@ -266,7 +266,7 @@
         return processes.keySet().stream().filter(name -> name.startsWith(prefix)).collect(Collectors.toList());
     }
 
-    Map<String, SessionServer> servers() {
+    Map<String, SimulatedServer> servers() {
         return servers;
     }
 
@@ -279,7 +279,7 @@
         return loop.call(task);
     }
 
-    ScriptedCaller clients() {
+    SimulatedClient clients() {
         return clients;
     }
 
@@ -289,7 +289,7 @@
 
     /** Blocks one direction of a link; new connections on it time out. Called on the event loop. */
     void block(String from, String to) {
-        faults.cut(from, to);
+        faults.block(from, to);
         Optional.ofNullable(links.get(from + ">" + to)).ifPresent(RigLoop.Listener::stopAccepting);
         Optional.ofNullable(links.get(to + ">" + from)).ifPresent(RigLoop.Listener::stopAccepting);
     }
@@ -312,7 +312,7 @@
     void serverGone(String server) {
         servers.get(server).crash();
         int index = List.copyOf(servers.keySet()).indexOf(server);
-        bus.tell(index + 1, index, GONE_STATE, 0);
+        bus.publish(index + 1, index, GONE_STATE, 0);
     }
 
     /** Kills every started process and stops the event loop. */
--- a/lab/src/main/java/pathlane/lab/rig/RigProcess.java
+++ b/lab/src/main/java/pathlane/lab/rig/RigProcess.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import pathlane.lab.Witness;
-import pathlane.lab.Witness.What;
+import pathlane.lab.EventRecorder;
+import pathlane.lab.EventRecorder.EventKind;
 
 /**
  * A named process of the test bed that can be started, restarted, stopped (SIGSTOP), resumed, killed and terminated, each
@@ -27,11 +27,11 @@
     private final List<String> command;
     private final Map<String, String> environment;
     private final Path log;
-    private final Witness history;
+    private final EventRecorder history;
     private volatile Process process;
     private Thread reader;
 
-    RigProcess(String name, List<String> command, Map<String, String> environment, Path log, Witness history) {
+    RigProcess(String name, List<String> command, Map<String, String> environment, Path log, EventRecorder history) {
         this.name = name;
         this.command = command;
         this.environment = environment;
@@ -58,7 +58,7 @@
         if (isUp()) {
             throw new IllegalStateException(name + " is already running");
         }
-        history.note(What.DID, name, "", "", "started");
+        history.record(EventKind.DID, name, "", "", "started");
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().putAll(environment);
         try {
@@ -78,10 +78,10 @@
                 new BufferedReader(new InputStreamReader(readProcess.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 Files.writeString(log, line + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-                history.note(What.LOGGED, name, "", "", line);
+                history.record(EventKind.LOGGED, name, "", "", line);
             }
         } catch (IOException e) {
-            history.note(What.LOGGED, name, "", "", "its log can't be read: " + e.getMessage());
+            history.record(EventKind.LOGGED, name, "", "", "its log can't be read: " + e.getMessage());
         }
     }
 
@@ -118,7 +118,7 @@
 
     /** Uses the system's {@code kill}: the JDK's methods to end a process close its output before it is read. */
     private synchronized void signal(String signal, String action) throws InterruptedException {
-        history.note(What.DID, name, "", "", action);
+        history.record(EventKind.DID, name, "", "", action);
         try {
             int status = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
             if (status != 0) {
--- a/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
+++ b/lab/src/main/java/pathlane/lab/rig/ScenarioRun.java
@@ -17,9 +17,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import pathlane.lab.Checker;
+import pathlane.lab.EventRecorder.EventKind;
 import pathlane.lab.History;
-import pathlane.lab.SessionServer;
-import pathlane.lab.Witness.What;
+import pathlane.lab.SimulatedServer;
 
 /**
  * Runs one scenario on a {@link Rig}: starts the group, executes the steps, clears all faults, ends all calls and checks
@@ -38,9 +38,11 @@
     private static final Pattern REPLICATED_RECORDS =
             Pattern.compile("lease_valid=true replicated=true members=\\d+ records=(\\d+) ");
     /** Event names in scenario steps that count events. */
-    private static final Map<String, What> COUNTABLE_EVENTS = Map.of("answered", What.ANSWERED, "refused", What.REFUSED,
-            "broken", What.BROKEN, "told", What.TOLD_OVER, "heard", What.HEARD_RELEASE, "reached", What.REACHED,
-            "stood", What.STOOD, "given-up", What.GIVEN_UP, "ended", What.ENDED, "failed", What.FAILED);
+    private static final Map<String, EventKind> COUNTABLE_EVENTS = Map.of("answered", EventKind.ANSWERED, "refused",
+            EventKind.REFUSED,
+            "broken", EventKind.BROKEN, "told", EventKind.TOLD_OVER, "heard", EventKind.HEARD_RELEASE, "reached",
+            EventKind.REACHED,
+            "stood", EventKind.STOOD, "given-up", EventKind.GIVEN_UP, "ended", EventKind.ENDED, "failed", EventKind.FAILED);
 
     private final Scenario scenario;
     private final Rig rig;
@@ -118,7 +120,7 @@
     }
 
     private boolean hasNoCalls() throws InterruptedException {
-        return rig.callOnLoop(() -> rig.clients().established().isEmpty() && rig.clients().open() == 0
+        return rig.callOnLoop(() -> rig.clients().established().isEmpty() && rig.clients().pendingRequests() == 0
                 && rig.servers().values().stream().allMatch(server -> server.established().isEmpty()));
     }
 
@@ -126,7 +128,7 @@
         return rig.callOnLoop(() -> {
             StringBuilder text =
                     new StringBuilder("clients have " + summarize(rig.clients().established()) + " and wait for answers to "
-                            + rig.clients().open());
+                            + rig.clients().pendingRequests());
             rig.servers().forEach((name, server) -> text.append(", ").append(name).append(" has ")
                     .append(summarize(server.established())));
             return text.toString();
@@ -144,7 +146,7 @@
         }
         boolean release = true;
         for (String call : rig.clients().established()) {
-            for (SessionServer server : rig.servers().values()) {
+            for (SimulatedServer server : rig.servers().values()) {
                 if (server.established().contains(call)) {
                     if (release) {
                         rig.clients().release(call, "n1");
@@ -163,7 +165,7 @@
         String[] words = line.trim().split("\\s+");
         if (!words[0].equals("await") && !words[0].equals("expect")) {
             searchFrom = history.size();
-            history.note(What.DID, "rig", "", "", line);
+            history.record(EventKind.DID, "rig", "", "", line);
         }
         switch (words[0]) {
             case "await" -> await(words, line);
@@ -190,7 +192,7 @@
             });
             case "restore" -> forEachDirection(words, rig::restore);
             case "reset" -> forEachDirection(words, rig.faults()::reset);
-            case "half-open" -> forEachDirection(words, rig.faults()::halfClose);
+            case "half-open" -> forEachDirection(words, rig.faults()::halfOpen);
             case "delay" -> forEachDirection(words,
                     (one, other) -> rig.faults().delay(one, other, Duration.ofMillis(intArgument(words, 3))));
             case "throttle" ->
@@ -281,7 +283,7 @@
 
     private boolean tryRequestCalls(int count, String controller) {
         for (int i = 0; i < count && rig.clients().isConnected(controller); i++) {
-            rig.clients().ask(controller, i % rig.servers().size(), CALL_CLASS, REQUEST_DEADLINE);
+            rig.clients().requestCall(controller, i % rig.servers().size(), CALL_CLASS, REQUEST_DEADLINE);
         }
         return rig.clients().isConnected(controller);
     }
@@ -290,7 +292,8 @@
     private void establish(int count, String controller) throws InterruptedException {
         int wanted = rig.callOnLoop(() -> rig.clients().established().size()) + count;
         for (int polls = 0; polls * POLL_INTERVAL_MILLIS < TIMEOUT_MILLIS; polls++) {
-            int missing = rig.callOnLoop(() -> wanted - rig.clients().established().size() - rig.clients().open());
+            int missing =
+                    rig.callOnLoop(() -> wanted - rig.clients().established().size() - rig.clients().pendingRequests());
             if (missing > 0) {
                 requestCalls(Math.min(missing, MAX_REQUESTS_PER_POLL), controller);
             } else if (rig.callOnLoop(() -> rig.clients().established().size()) == wanted) {
@@ -309,7 +312,8 @@
 
     private Set<String> brokenRequests() {
         Set<String> broken = new HashSet<>();
-        history.events().stream().filter(event -> event.what() == What.BROKEN).forEach(event -> broken.add(event.call()));
+        history.events().stream().filter(event -> event.kind() == EventKind.BROKEN)
+                .forEach(event -> broken.add(event.call()));
         return broken;
     }
 
@@ -326,7 +330,7 @@
     }
 
     private void endCalls(int count, String server) throws InterruptedException {
-        SessionServer target = rig.servers().get(server);
+        SimulatedServer target = rig.servers().get(server);
         if (target == null) {
             throw new IllegalArgumentException(
                     "'" + server + "' is not a known server; known servers: " + rig.servers().keySet());
@@ -342,7 +346,7 @@
     }
 
     private void serverAction(String name, String action) throws InterruptedException {
-        SessionServer target = rig.servers().get(name);
+        SimulatedServer target = rig.servers().get(name);
         rig.onLoop(() -> {
             switch (action) {
                 case "silent" -> target.setAnswering(false);
@@ -363,7 +367,7 @@
                 String text = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
                 Set<String> processes = new HashSet<>(resolveNames(argument(words, 2)));
                 history.await("'" + text + "' in the log of " + processes, searchFrom, 1, TIMEOUT_MILLIS,
-                        event -> event.what() == What.LOGGED && processes.contains(event.who())
+                        event -> event.kind() == EventKind.LOGGED && processes.contains(event.party())
                                 && event.text().contains(text));
             }
             case "covered" -> {
@@ -371,7 +375,7 @@
                 int records = intArgument(words, 3);
                 history.await(records + " covered calls of " + name, searchFrom, 1, TIMEOUT_MILLIS, event -> {
                     Matcher matcher = REPLICATED_RECORDS.matcher(event.text());
-                    return event.what() == What.LOGGED && event.who().equals(name) && matcher.find()
+                    return event.kind() == EventKind.LOGGED && event.party().equals(name) && matcher.find()
                             && Integer.parseInt(matcher.group(1)) == records;
                 });
             }
@@ -391,30 +395,30 @@
 
     private static int adoptedCalls(Map<String, Integer> adoptedByController, History.Event event) {
         Matcher matcher = ADOPTED_CALLS.matcher(event.text());
-        if (event.what() == What.LOGGED && matcher.find()) {
-            adoptedByController.put(event.who(), Integer.parseInt(matcher.group(1)));
+        if (event.kind() == EventKind.LOGGED && matcher.find()) {
+            adoptedByController.put(event.party(), Integer.parseInt(matcher.group(1)));
         }
         return adoptedByController.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     /** Parses the events to count, such as {@code heard} or {@code heard at s1}. */
     private Predicate<History.Event> countedEvents(String[] words, int place) {
-        What kind = COUNTABLE_EVENTS.get(argument(words, place));
+        EventKind kind = COUNTABLE_EVENTS.get(argument(words, place));
         if (kind == null) {
             throw new IllegalArgumentException("'" + words[place] + "' is not a known event; known events: "
                     + COUNTABLE_EVENTS.keySet().stream().sorted().toList());
         }
         Set<String> parties = words.length > place + 2 ? new HashSet<>(resolveNames(words[place + 2])) : Set.of();
-        return event -> event.what() == kind
-                && (parties.isEmpty() || parties.contains(event.who()) || parties.contains(event.peer()));
+        return event -> event.kind() == kind
+                && (parties.isEmpty() || parties.contains(event.party()) || parties.contains(event.peer()));
     }
 
     private void expect(String[] words) {
         switch (argument(words, 1)) {
             case "once" -> {
-                What kind = COUNTABLE_EVENTS.get(argument(words, 2));
+                EventKind kind = COUNTABLE_EVENTS.get(argument(words, 2));
                 Set<String> seen = new HashSet<>();
-                history.events().stream().filter(event -> event.what() == kind && !seen.add(event.call())).findFirst()
+                history.events().stream().filter(event -> event.kind() == kind && !seen.add(event.call())).findFirst()
                         .ifPresent(event -> {
                             throw new IllegalStateException("call " + event.call() + " was " + words[2] + " twice");
                         });
--- a/lab/src/main/java/pathlane/lab/scale/BaselineControllers.java
+++ b/lab/src/main/java/pathlane/lab/scale/BaselineControllers.java
@@ -52,7 +52,7 @@
 
     private final class Controller {
 
-        private final CountedDialer dialer = new CountedDialer(network.dialer(MOST_UNWRITTEN));
+        private final CountedDialer dialer = new CountedDialer(network.connector(MOST_UNWRITTEN));
         private final Map<Long, ServerEndpoint> listed = new HashMap<>();
         private final AdaptiveRoutingPolicy logic;
         private final BusFeed feed;
@@ -66,15 +66,15 @@
         /** Keeps the list beside the decision module, as the program does. */
         private void told(ServerList list) {
             events++;
-            if (list.whole()) {
+            if (list.isComplete()) {
                 listed.clear();
             }
             List<RoutingPolicy.ListedServer> lines = new ArrayList<>();
-            for (ServerEndpoint line : list.lines()) {
+            for (ServerEndpoint line : list.endpoints()) {
                 listed.put(line.id(), line);
                 lines.add(HollowController.listed(line));
             }
-            logic.serversListed(nowMillis(), list.whole(), lines);
+            logic.serversListed(nowMillis(), list.isComplete(), lines);
         }
 
         private void woken() {
--- a/lab/src/main/java/pathlane/lab/scale/BaselineRun.java
+++ b/lab/src/main/java/pathlane/lab/scale/BaselineRun.java
@@ -39,7 +39,7 @@
         EventLoop loop = source.loop();
         ChildProcess process = fleet.empty();
         WholeListBus bus = OnLoop.call(loop, () -> new WholeListBus(loop, list));
-        InetSocketAddress address = source.network().listen(new InetSocketAddress(HOST, Ports.free(HOST)), bus::accept,
+        InetSocketAddress address = source.network().listen(new InetSocketAddress(HOST, Ports.findFree(HOST)), bus::accept,
                 baseline.controllers(), WholeListBus.wholeListBytes(list.size()) + ScaleTerms.MOST_UNWRITTEN);
         collectGarbage(process);
         long residentBefore = process.usage().residentBytes();
--- a/lab/src/main/java/pathlane/lab/scale/CountedDialer.java
+++ b/lab/src/main/java/pathlane/lab/scale/CountedDialer.java
@@ -94,7 +94,7 @@
         }
 
         @Override
-        public Withdrawal cancelWrite(byte[] bytes) {
+        public CancelResult cancelWrite(byte[] bytes) {
             return connection.cancelWrite(bytes);
         }
 
@@ -109,8 +109,8 @@
         }
 
         @Override
-        public void finish(CloseReason why) {
-            connection.finish(why);
+        public void halfClose(CloseReason why) {
+            connection.halfClose(why);
         }
 
         @Override
--- a/lab/src/main/java/pathlane/lab/scale/HollowProcess.java
+++ b/lab/src/main/java/pathlane/lab/scale/HollowProcess.java
@@ -64,7 +64,7 @@
         recorder = new InForceRecorder(CommitLog.open(folder.commitLogFile()), plan.fleet().regions());
         Topology topology = Topology.read(folder.topologyFile());
         List<WatchTerms.PublisherAddress> relays = topology.zoneRelays().stream().map(Topology.Publisher::address).toList();
-        HollowController.Environment environment = new HollowController.Environment(network.dialer(MOST_UNWRITTEN), loop,
+        HollowController.Environment environment = new HollowController.Environment(network.connector(MOST_UNWRITTEN), loop,
                 folder.readKeys(), new RateLimitedLog("scale", loop), settings, recorder);
         for (int number : numbers) {
             int zone = layout.zoneOf(number);
--- a/lab/src/main/java/pathlane/lab/scale/RealController.java
+++ b/lab/src/main/java/pathlane/lab/scale/RealController.java
@@ -8,9 +8,9 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import pathlane.lab.FleetConfig;
+import pathlane.lab.ControllerConfig;
 import pathlane.lab.History;
-import pathlane.lab.ScriptedCaller;
+import pathlane.lab.SimulatedClient;
 import pathlane.lab.rig.Ports;
 import pathlane.lab.rig.Rig;
 import pathlane.lab.rig.RigLoop;
@@ -29,7 +29,7 @@
     private static final Duration DIAL_TIMEOUT = Duration.ofSeconds(1);
 
     private final String name;
-    private final int port = Ports.free(HOST);
+    private final int port = Ports.findFree(HOST);
     private final List<String> services;
     private final ChildProcess process;
 
@@ -41,7 +41,7 @@
         Path discovery = folder.folder().resolve(name + ".toml");
         int zone = layout.zoneOf(number);
         try {
-            Files.writeString(configuration, FleetConfig.text(name, port, 0, any -> 0, 0, 1, number));
+            Files.writeString(configuration, ControllerConfig.text(name, port, 0, any -> 0, 0, 1, number));
             Files.writeString(discovery, discoveryFile(Topology.zoneName(zone),
                     Topology.regionName(layout.regionOfZone(zone)), topology, folder.keysFile()));
         } catch (IOException e) {
@@ -76,7 +76,7 @@
     void start(Deadline deadline) throws InterruptedException {
         process.start();
         try (RigLoop loop = new RigLoop()) {
-            ScriptedCaller caller = loop.call(() -> new ScriptedCaller("caller", 1,
+            SimulatedClient caller = loop.call(() -> new SimulatedClient("caller", 1,
                     (controller, protocol) -> loop.connect(new InetSocketAddress(HOST, port), DIAL_TIMEOUT, protocol),
                     new History(System::nanoTime)));
             while (!loop.call(() -> caller.isConnected(name))) {
@@ -86,10 +86,10 @@
             }
             loop.run(() -> {
                 for (int cell = 0; cell < services.size(); cell++) {
-                    caller.ask(name, cell, CALL_CLASS, PATIENCE);
+                    caller.requestCall(name, cell, CALL_CLASS, PATIENCE);
                 }
             });
-            while (loop.call(caller::open) > 0) {
+            while (loop.call(caller::pendingRequests) > 0) {
                 deadline.check(() -> name + " does not answer its first calls");
                 Thread.sleep(POLL.toMillis());
             }
--- a/lab/src/main/java/pathlane/lab/scale/RootView.java
+++ b/lab/src/main/java/pathlane/lab/scale/RootView.java
@@ -43,7 +43,7 @@
     /** A revision was committed. Those before the first day are not counted. */
     void committed(Revision revision, Instant at) {
         if (isNoting) {
-            tracker.note(revision, at);
+            tracker.recordCommit(revision, at);
         }
     }
 
--- a/lab/src/main/java/pathlane/lab/scale/ScaleTerms.java
+++ b/lab/src/main/java/pathlane/lab/scale/ScaleTerms.java
@@ -9,7 +9,7 @@
 final class ScaleTerms {
 
     /** Bytes that may wait to be written to one subscriber: what may be unacknowledged, and as much again. */
-    static final long MOST_UNWRITTEN = 2L * PublisherTerms.USUAL.unacknowledgedBytes() + 1024 * 1024;
+    static final long MOST_UNWRITTEN = 2L * PublisherTerms.DEFAULTS.unacknowledgedBytes() + 1024 * 1024;
 
     private static final Duration BACKOFF_FIRST = Duration.ofMillis(200);
     private static final Duration BACKOFF_MOST = Duration.ofSeconds(5);
@@ -23,10 +23,10 @@
     }
 
     static PublisherTerms publisher(ScalePlan.Relays relays) {
-        PublisherTerms usual = PublisherTerms.USUAL;
+        PublisherTerms usual = PublisherTerms.DEFAULTS;
         return new PublisherTerms(relays.subscribers(), usual.watchesPerSecond(), usual.watchBurst(),
                 usual.unacknowledgedBytes(), usual.updateBytes(), usual.historyChanges(),
                 Duration.ofMillis(relays.bookmarkMillis()),
-                usual.deadAfter());
+                usual.acknowledgeTimeout());
     }
 }
--- a/lab/src/main/java/pathlane/lab/scale/Topology.java
+++ b/lab/src/main/java/pathlane/lab/scale/Topology.java
@@ -41,7 +41,7 @@
     static Topology create(ScalePlan plan, FleetLayout layout) {
         List<Publisher> sources = new ArrayList<>();
         for (int region = 0; region < plan.fleet().regions(); region++) {
-            sources.add(new Publisher("source", SOURCE_HOST, Ports.free(SOURCE_HOST), "source", regionName(region)));
+            sources.add(new Publisher("source", SOURCE_HOST, Ports.findFree(SOURCE_HOST), "source", regionName(region)));
         }
         List<Publisher> regionRelays = new ArrayList<>();
         for (int relay = 0; relay < plan.relays().inRegions(); relay++) {
@@ -59,7 +59,7 @@
 
     private static Publisher relay(String name, int host, String zone, String region) {
         String address = "127.0.0." + host;
-        return new Publisher(name, address, Ports.free(address), zone, region);
+        return new Publisher(name, address, Ports.findFree(address), zone, region);
     }
 
     static String zoneName(int zone) {
--- a/lab/src/test/java/pathlane/lab/Schedule.java
+++ b/lab/src/test/java/pathlane/lab/Schedule.java
@@ -48,11 +48,11 @@
             return Optional.of("the group did not form");
         }
         fleet.controllers().forEach(one -> fleet.clients().connect(one.name));
-        fleet.world().pass(20);
+        fleet.world().advance(20);
         for (int i = 0; i < 12; i++) {
             requestCall();
         }
-        fleet.world().pass(300);
+        fleet.world().advance(300);
         for (int i = 0; i < faultCount && violation == null; i++) {
             injectFault();
             for (int j = 0; j < 6 && violation == null; j++) {
@@ -66,7 +66,7 @@
 
     private void advance(int millis) {
         for (int left = millis; left > 0 && violation == null; left -= 25) {
-            fleet.world().pass(Math.min(25, left));
+            fleet.world().advance(Math.min(25, left));
             checkLeases();
         }
     }
@@ -95,7 +95,7 @@
         List<Controller> up = fleet.running();
         String controller = up.get(random.nextInt(up.size())).name;
         fleet.clients().connect(controller);
-        String call = fleet.clients().ask(controller, random.nextInt(SERVERS), "status-check", REQUEST_DEADLINE);
+        String call = fleet.clients().requestCall(controller, random.nextInt(SERVERS), "status-check", REQUEST_DEADLINE);
         if (call != null) {
             requestedCalls.add(call);
         }
@@ -110,7 +110,7 @@
             String call = established.get(random.nextInt(established.size()));
             fleet.clients().release(call, "n" + (1 + random.nextInt(fleet.controllers().size())));
         }
-        SessionServer server = fleet.servers().get(random.nextInt(SERVERS));
+        SimulatedServer server = fleet.servers().get(random.nextInt(SERVERS));
         List<String> establishedThere = new ArrayList<>(server.established());
         if (!establishedThere.isEmpty() && random.nextInt(3) == 0) {
             server.end(establishedThere.get(random.nextInt(establishedThere.size())));
@@ -159,7 +159,7 @@
             default -> {
                 recordAction("restart " + one.name);
                 kill(one);
-                fleet.world().pass(random.nextInt(5, 900));
+                fleet.world().advance(random.nextInt(5, 900));
                 one.start();
             }
         }
@@ -195,14 +195,14 @@
 
     private void recordAction(String action) {
         actions.add(action);
-        fleet.history().note(Witness.What.DID, "schedule", "", "", action);
+        fleet.history().record(EventRecorder.EventKind.DID, "schedule", "", "", action);
     }
 
     private void block(String one, String other, boolean bothDirections) {
         if (!one.equals(other)) {
-            fleet.faults().cut(one, other);
+            fleet.faults().block(one, other);
             if (bothDirections) {
-                fleet.faults().cut(other, one);
+                fleet.faults().block(other, one);
             }
         }
     }
@@ -217,12 +217,12 @@
             parties.add("s" + i);
         }
         parties.forEach(one -> parties.forEach(other -> fleet.faults().restore(one, other)));
-        stoppedControllers.values().forEach(one -> one.time.goOn());
+        stoppedControllers.values().forEach(one -> one.time.resume());
         fleet.voters().stream().filter(one -> !one.isUp()).forEach(VirtualVoter::restart);
         fleet.controllers().stream().filter(one -> !one.isUp()).forEach(Controller::start);
         advance(2000);
         fleet.advanceUntil(Duration.ofSeconds(20), () -> fleet.running().stream().allMatch(one -> one.handover.isLeaseValid()
-                && one.handover.register().orphans().isEmpty()));
+                && one.handover.registry().orphans().isEmpty()));
         advance(4500);   // in-flight attempts have completed, and unclaimed ones have been ended
         fleet.controllers().forEach(one -> fleet.clients().connect(one.name));
         advance(500);
--- a/lab/src/test/java/pathlane/lab/TakeoverTest.java
+++ b/lab/src/test/java/pathlane/lab/TakeoverTest.java
@@ -31,10 +31,10 @@
                 fleet.advanceUntil(Duration.ofSeconds(30),
                         () -> fleet.running().stream().allMatch(one -> one.handover.isReplicated())));
         fleet.clients().connect("n1");
-        fleet.world().pass(20);
+        fleet.world().advance(20);
         for (int i = 0; i < 20; i++) {
-            fleet.clients().ask("n1", i % 2, "status-check", Duration.ofSeconds(6));
-            fleet.world().pass(50);
+            fleet.clients().requestCall("n1", i % 2, "status-check", Duration.ofSeconds(6));
+            fleet.world().advance(50);
         }
         int established = fleet.clients().established().size();
         assertTrue(established > 10, established + " are established");
@@ -42,8 +42,8 @@
         fleet.voters().subList(0, 2).forEach(voter -> voter.time().stop());
         assertTrue(fleet.advanceUntil(Duration.ofSeconds(10),
                 () -> fleet.running().stream().noneMatch(one -> one.handover.isLeaseValid())));
-        fleet.world().pass(2000);
-        fleet.voters().subList(0, 2).forEach(voter -> voter.time().goOn());
+        fleet.world().advance(2000);
+        fleet.voters().subList(0, 2).forEach(voter -> voter.time().resume());
         assertTrue(
                 fleet.advanceUntil(Duration.ofSeconds(20),
                         () -> fleet.running().stream().allMatch(one -> one.handover.isReplicated())));
@@ -51,9 +51,9 @@
         fleet.controllers().get(0).kill();
         assertTrue(
                 fleet.advanceUntil(Duration.ofSeconds(10),
-                        () -> fleet.running().stream().mapToLong(one -> one.handover.adopted())
+                        () -> fleet.running().stream().mapToLong(one -> one.handover.adoptedCount())
                                 .sum() == established),
-                "adopted: " + fleet.running().stream().mapToLong(one -> one.handover.adopted()).sum());
+                "adopted: " + fleet.running().stream().mapToLong(one -> one.handover.adoptedCount()).sum());
     }
 
     @Test
@@ -69,12 +69,12 @@
                 fleet.advanceUntil(Duration.ofSeconds(30),
                         () -> fleet.running().stream().allMatch(one -> one.handover.isReplicated())));
         fleet.controllers().forEach(one -> fleet.clients().connect(one.name));
-        fleet.world().pass(20);
+        fleet.world().advance(20);
         for (int i = 0; i < 40; i++) {
             for (int n = 1; n <= 10; n++) {
-                fleet.clients().ask("n" + n, i % 2, "status-check", Duration.ofSeconds(6));
+                fleet.clients().requestCall("n" + n, i % 2, "status-check", Duration.ofSeconds(6));
             }
-            fleet.world().pass(100);
+            fleet.world().advance(100);
         }
         int established = fleet.clients().established().size();
         assertTrue(
@@ -85,8 +85,8 @@
         fleet.controllers().subList(0, 7).forEach(VirtualFleet.Controller::kill);
         long adoptedBefore = 0;
         for (int millis = 0; millis < 20_000; millis += 100) {
-            fleet.world().pass(100);
-            long adoptedNow = fleet.running().stream().mapToLong(one -> one.handover.adopted()).sum();
+            fleet.world().advance(100);
+            long adoptedNow = fleet.running().stream().mapToLong(one -> one.handover.adoptedCount()).sum();
             assertTrue(adoptedNow - adoptedBefore <= 3 * 11,
                     (adoptedNow - adoptedBefore) + " calls in 100 ms by three, each limited to 100 a second");
             adoptedBefore = adoptedNow;
--- a/lab/src/test/java/pathlane/lab/discovery/DiscoveryFailureTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/DiscoveryFailureTest.java
@@ -163,7 +163,7 @@
         DiscoveryFleet fleet = fleet(1, 2, 2, TERMS);
         ControllerProcess controller = fleet.controllers().get(0);
         String first = controller.client().publisher().orElseThrow();
-        fleet.faults().cut(first, controller.name());
+        fleet.faults().block(first, controller.name());
         long after = millisUntil(fleet, () -> !controller.client().publisher().equals(Optional.of(first))
                 && controller.client().publisher().isPresent());
         assertTrue(after <= DiscoveryFleet.SILENCE_TIMEOUT.toMillis() + 2_500, after + " ms");
@@ -178,7 +178,7 @@
         String first = controller.client().publisher().orElseThrow();
         fleet.faults().partition(controller.name(), first);
         fleet.change(contents -> contents.configure(SERVICE));
-        assertInvariantsHold(fleet, TERMS.deadAfter().plusSeconds(8));
+        assertInvariantsHold(fleet, TERMS.acknowledgeTimeout().plusSeconds(8));
         assertEquals(Optional.empty(), fleet.lag());
     }
 
@@ -193,7 +193,7 @@
         fleet.advance(Duration.ofMillis(200));
         fleet.faults().delay(relay, controller.name(), Duration.ZERO);
         fleet.faults().delay(controller.name(), relay, Duration.ZERO);
-        fleet.faults().halfClose(controller.name(), relay);
+        fleet.faults().halfOpen(controller.name(), relay);
         fleet.change(contents -> contents.removeServer(SERVICE));
         assertConverges(fleet, CONVERGENCE_TIMEOUT);
         assertInvariantsHold(fleet, CONVERGENCE_TIMEOUT);
--- a/lab/src/test/java/pathlane/lab/discovery/InvalidPublisherTest.java
+++ b/lab/src/test/java/pathlane/lab/discovery/InvalidPublisherTest.java
@@ -77,7 +77,7 @@
         publisher.update(removal(FIRST, SECOND, 4, servers(2)));
         assertFirstStateKept(publisher);
         assertEquals(List.of(new WatchMessage.Interest(SERVICE, Revision.NONE, 0)), publisher.interests().stream()
-                .map(one -> new WatchMessage.Interest(one.service(), one.have(), 0)).toList());
+                .map(one -> new WatchMessage.Interest(one.service(), one.heldRevision(), 0)).toList());
     }
 
     @Test
--- a/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
+++ b/lab/src/test/java/pathlane/lab/discovery/ScriptedPublisher.java
@@ -21,7 +21,7 @@
 import pathlane.group.AuthenticatedLink;
 import pathlane.group.KeyRing;
 import pathlane.lab.Faults;
-import pathlane.lab.Path;
+import pathlane.lab.FaultyConnection;
 import pathlane.standin.VirtualTime;
 import pathlane.transport.RateLimitedLog;
 
@@ -49,7 +49,8 @@
                 Duration.ofSeconds(60), Duration.ofSeconds(1));
         client = new WatchClient(terms,
                 (address, timeout, protocol) -> virtualTime.after(LATENCY,
-                        () -> new Path(virtualTime, faults, LATENCY, "controller", protocol, "relay", accept(status))),
+                        () -> new FaultyConnection(virtualTime, faults, LATENCY, "controller", protocol, "relay",
+                                accept(status))),
                 common("controller"), virtualTime, random.split(), new Recorder());
         client.watch(SERVICE);
         client.start();
@@ -86,7 +87,7 @@
     }
 
     void advance() {
-        virtualTime.pass(Duration.ofMillis(200));
+        virtualTime.advance(Duration.ofMillis(200));
     }
 
     void send(WatchMessage.Response message) {
--- a/net/src/main/java/pathlane/net/NettyConnection.java
+++ b/net/src/main/java/pathlane/net/NettyConnection.java
@@ -156,12 +156,12 @@
     }
 
     @Override
-    public Withdrawal cancelWrite(byte[] bytes) {
+    public CancelResult cancelWrite(byte[] bytes) {
         for (Iterator<byte[]> queued = queue.iterator(); queued.hasNext();) {
             if (queued.next() == bytes) {
                 queued.remove();
                 queueBytes -= bytes.length + MESSAGE_OVERHEAD_BYTES;
-                return Withdrawal.WITHDRAWN;
+                return CancelResult.CANCELLED;
             }
         }
         boolean isFirst = true;
@@ -169,11 +169,11 @@
             if (write.message() == bytes && !write.written().isDone()) {
                 boolean hasBegun = isFirst && channel.unsafe().outboundBuffer() != null
                         && channel.unsafe().outboundBuffer().currentProgress() > 0;
-                return hasBegun ? Withdrawal.LEFT : Withdrawal.BOUND;
+                return hasBegun ? CancelResult.SENT : CancelResult.COMMITTED;
             }
             isFirst &= write.written().isDone();
         }
-        return Withdrawal.LEFT;
+        return CancelResult.SENT;
     }
 
     /** The bytes that were passed to the channel and not written to the socket. */
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public void finish(CloseReason reason) {
+    public void halfClose(CloseReason reason) {
         if (closeReason == null) {
             closeReason = reason;
             shutdownOutput();
@@ -215,7 +215,7 @@
     }
 
     /**
-     * Like {@link #finish}, but further input is dropped. Used at shutdown: closing a socket with unread input resets the
+     * Like {@link #halfClose}, but further input is dropped. Used at shutdown: closing a socket with unread input resets the
      * connection, and the remote side could lose final answers that it has not read yet.
      */
     void finishDroppingInput(CloseReason reason) {
--- a/net/src/main/java/pathlane/net/Network.java
+++ b/net/src/main/java/pathlane/net/Network.java
@@ -142,23 +142,23 @@
     }
 
     /** The number of connections accepted since the start. On the loop's thread. */
-    public long accepted() {
+    public long acceptedCount() {
         return acceptedCount;
     }
 
     /** Whether no connection has unsent bytes. On the loop's thread. */
-    public boolean hasWritten() {
+    public boolean hasNoUnsentBytes() {
         return connections.stream().allMatch(connection -> connection.unsentBytes() == 0);
     }
 
     /** Stops listening, drops further input on accepted connections and closes them gracefully. On the loop's thread. */
-    public void partFromCallers() {
+    public void closeAcceptedConnections() {
         listeningChannels.forEach(Channel::close);
         List.copyOf(acceptedConnections).forEach(connection -> connection.finishDroppingInput(CloseReason.SHUTDOWN));
     }
 
     /** Whether all accepted connections are closed. On the loop's thread. */
-    public boolean hasParted() {
+    public boolean areAcceptedConnectionsClosed() {
         return acceptedConnections.isEmpty();
     }
 
@@ -168,7 +168,7 @@
     }
 
     /** A connector whose connections are closed when more than this many bytes are waiting to be sent. */
-    public Connector dialer(long maxUnsentBytes) {
+    public Connector connector(long maxUnsentBytes) {
         return (address, timeout, protocol) -> connect(address, timeout, protocol, maxUnsentBytes);
     }
 
--- a/relay/src/main/java/pathlane/relay/CatalogueFile.java
+++ b/relay/src/main/java/pathlane/relay/CatalogueFile.java
@@ -90,8 +90,8 @@
 
     private void service(Map<String, Content> services) throws IOException {
         String name = json.nextName();
-        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > CatalogueLimits.LONGEST_NAME) {
-            throw error("'" + name + "' is not a valid service name; expected 1 to " + CatalogueLimits.LONGEST_NAME
+        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > CatalogueLimits.MAX_NAME_BYTES) {
+            throw error("'" + name + "' is not a valid service name; expected 1 to " + CatalogueLimits.MAX_NAME_BYTES
                     + " bytes");
         }
         String configuration = "";
@@ -112,9 +112,9 @@
             }
         }
         json.endObject();
-        if (endpoints.size() > CatalogueLimits.MOST_ENDPOINTS) {
+        if (endpoints.size() > CatalogueLimits.MAX_ENDPOINTS) {
             throw error("service '" + name + "' has " + endpoints.size() + " endpoints; expected "
-                    + CatalogueLimits.MOST_ENDPOINTS + " at most");
+                    + CatalogueLimits.MAX_ENDPOINTS + " at most");
         }
         endpoints.sort(Comparator.comparingLong(ServerEndpoint::id));
         if (services.put(name, new Content(List.copyOf(endpoints), configuration)) != null) {
@@ -124,9 +124,9 @@
 
     private String configuration() throws IOException {
         String text = json.nextString();
-        if (text.length() > CatalogueLimits.LONGEST_CONFIGURATION) {
+        if (text.length() > CatalogueLimits.MAX_CONFIGURATION_LENGTH) {
             throw error("a configuration of " + text.length() + " characters; expected "
-                    + CatalogueLimits.LONGEST_CONFIGURATION + " at most");
+                    + CatalogueLimits.MAX_CONFIGURATION_LENGTH + " at most");
         }
         return text;
     }
--- a/relay/src/main/java/pathlane/relay/ProgramFile.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFile.java
@@ -66,10 +66,10 @@
             } catch (IOException e) {
                 throw new IllegalArgumentException("the configuration file " + file.get() + " cannot be read", e);
             }
-            if (content.length() > CatalogueLimits.LONGEST_CONFIGURATION) {
+            if (content.length() > CatalogueLimits.MAX_CONFIGURATION_LENGTH) {
                 throw new IllegalArgumentException("a configuration of " + content.length() + " characters"
                         + file.map(path -> " in " + path).orElse("") + "; expected "
-                        + CatalogueLimits.LONGEST_CONFIGURATION + " at most");
+                        + CatalogueLimits.MAX_CONFIGURATION_LENGTH + " at most");
             }
             return content;
         }
--- a/relay/src/main/java/pathlane/relay/ProgramFileReader.java
+++ b/relay/src/main/java/pathlane/relay/ProgramFileReader.java
@@ -40,25 +40,27 @@
         boolean isSource = toml.choice("role", Map.of("source", true, "relay", false));
         Set<String> knownKeys = new HashSet<>(SHARED_KEYS);
         knownKeys.addAll(isSource ? SOURCE_KEYS : WatchTables.WATCH_KEYS);
-        toml.onlyKeys(knownKeys);
-        Common common = new Common(WatchTables.name(toml, "name"), toml.address("listen"), toml.beside(toml.text("keys")),
-                terms(toml.table("limits")));
-        return isSource ? new SourceFile(common, toml.beside(toml.text("epoch-file")), origin())
+        toml.requireKnownKeys(knownKeys);
+        Common common =
+                new Common(WatchTables.name(toml, "name"), toml.address("listen"), toml.resolveSibling(toml.text("keys")),
+                        terms(toml.table("limits")));
+        return isSource ? new SourceFile(common, toml.resolveSibling(toml.text("epoch-file")), origin())
                 : new RelayFile(common, WatchTables.watchTerms(toml, common.name()));
     }
 
     private static PublisherTerms terms(TomlFile limits) {
-        limits.onlyKeys(Set.of("subscribers", "watches-per-second", "watch-burst", "unacknowledged-bytes",
+        limits.requireKnownKeys(Set.of("subscribers", "watches-per-second", "watch-burst", "unacknowledged-bytes",
                 "update-bytes", "history-changes", "bookmark-ms", "dead-after-ms"));
-        PublisherTerms defaults = PublisherTerms.USUAL;
-        return new PublisherTerms((int) limits.whole("subscribers", defaults.subscribers(), 1, MAX_SUBSCRIBERS),
+        PublisherTerms defaults = PublisherTerms.DEFAULTS;
+        return new PublisherTerms((int) limits.integer("subscribers", defaults.subscribers(), 1, MAX_SUBSCRIBERS),
                 limits.number("watches-per-second", defaults.watchesPerSecond(), 1, MAX_SUBSCRIBERS),
-                (int) limits.whole("watch-burst", defaults.watchBurst(), 1, MAX_SUBSCRIBERS),
-                (int) limits.whole("unacknowledged-bytes", defaults.unacknowledgedBytes(), MIN_BYTES, MAX_BYTES),
-                (int) limits.whole("update-bytes", defaults.updateBytes(), MIN_BYTES, MAX_BYTES),
-                (int) limits.whole("history-changes", defaults.historyChanges(), 0, MAX_BYTES),
-                limits.millis("bookmark-ms", defaults.bookmarkEvery(), Duration.ofMillis(10), defaults.bookmarkEvery()),
-                limits.millis("dead-after-ms", defaults.deadAfter(), Duration.ofSeconds(1), MAX_DURATION));
+                (int) limits.integer("watch-burst", defaults.watchBurst(), 1, MAX_SUBSCRIBERS),
+                (int) limits.integer("unacknowledged-bytes", defaults.unacknowledgedBytes(), MIN_BYTES, MAX_BYTES),
+                (int) limits.integer("update-bytes", defaults.updateBytes(), MIN_BYTES, MAX_BYTES),
+                (int) limits.integer("history-changes", defaults.historyChanges(), 0, MAX_BYTES),
+                limits.millis("bookmark-ms", defaults.bookmarkInterval(), Duration.ofMillis(10),
+                        defaults.bookmarkInterval()),
+                limits.millis("dead-after-ms", defaults.acknowledgeTimeout(), Duration.ofSeconds(1), MAX_DURATION));
     }
 
     // ---- source
@@ -75,7 +77,7 @@
                             + "its own services");
                 }
             }
-            return new CatalogueOrigin(toml.beside(toml.text("catalogue")));
+            return new CatalogueOrigin(toml.resolveSibling(toml.text("catalogue")));
         }
         Map<String, Set<Integer>> services = WatchTables.services(toml);
         return new BusOrigin(toml.address("bus"), services, configurations(services.keySet()));
@@ -90,8 +92,8 @@
             }
             if (table.isTable(service)) {
                 TomlFile inner = table.table(service);
-                inner.onlyKeys(Set.of("file"));
-                Path file = toml.beside(inner.text("file"));
+                inner.requireKnownKeys(Set.of("file"));
+                Path file = toml.resolveSibling(inner.text("file"));
                 if (!Files.isReadable(file)) {
                     throw inner.error("file", "the configuration file " + file + " cannot be read");
                 }
--- a/relay/src/main/java/pathlane/relay/PublisherProgram.java
+++ b/relay/src/main/java/pathlane/relay/PublisherProgram.java
@@ -47,7 +47,7 @@
             return nonce;
         }, loop, new RateLimitedLog("discovery", loop));
         this.role = file instanceof SourceFile source ? new SourceRole(source, context, network, loop, random)
-                : new RelayRole((RelayFile) file, context, network.dialer(maxUnwrittenBytes()), loop, random);
+                : new RelayRole((RelayFile) file, context, network.connector(maxUnwrittenBytes()), loop, random);
         this.statusLog = new StatusLog(role, loop);
     }
 
@@ -98,7 +98,7 @@
             LOG.log(Level.INFO, "asked to end: {0} subscribers are connected",
                     Integer.toString(role.publisher().counters().subscribers()));
             role.stop();
-            network.partFromCallers();
+            network.closeAcceptedConnections();
             awaitConnectionsClosed(loop.now().plus(SHUTDOWN_TIMEOUT), () -> {
                 LOG.log(Level.INFO, "ended: {0}", statusLog.line());
                 onClosed.run();
@@ -107,7 +107,7 @@
     }
 
     private void awaitConnectionsClosed(Instant deadline, Runnable next) {
-        if (network.hasParted() || !loop.now().isBefore(deadline)) {
+        if (network.areAcceptedConnectionsClosed() || !loop.now().isBefore(deadline)) {
             next.run();
         } else {
             loop.after(SHUTDOWN_POLL_INTERVAL, () -> awaitConnectionsClosed(deadline, next));
--- a/relay/src/main/java/pathlane/relay/ServerDirectory.java
+++ b/relay/src/main/java/pathlane/relay/ServerDirectory.java
@@ -56,14 +56,14 @@
     /** Applies an event and returns its changes by service. */
     Map<String, EndpointChange> apply(ServerList list) {
         Map<String, EndpointChange> changes = new TreeMap<>();
-        if (list.whole()) {
+        if (list.isComplete()) {
             Set<Long> listed = new HashSet<>();
-            list.lines().forEach(endpoint -> listed.add(endpoint.id()));
+            list.endpoints().forEach(endpoint -> listed.add(endpoint.id()));
             List.copyOf(serviceById.keySet()).stream().filter(id -> !listed.contains(id))
                     .sorted(Comparator.naturalOrder()).forEach(id -> remove(id, changes));
             unassigned.retainAll(listed);
         }
-        list.lines().forEach(endpoint -> apply(endpoint, changes));
+        list.endpoints().forEach(endpoint -> apply(endpoint, changes));
         return changes;
     }
 
--- a/relay/src/test/java/pathlane/relay/BusSourceTest.java
+++ b/relay/src/test/java/pathlane/relay/BusSourceTest.java
@@ -37,7 +37,7 @@
     private static final int RECORD_BYTES = 27;
 
     private final VirtualTime time = new VirtualTime();
-    private final Source source = new Source(1, PublisherTerms.USUAL, new AuthenticatedLink.Context("s", () -> null,
+    private final Source source = new Source(1, PublisherTerms.DEFAULTS, new AuthenticatedLink.Context("s", () -> null,
             () -> new byte[16], time, new RateLimitedLog("test", time)), time, new SplittableRandom(1));
     private final List<Long> requestedEvents = new ArrayList<>();
     private Protocol bus;
@@ -87,7 +87,7 @@
         start();
         event(1, COMPLETE_LIST, 7, 1, RUNNING);
         event(2, CHANGES, 8, 2, RUNNING);
-        time.pass(1000);
+        time.advance(1000);
         assertFalse(source.catalogue().isComplete(), "time alone does not complete a list");
         assertTrue(source.catalogue().services().isEmpty());
         event(2, HEARTBEAT);
@@ -125,7 +125,7 @@
         event(1, COMPLETE_LIST, 7, 1, RUNNING);
         event(1, HEARTBEAT);
         for (int second = 0; second < 20; second++) {
-            time.pass(1000);
+            time.advance(1000);
             assertEquals(second < 2, source.publisher().status().staleFor().isZero(), "after " + (second + 1) + " s");
         }
         assertTrue(requestedEvents.size() > 5, "it was reconnected repeatedly");
@@ -136,12 +136,12 @@
         start();
         event(1, COMPLETE_LIST, 7, 1, RUNNING);
         event(1, HEARTBEAT);
-        time.pass(1900);
+        time.advance(1900);
         assertTrue(source.publisher().status().staleFor().isZero(), "one late heartbeat is not silence");
-        time.pass(4000);
+        time.advance(4000);
         assertFalse(source.publisher().status().staleFor().isZero());
         event(1, HEARTBEAT);
-        time.pass(1000);
+        time.advance(1000);
         assertTrue(source.publisher().status().staleFor().isZero());
     }
 }
--- a/relay/src/test/java/pathlane/relay/ProgramFileTest.java
+++ b/relay/src/test/java/pathlane/relay/ProgramFileTest.java
@@ -38,9 +38,9 @@
     @Test
     void exampleFilesAreValid() {
         SourceFile source = assertInstanceOf(SourceFile.class, ProgramFile.read(Path.of("../deploy/source.toml")));
-        assertEquals(PublisherTerms.USUAL, source.common().terms());
+        assertEquals(PublisherTerms.DEFAULTS, source.common().terms());
         RelayFile relay = assertInstanceOf(RelayFile.class, ProgramFile.read(Path.of("../deploy/relay.toml")));
-        assertEquals(PublisherTerms.USUAL, relay.common().terms());
+        assertEquals(PublisherTerms.DEFAULTS, relay.common().terms());
         assertEquals(relay.common().name(), relay.upstream().name());
     }
 
@@ -62,8 +62,8 @@
                 + "silent-after-ms = 15000\nreturn-within-ms = 16\n");
         assertEquals(new PublisherTerms(5, 6, 7, 8000, 9000, 10, Duration.ofMillis(110), Duration.ofSeconds(12)),
                 relay.common().terms());
-        assertEquals(List.of(13L, 14L, 15_000L, 16L), List.of(relay.upstream().backoffFirst().toMillis(),
-                relay.upstream().backoffMost().toMillis(), relay.upstream().silentAfter().toMillis(),
+        assertEquals(List.of(13L, 14L, 15_000L, 16L), List.of(relay.upstream().initialBackoff().toMillis(),
+                relay.upstream().maxBackoff().toMillis(), relay.upstream().silenceTimeout().toMillis(),
                 relay.upstream().returnWithin().toMillis()));
     }
 
--- a/standin/src/main/java/pathlane/standin/RuleBook.java
+++ b/standin/src/main/java/pathlane/standin/AttemptRuleChecker.java
@@ -10,7 +10,7 @@
  * nor a new attempt within the gap after a lost one. A call keeps the same key over all its attempts, whoever makes
  * them. Times are in milliseconds. Not thread-safe.
  */
-public final class RuleBook {
+public final class AttemptRuleChecker {
 
     private final double gapMs;
     private final Map<String, String> serverByOpenCall = new HashMap<>();
@@ -19,7 +19,7 @@
     private final Map<String, Integer> attempts = new HashMap<>();
 
     /** Creates a checker; {@code gapMs} is the minimum time between a lost attempt and the next one. */
-    public RuleBook(double gapMs) {
+    public AttemptRuleChecker(double gapMs) {
         this.gapMs = gapMs;
     }
 
@@ -38,7 +38,7 @@
     }
 
     /** Records that an attempt has ended; it is lost if it timed out, was reset or was cancelled. */
-    public void over(String call, boolean lost, double now) {
+    public void ended(String call, boolean lost, double now) {
         serverByOpenCall.remove(call);
         if (lost) {
             lostAt.put(call, now);
@@ -51,7 +51,7 @@
     }
 
     /** Returns the violations, one sentence each. */
-    public List<String> broken() {
+    public List<String> violations() {
         return List.copyOf(violations);
     }
 }
--- a/standin/src/main/java/pathlane/standin/GrpcFront.java
+++ b/standin/src/main/java/pathlane/standin/GrpcSessionServer.java
@@ -22,7 +22,7 @@
  * {@code Sign} is a server stream whose first message is the answer and which ends after the hold time; {@code Talk} is
  * bidirectional: its headers are the answer, every message is echoed, and it ends when the client half-closes.
  */
-public final class GrpcFront {
+public final class GrpcSessionServer {
 
     /** The name of the gRPC service. */
     public static final String SERVICE = "signing.Sessions";
@@ -43,7 +43,7 @@
     private final Scheduler time;
     private final Executor executor;
     private final Duration holdTime;
-    private final RuleBook rules;
+    private final AttemptRuleChecker rules;
     private long lastId;
     private Status finalStatus = Status.OK;
 
@@ -54,8 +54,8 @@
      * @param holdTime how long an established stream lasts
      * @param rules checks the attempt rules, or null for no checks
      */
-    public GrpcFront(String name, Processor processor, Scheduler time, Executor executor, Duration holdTime,
-            RuleBook rules) {
+    public GrpcSessionServer(String name, Processor processor, Scheduler time, Executor executor, Duration holdTime,
+            AttemptRuleChecker rules) {
         this.name = name;
         this.processor = processor;
         this.time = time;
@@ -65,7 +65,7 @@
     }
 
     /** Ends calls with this status from now on instead of establishing them; OK restores the normal behaviour. */
-    public void answerWith(Status status) {
+    public void endCallsWith(Status status) {
         finalStatus = status;
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** A single call at this server. */
-    private final class Session extends ServerCall.Listener<byte[]> implements Processor.Caller {
+    private final class Session extends ServerCall.Listener<byte[]> implements Processor.Client {
 
         private final ServerCall<byte[], byte[]> call;
         private final String key;
@@ -132,7 +132,7 @@
             if (rules != null && key != null) {
                 rules.sent(key, name, nowMs());
             }
-            processor.setUp(id, this);
+            processor.requestReceived(id, this);
         }
 
         @Override
@@ -162,7 +162,7 @@
         private void over(boolean isLost) {
             isOver = true;
             if (rules != null && key != null) {
-                rules.over(key, isLost, nowMs());
+                rules.ended(key, isLost, nowMs());
             }
         }
 
@@ -206,14 +206,14 @@
         }
 
         @Override
-        public void turnedAway(Duration wait) {
+        public void rejected(Duration wait) {
             Metadata trailers = new Metadata();
             trailers.put(PUSHBACK, Long.toString(wait.toMillis()));
             close(Status.RESOURCE_EXHAUSTED.withDescription("processor full"), trailers, false);
         }
 
         @Override
-        public void cut() {
+        public void lost() {
             close(Status.UNAVAILABLE.withDescription("the server process stops"), new Metadata(), true);
         }
     }
--- a/standin/src/main/java/pathlane/standin/PlatformServer.java
+++ b/standin/src/main/java/pathlane/standin/PlatformSessionServer.java
@@ -8,16 +8,16 @@
 import pathlane.core.Scheduler;
 import pathlane.transport.Connection;
 import pathlane.transport.Protocol;
-import pathlane.wire.BadInput;
 import pathlane.wire.Cause;
 import pathlane.wire.FrameAssembler;
 import pathlane.wire.Message;
+import pathlane.wire.ProtocolException;
 
 /**
  * A session server's front end for one connection of the platform's protocol: answers call requests as the processor
  * decides, releases each call after its hold time, and answers test messages.
  */
-public final class PlatformServer implements Protocol {
+public final class PlatformSessionServer implements Protocol {
 
     private static final int CAUSE_PROCESSOR_FULL = 34;
 
@@ -25,13 +25,14 @@
     private final Processor processor;
     private final Scheduler time;
     private final Duration holdTime;
-    private final RuleBook rules;
+    private final AttemptRuleChecker rules;
     private final FrameAssembler assembler = Message.assembler();
     private final Map<String, Session> sessions = new HashMap<>();
     private Connection connection;
 
     /** {@code rules} may be null; a call's key there is its called number, which all its attempts share. */
-    public PlatformServer(String name, Processor processor, Scheduler time, Duration holdTime, RuleBook rules) {
+    public PlatformSessionServer(String name, Processor processor, Scheduler time, Duration holdTime,
+            AttemptRuleChecker rules) {
         this.name = name;
         this.processor = processor;
         this.time = time;
@@ -48,7 +49,7 @@
     public void received(ByteBuffer bytes) {
         try {
             assembler.feed(bytes, frame -> message(Message.read(frame)));
-        } catch (BadInput e) {
+        } catch (ProtocolException e) {
             connection.close(CloseReason.PROTOCOL_ERROR);
         }
     }
@@ -56,13 +57,13 @@
     private void message(Message message) {
         String id = message.id();
         switch (message.type) {
-            case Message.SET_UP -> {
-                Session session = new Session(id, message.text(Message.NUMBER), message.value(Message.DESCRIPTION));
+            case Message.CALL_REQUEST -> {
+                Session session = new Session(id, message.text(Message.DESTINATION), message.value(Message.DESCRIPTION));
                 sessions.put(id, session);
                 if (rules != null) {
                     rules.sent(session.key, name, nowMs());
                 }
-                processor.setUp(id, session);
+                processor.requestReceived(id, session);
             }
             case Message.RELEASE -> {
                 Session session = sessions.remove(id);
@@ -70,10 +71,10 @@
                     session.over(!session.isEstablished);
                     processor.released(id);
                 }
-                connection.write(new Message(Message.RELEASE_HEARD, id).bytes());
+                connection.write(new Message(Message.RELEASE_COMPLETE, id).bytes());
             }
-            case Message.TEST -> connection.write(new Message(Message.TEST_RESULT, id).withCause(1).bytes());
-            default -> throw new BadInput("unexpected message type " + message.type);
+            case Message.HEALTH_CHECK -> connection.write(new Message(Message.HEALTH_CHECK_RESULT, id).withCause(1).bytes());
+            default -> throw new ProtocolException("unexpected message type " + message.type);
         }
     }
 
@@ -99,7 +100,7 @@
         sessions.values().removeIf(session -> !session.isEstablished);
     }
 
-    private final class Session implements Processor.Caller {
+    private final class Session implements Processor.Client {
 
         private final String id;
         private final String key;
@@ -115,7 +116,7 @@
 
         void over(boolean lost) {
             if (!isOver && rules != null) {
-                rules.over(key, lost, nowMs());
+                rules.ended(key, lost, nowMs());
             }
             isOver = true;
         }
@@ -130,23 +131,23 @@
                 if (sessions.remove(id) != null) {
                     processor.released(id);
                     over(false);
-                    release(id, Cause.OVER);
+                    release(id, Cause.NORMAL_CLEARING);
                 }
             });
         }
 
         @Override
-        public void turnedAway(Duration wait) {
+        public void rejected(Duration wait) {
             sessions.remove(id);
             over(false);
             release(id, CAUSE_PROCESSOR_FULL);
         }
 
         @Override
-        public void cut() {
+        public void lost() {
             if (sessions.remove(id) != null) {
                 over(true);
-                release(id, Cause.CUT);
+                release(id, Cause.RESET);
             }
         }
     }
--- a/standin/src/main/java/pathlane/standin/Processor.java
+++ b/standin/src/main/java/pathlane/standin/Processor.java
@@ -21,16 +21,17 @@
     /**
      * Costs and limits of the model. Work is in milliseconds of a warm processor at normal speed.
      *
-     * @param setUp work of a request
-     * @param answer work of an answer; a release costs the same
-     * @param reject work of rejecting a request
-     * @param repeat work of a retransmitted request while the first one still waits
-     * @param repeatAfter a waiting request is retransmitted after this and then at doubling intervals; zero for never
-     * @param longestWait a request that would wait longer is rejected
+     * @param requestWork work of a request
+     * @param answerWork work of an answer; a release costs the same
+     * @param rejectWork work of rejecting a request
+     * @param retransmissionWork work of a retransmitted request while the first one still waits
+     * @param retransmissionDelay a waiting request is retransmitted after this, then at doubling intervals; zero for never
+     * @param maxWait a request that would wait longer is rejected
      * @param rules the settings of the cold start
      */
-    public record Model(double setUp, double answer, double reject, double repeat, Duration repeatAfter,
-            Duration longestWait, Rules rules) {
+    public record Model(double requestWork, double answerWork, double rejectWork, double retransmissionWork,
+            Duration retransmissionDelay,
+            Duration maxWait, Rules rules) {
 
         /** Returns the model of a processor that handles this many calls a second when warm. */
         public static Model of(double callsPerSecond, Rules rules) {
@@ -42,20 +43,20 @@
 
         /** Calls a second that a warm processor can handle, including their answers and releases. */
         public double callsPerSecond() {
-            return 1000 / (setUp + 2 * answer);
+            return 1000 / (requestWork + 2 * answerWork);
         }
     }
 
     /** The client side of a call at this processor. */
-    public interface Caller {
+    public interface Client {
         /** The call is established. */
         void answered();
 
         /** The request was rejected; {@code wait} is the processor's current queueing delay. */
-        void turnedAway(Duration wait);
+        void rejected(Duration wait);
 
         /** The process crashed or stopped: no further event follows. */
-        void cut();
+        void lost();
     }
 
     /** The processor's state. */
@@ -72,12 +73,12 @@
     }
 
     private static final class Call {
-        final Caller client;
+        final Client client;
         boolean isEstablished;
         boolean isAbandoned;
         Scheduler.Timer retransmission;
 
-        Call(Caller client) {
+        Call(Client client) {
             this.client = client;
         }
     }
@@ -117,17 +118,17 @@
     }
 
     /** Makes all work take this many times as long from now on; 1 restores the normal speed. */
-    public void slow(double factor) {
+    public void setSlowFactor(double factor) {
         slowFactor = factor;
     }
 
     /** Stops sending anything, without closing connections or calls. */
-    public void silent() {
+    public void fallSilent() {
         state = State.SILENT;
     }
 
     /** Ends the silence and resumes work. */
-    public void speak() {
+    public void resume() {
         state = state == State.SILENT ? State.RUNNING : state;
         workNext();
     }
@@ -147,38 +148,38 @@
         calls.clear();
         lostCalls.forEach(call -> {
             cancelRetransmission(call);
-            call.client.cut();
+            call.client.lost();
         });
     }
 
     // ---- calls
 
     /** Receives a call request. */
-    public void setUp(String id, Caller client) {
+    public void requestReceived(String id, Client client) {
         if (state == State.DOWN) {
-            client.cut();
+            client.lost();
             return;
         }
         requests++;
         if (isOverloadedWhileCold()) {
             hasCrashed = true;
             stop();
-            client.cut();
+            client.lost();
             return;
         }
         Call call = new Call(client);
-        if (state == State.DRAINING || waitMs() > Millis.of(model.longestWait())) {
+        if (state == State.DRAINING || queueingDelayMs() > Millis.of(model.maxWait())) {
             rejects++;
-            Duration wait = Millis.toDuration(waitMs());
-            enqueue(model.reject(), () -> client.turnedAway(wait));
+            Duration wait = Millis.toDuration(queueingDelayMs());
+            enqueue(model.rejectWork(), () -> client.rejected(wait));
             return;
         }
         calls.put(id, call);
-        scheduleRetransmission(id, call, model.repeatAfter());
-        enqueue(model.setUp(), () -> {
+        scheduleRetransmission(id, call, model.retransmissionDelay());
+        enqueue(model.requestWork(), () -> {
             cancelRetransmission(call);
             if (calls.get(id) == call) {
-                enqueue(model.answer(), () -> answer(id, call));
+                enqueue(model.answerWork(), () -> answer(id, call));
             }
         });
     }
@@ -203,7 +204,7 @@
         cancelRetransmission(call);
         if (call.isEstablished) {
             calls.remove(id);
-            enqueue(model.answer(), () -> {});
+            enqueue(model.answerWork(), () -> {});
         } else {
             call.isAbandoned = true;
         }
@@ -213,7 +214,7 @@
         if (!delay.isZero()) {
             call.retransmission = time.after(delay, () -> {
                 if (calls.get(id) == call && !call.isEstablished && !call.isAbandoned) {
-                    enqueue(model.repeat(), () -> {});
+                    enqueue(model.retransmissionWork(), () -> {});
                     scheduleRetransmission(id, call, delay.multipliedBy(2));
                 }
             });
@@ -256,7 +257,7 @@
     }
 
     /** Returns how long a request that arrives now would wait. */
-    public double waitMs() {
+    public double queueingDelayMs() {
         return queuedWork * slowFactor / warmth();
     }
 
@@ -295,7 +296,7 @@
     }
 
     /** Returns the number of requests received. */
-    public long setUps() {
+    public long requests() {
         return requests;
     }
 
@@ -310,22 +311,22 @@
     }
 
     /** Returns the number of calls established now. */
-    public long standing() {
+    public long established() {
         return calls.values().stream().filter(call -> call.isEstablished).count();
     }
 
     /** Returns the maximum number of calls established at one time. */
-    public long stoodAtMost() {
+    public long maxEstablished() {
         return maxEstablished;
     }
 
     /** Returns whether the process crashed from overload while cold. */
-    public boolean fell() {
+    public boolean hasCrashed() {
         return hasCrashed;
     }
 
     /** Returns the maximum fraction of the cold-start budget used in any window; above 1 the process crashes. */
-    public double mostOfBudget() {
+    public double maxColdBudgetUse() {
         return maxColdBudgetUse;
     }
 }
--- a/standin/src/main/java/pathlane/standin/VirtualTime.java
+++ b/standin/src/main/java/pathlane/standin/VirtualTime.java
@@ -44,7 +44,7 @@
     }
 
     /** Advances the clock by this time, running every task that becomes due. */
-    public void pass(Duration time) {
+    public void advance(Duration time) {
         Instant end = now.plus(time);
         while (!scheduled.isEmpty() && !scheduled.first().at().isAfter(end)) {
             ScheduledTask next = scheduled.pollFirst();
@@ -55,12 +55,12 @@
     }
 
     /** Advances the clock by this many milliseconds. */
-    public void pass(long millis) {
-        pass(Duration.ofMillis(millis));
+    public void advance(long millis) {
+        advance(Duration.ofMillis(millis));
     }
 
     /** Returns the number of scheduled tasks. */
-    public int pending() {
+    public int scheduledTasks() {
         return scheduled.size();
     }
 }
--- a/voter/src/main/java/pathlane/voter/RaftCodec.java
+++ b/voter/src/main/java/pathlane/voter/RaftCodec.java
@@ -28,7 +28,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /** Encodes the Raft library's messages and stored state as MessagePack: a kind, then the fields in a fixed order. */
 public final class RaftCodec implements RaftStoreSerializer {
@@ -70,7 +70,7 @@
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(unpacker);
         } catch (IOException | MessagePackException e) {
-            throw new BadInput("not a valid Raft message: " + e.getMessage());
+            throw new ProtocolException("not a valid Raft message: " + e.getMessage());
         }
     }
 
@@ -81,7 +81,7 @@
         return pack(packer -> write(packer, message));
     }
 
-    /** @throws BadInput if the bytes are not a message */
+    /** @throws ProtocolException if the bytes are not a message */
     public RaftMessage decodeMessage(byte[] bytes) {
         return decode(bytes, this::decodeMessage);
     }
@@ -188,14 +188,14 @@
             case TRIGGER_LEADER_ELECTION ->
                 models.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP_ID).setSender(sender)
                         .setTerm(term).setLastLogTerm(unpacker.unpackInt()).setLastLogIndex(unpacker.unpackLong()).build();
-            default -> throw new BadInput("unknown message kind " + kind + " from a voter");
+            default -> throw new ProtocolException("unknown message kind " + kind + " from a voter");
         };
     }
 
     private static int readArrayHeader(MessageUnpacker unpacker) throws IOException {
         int count = unpacker.unpackArrayHeader();
         if (count > MAX_ITEMS) {
-            throw new BadInput(count + " items exceed the limit of 65536");
+            throw new ProtocolException(count + " items exceed the limit of 65536");
         }
         return count;
     }
--- a/wire/src/main/java/pathlane/bus/BusFeed.java
+++ b/wire/src/main/java/pathlane/bus/BusFeed.java
@@ -15,8 +15,8 @@
 import pathlane.transport.Connection;
 import pathlane.transport.Connector;
 import pathlane.transport.Protocol;
-import pathlane.wire.BadInput;
 import pathlane.wire.FrameAssembler;
+import pathlane.wire.ProtocolException;
 
 /**
  * Subscribes to the event bus and resumes after the last known event on each reconnect. The bus may move to another address;
@@ -107,7 +107,7 @@
     }
 
     /** Completed, on the event loop, once the events that the bus had queued for the first connection have been applied. */
-    public CompletableFuture<Void> current() {
+    public CompletableFuture<Void> initialSync() {
         return current;
     }
 
@@ -193,7 +193,7 @@
                     silenceTimer.cancel();   // restarted by complete frames alone: a stalled frame is silence
                     startSilenceTimer();
                 }
-            } catch (BadInput e) {
+            } catch (ProtocolException e) {
                 LOG.log(Level.WARNING, "event bus connection closed for invalid input: {0}", e.getMessage());
                 bytes.position(bytes.limit());
                 connection.close(CloseReason.PROTOCOL_ERROR);
@@ -209,18 +209,18 @@
                 return;
             }
             if (kind != COMPLETE_LIST && kind != CHANGES) {
-                throw new BadInput("unknown event kind " + kind);
+                throw new ProtocolException("unknown event kind " + kind);
             }
             if (Long.compareUnsigned(number, lastEvent) <= 0) {
                 return;   // already applied
             }
             if (kind == CHANGES && number != lastEvent + 1) {
                 // Applying it would leave the list without the missing changes: reconnecting requests them again.
-                throw new BadInput("events are missing: event " + number + " after " + lastEvent);
+                throw new ProtocolException("events are missing: event " + number + " after " + lastEvent);
             }
             ServerList list = parseEvent(number, kind, frame);
             lastEvent = number;
-            list.lines().forEach(endpoint -> LOG.log(Level.INFO, "event {0}: server {1} at {2} is {3}",
+            list.endpoints().forEach(endpoint -> LOG.log(Level.INFO, "event {0}: server {1} at {2} is {3}",
                     Long.toString(number), ServerList.serverName(endpoint.id()), endpoint.address(), endpoint.status()));
             events.accept(list);
         }
@@ -232,7 +232,7 @@
         private ServerList parseEvent(long number, int kind, ByteBuffer frame) {
             try {
                 return ServerList.read(kind == COMPLETE_LIST, frame);
-            } catch (BadInput e) {
+            } catch (ProtocolException e) {
                 if (number != malformedEvent) {
                     malformedEvent = number;
                     throw e;
--- a/wire/src/main/java/pathlane/bus/ServerList.java
+++ b/wire/src/main/java/pathlane/bus/ServerList.java
@@ -9,15 +9,15 @@
 import java.util.List;
 import pathlane.core.ServerEndpoint;
 import pathlane.decision.ServerStatus;
-import pathlane.wire.BadInput;
+import pathlane.wire.ProtocolException;
 
 /**
  * An event of the event bus: the list of session servers or changes to it.
  *
- * @param whole true for the complete list, false for the changed entries alone
- * @param lines the entries, one for each server
+ * @param isComplete true for the complete list, false for the changed entries alone
+ * @param endpoints the entries, one for each server
  */
-public record ServerList(boolean whole, List<ServerEndpoint> lines) {
+public record ServerList(boolean isComplete, List<ServerEndpoint> endpoints) {
 
     private static final int RECORD_BYTES = 27;
     private static final int ADDRESS_BYTES = 4;
@@ -26,7 +26,8 @@
     /** Decodes the server records that fill the rest of an event's frame. */
     static ServerList read(boolean isComplete, ByteBuffer records) {
         if (records.remaining() % RECORD_BYTES != 0) {
-            throw new BadInput("server records of " + records.remaining() + " bytes are not a multiple of the record size");
+            throw new ProtocolException(
+                    "server records of " + records.remaining() + " bytes are not a multiple of the record size");
         }
         List<ServerEndpoint> endpoints = new ArrayList<>();
         while (records.hasRemaining()) {
@@ -36,7 +37,7 @@
             int port = records.getShort() & 0xffff;
             int state = records.get() & 0xff;
             if (state >= ServerStatus.values().length) {
-                throw new BadInput("unknown server state " + state);
+                throw new ProtocolException("unknown server state " + state);
             }
             records.getShort();   // zone and kind, which are not used
             int pool = records.getShort() & 0xffff;
--- a/wire/src/main/java/pathlane/wire/Cause.java
+++ b/wire/src/main/java/pathlane/wire/Cause.java
@@ -5,9 +5,9 @@
 /** Maps the cause values of release messages to outcomes, and outcomes to cause values. */
 public final class Cause {
 
-    public static final int OVER = 16;
+    public static final int NORMAL_CLEARING = 16;
     public static final int FAILED = 31;
-    public static final int CUT = 41;
+    public static final int RESET = 41;
     public static final int REJECTED = 42;
 
     private static final int BUSY = 17;
@@ -23,19 +23,19 @@
             case NO_RESOURCES -> detail.equals("no_path") ? Outcome.NO_CAPACITY : Outcome.REJECTED;
             case BUSY, OUT_OF_ORDER -> detail.equals("line_taken") ? Outcome.BUSY : Outcome.ERROR;
             case NOT_SENT -> Outcome.NOT_SENT;
-            case CUT -> Outcome.RESET;
-            case OVER -> Outcome.COMPLETED;
+            case RESET -> Outcome.RESET;
+            case NORMAL_CLEARING -> Outcome.COMPLETED;
             default -> Outcome.ERROR;
         };
     }
 
     /** Whether a release with this cause ends an established call; any other cause is a final answer to a request. */
     public static boolean endsEstablishedCall(int cause) {
-        return cause == CUT || cause == OVER;
+        return cause == RESET || cause == NORMAL_CLEARING;
     }
 
     /** The cause to send when an established call is released. */
     public static int ofEstablishedCall(Outcome outcome) {
-        return outcome == Outcome.RESET ? CUT : OVER;
+        return outcome == Outcome.RESET ? RESET : NORMAL_CLEARING;
     }
 }
--- a/wire/src/main/java/pathlane/wire/FrameAssembler.java
+++ b/wire/src/main/java/pathlane/wire/FrameAssembler.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether part of a frame has been received and the rest has not. */
-    public boolean begun() {
+    public boolean hasPartialFrame() {
         return size > 0;
     }
 
@@ -40,7 +40,7 @@
      * Consumes all bytes and passes on each completed frame, without its length field, before the bytes after it are parsed.
      *
      * @return the number of frames completed
-     * @throws BadInput if a frame's length is out of range
+     * @throws ProtocolException if a frame's length is out of range
      */
     public int feed(ByteBuffer bytes, Consumer<ByteBuffer> frames) {
         int completed = 0;
@@ -70,7 +70,7 @@
             length = length << 8 | buffer[i] & 0xff;
         }
         if (length < minLength || length > maxLength) {
-            throw new BadInput("frame length of " + length + " bytes is out of range");
+            throw new ProtocolException("frame length of " + length + " bytes is out of range");
         }
         return (int) length;
     }
--- a/wire/src/main/java/pathlane/wire/Message.java
+++ b/wire/src/main/java/pathlane/wire/Message.java
@@ -13,22 +13,22 @@
  */
 public final class Message {
 
-    public static final int SET_UP = 1;
+    public static final int CALL_REQUEST = 1;
     public static final int PROGRESS = 6;
     public static final int ANSWER = 9;
     public static final int RELEASE = 12;
-    public static final int RELEASE_HEARD = 16;
-    public static final int GROUP_STATE = 43;
-    public static final int TEST = 52;
-    public static final int TEST_RESULT = 53;
-
-    public static final int CLASS = 129;
-    public static final int PATIENCE = 132;
-    public static final int NUMBER = 141;
-    public static final int FIGURES = 144;
-    public static final int COME_BACK = 147;
-    public static final int NOTE = 150;
-    public static final int STATE = 156;
+    public static final int RELEASE_COMPLETE = 16;
+    public static final int CAPACITY_REPORT = 43;
+    public static final int HEALTH_CHECK = 52;
+    public static final int HEALTH_CHECK_RESULT = 53;
+
+    public static final int CALL_CLASS = 129;
+    public static final int REMAINING_DEADLINE = 132;
+    public static final int DESTINATION = 141;
+    public static final int ROUTING_PARAMETERS = 144;
+    public static final int RETRY_AFTER = 147;
+    public static final int CAUSE_DETAIL = 150;
+    public static final int CAPACITY = 156;
     public static final int CAUSE = 171;
     public static final int DESCRIPTION = 174;
 
@@ -38,12 +38,12 @@
     private static final int MAX_BYTES = 16 * 1024;
 
     public final int type;
-    public final long call;
+    public final long callId;
     private final Map<Integer, byte[]> parameters = new LinkedHashMap<>();
 
     public Message(int type, long call) {
         this.type = type;
-        this.call = call;
+        this.callId = call;
     }
 
     /** Creates a message for a call whose id is given as 16 hex digits. */
@@ -59,18 +59,18 @@
     /**
      * Decodes a frame, without its length field.
      *
-     * @throws BadInput if the frame is malformed
+     * @throws ProtocolException if the frame is malformed
      */
     public static Message read(ByteBuffer frame) {
         Message message = new Message(frame.get() & 0xff, frame.getLong());
         while (frame.hasRemaining()) {
             if (frame.remaining() < 1 + LENGTH_BYTES) {
-                throw new BadInput("truncated parameter header");
+                throw new ProtocolException("truncated parameter header");
             }
             int code = frame.get() & 0xff;
             int length = frame.getShort() & 0xffff;
             if (length > frame.remaining()) {
-                throw new BadInput("parameter " + code + " exceeds the length of its message");
+                throw new ProtocolException("parameter " + code + " exceeds the length of its message");
             }
             byte[] value = new byte[length];
             frame.get(value);
@@ -81,7 +81,7 @@
 
     /** The call id as 16 hex digits. */
     public String id() {
-        StringBuilder id = new StringBuilder(Long.toHexString(call));
+        StringBuilder id = new StringBuilder(Long.toHexString(callId));
         return id.insert(0, "0".repeat(Long.BYTES * 2 - id.length())).toString();
     }
 
@@ -118,12 +118,12 @@
     /**
      * The cause of a release.
      *
-     * @throws BadInput if it is absent or not exactly one byte long
+     * @throws ProtocolException if it is absent or not exactly one byte long
      */
     public int cause() {
         byte[] value = parameters.get(CAUSE);
         if (!hasCause()) {
-            throw new BadInput("message of type " + type + " has no valid cause");
+            throw new ProtocolException("message of type " + type + " has no valid cause");
         }
         return value[0] & 0xff;
     }
@@ -132,7 +132,7 @@
     public byte[] bytes() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(ByteBuffer.allocate(LENGTH_BYTES + HEADER_BYTES).putShort((short) 0).put((byte) type)
-                .putLong(call).array());
+                .putLong(callId).array());
         parameters.forEach((code, value) -> {
             out.write(code);
             out.write(value.length >> 8);
