--- a/lab/src/main/java/pathlane/lab/SimulatedServer.java
+++ b/lab/src/main/java/pathlane/lab/SimulatedServer.java
@@ -74,7 +74,7 @@
 
     /** Sets whether requests are answered; otherwise they are accepted and left unanswered. */
     public void setAnswering(boolean isAnswering) {
-        isAnswering = isAnswering;
+        this.isAnswering = isAnswering;
     }
 
     /** The calls that are established at this server. */
