--- a/daemon/src/main/java/pathlane/config/file/ClientLimits.java
+++ b/daemon/src/main/java/pathlane/config/file/ClientLimits.java
@@ -4,7 +4,7 @@
 
 /**
  * Limits for clients: the total number of their connections, and what one connection may do before it is closed. A client
- * must get an answer or a close within 3 s, so each duration except {@code idle} is well below that.
+ * must get an answer or a close within 3 s, so each duration except {@code idleTimeout} is well below that.
  *
  * @param maxConnections maximum number of client connections; beyond it, the connection idle the longest is closed
  * @param messageTimeout how long a message may take from its first byte to its last
--- a/wire/src/main/java/pathlane/bus/BusFeed.java
+++ b/wire/src/main/java/pathlane/bus/BusFeed.java
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Completed, on the event loop, once the bus itself has reported that it has no newer event. Unlike {@link #current} it
-     * never completes by elapsed time: a bus that stalls in the middle of its list has not delivered it.
+     * Completed, on the event loop, once the bus itself has reported that it has no newer event. Unlike {@link #initialSync}
+     * it never completes by elapsed time: a bus that stalls in the middle of its list has not delivered it.
      */
     public CompletableFuture<Void> caughtUp() {
         return caughtUp;
