--- a/discovery/src/main/java/pathlane/discovery/Publisher.java
+++ b/discovery/src/main/java/pathlane/discovery/Publisher.java
@@ -28,8 +28,8 @@
         /**
          * Handles a message of the subscriber.
          *
-         * @throws pathlane.wire.ProtocolException if the message is malformed or violates the protocol; the caller must close
-         *         the connection
+         * @throws pathlane.wire.ProtocolException if the message is malformed or violates the protocol; the caller must
+         *         close the connection
          */
         void received(byte[] message);
 
